--- a/fleet/benches/route.rs
+++ b/fleet/benches/route.rs
@@ -1,11 +1,11 @@
-//! Time to find a request's route, and to sort the routes of a version, by how many routes a host has.
+//! Time to find the route of a request, and to build the table of a configuration version, by the number of routes of a host.
 
 use std::sync::Arc;
 
 use boragecove_fleet::config::{Config, Route, Table};
 use divan::{Bencher, black_box};
 
-/// Routes of one host: as declared today, and after the largest changes that operators make at once.
+/// Number of routes of one host: the number declared today, and the numbers after the largest single changes by operators.
 const ROUTES: [u32; 4] = [4, 120, 1_450, 7_800];
 const HOST: &str = "care.example";
 
--- a/fleet/src/admit.rs
+++ b/fleet/src/admit.rs
@@ -1,4 +1,4 @@
-//! Which requests are taken in: those that have a route and a service, and whose model is declared.
+//! Admission of requests: a request needs a route and a service, and its model must be declared.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,10 +16,10 @@
 use crate::request::{Arrival, Refusal};
 use crate::state::State;
 
-/// When a caller may come back to a process that has just started: by its log, it knows what it needs after 30 to 150 ms.
+/// The `retry_after` while a process starts. By its log, it has read its configuration 30 to 150 ms after the start.
 const STARTED_COME_BACK: Duration = Duration::from_millis(200);
 
-/// Finds a request's route and service, and counts it as demand.
+/// Admits a request: finds its route and service, and counts it as demand.
 pub(crate) fn admit(state: &mut State, now: Time, arrival: Arrival) -> Result<Flow, Refusal> {
     let refuse = |code, retry_after| Err(Refusal { code, retry_after });
     if state.config.is_none() {
@@ -34,7 +34,7 @@
         return refuse(Code::CrashesBackends, None);
     }
     if state.graced && !fits_before_stop(state, now, &route, arrival.patience) {
-        // Another entry VM has all the time for it.
+        // Other entry VMs have the time to serve it.
         return refuse(Code::Stopping, Some(Duration::ZERO));
     }
     let Some(service) = pick_service(state, &route) else {
@@ -52,9 +52,9 @@
     Ok(flow)
 }
 
-/// Whether a request will have been answered before a process that stops ends. Where entry VMs are restarted one after
-/// the other, most of a zone's may be stopping at once, and the balancer sends requests to all of them: of 402
-/// that they refused on such a day, 123 were calls that take 30 ms and 1.5 s at most.
+/// Whether a request will have been answered before a stopping process exits. During a rolling restart, most entry VMs of a zone
+/// may be stopping at once while the balancer still sends requests to all of them. Of 402 requests that they refused on such a
+/// day, 123 were calls that take 30 ms, and 1.5 s at most.
 fn fits_before_stop(state: &State, now: Time, route: &Route, patience: Option<Duration>) -> bool {
     let longest = patience.unwrap_or(route.timeout).min(route.timeout);
     let until = now + longest + state.settings.reserve;
--- a/fleet/src/choose.rs
+++ b/fleet/src/choose.rs
@@ -1,4 +1,4 @@
-//! Which engine a request goes to: the one where it is expected to wait least.
+//! The choice of an engine for a request: the one where the expected wait is shortest.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,75 +18,75 @@
 use crate::spread::{self, Unseen};
 use crate::state::State;
 
-/// Random part of a cost, in ms: entry VMs that know the same do not all pick the same engine.
+/// Random part of a cost, in ms, so that entry VMs with the same data do not all pick the same engine.
 const JITTER_MS: f64 = 2.0;
-/// Requests waiting at an engine, as a multiple of its slots, beyond which it gets no prompts: what waits behind so
-/// many streams begins late, and those that are more urgent go first.
+/// Requests that may wait at an engine before it gets no more prompts, as a multiple of its slots. What waits behind so many
+/// streams begins late, and more urgent requests overtake it.
 const QUEUE_DEPTH: f64 = 0.6;
 
-/// What speaks against an engine that another entry VM passes requests on to, in ms of waiting.
+/// Cost of sending a request through a relay, in ms of waiting.
 const RELAY_MS: f64 = 10.0;
 
-/// What was found for a request.
+/// The result of the search for an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// An engine.
+    /// This engine.
     Engine(Pick),
     /// No engine holds the model or the adapter.
     Absent,
-    /// All that could run it are in doubt, or none is known.
+    /// All engines that could run it are unreachable or suspected, or none is known.
     Nowhere,
-    /// It may go on at engines of one build only, and none of that takes work.
+    /// Only engines of one build may continue the stream, and none of that build takes work.
     BuildGone,
-    /// It may be served in some regions only, and no engine of the service can be reached there.
+    /// The request may be served in some regions only, and no engine of the service can be reached there.
     Homeless,
-    /// All that could run it have too much to do; they will have room after this time.
+    /// All engines that could run it are overloaded; one is expected to have room after this time.
     Full(Duration),
-    /// All that could run it want nothing from this process for this time.
+    /// No engine that could run it accepts requests from this process for this time.
     Paused(Duration),
 }
 
-/// The engine that was chosen, and what spoke for it.
+/// The chosen engine, and what the choice was based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pick {
-    /// Its id.
+    /// The engine's id.
     pub engine: Name,
-    /// What it is expected to cost, in ms of waiting.
+    /// Its expected cost, in ms of waiting.
     pub cost_ms: f64,
-    /// How much longer the request may have to wait there than is expected, before another engine is better.
+    /// How much longer than expected the request may wait there before the next engine would be better.
     pub slack: Duration,
-    /// Engines that could have had the request.
+    /// Number of engines that could get the request.
     pub candidates: usize,
-    /// The word that the engine is where the request may be served.
+    /// The proof that the engine is in a region where the request may be served.
     pub permit: Permit,
 }
 
-/// What is wanted of an engine.
+/// The requirements of a request on an engine.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Query<'a> {
     /// The service.
     pub(crate) service: &'a Name,
-    /// What a model is wanted for; none for calls of plain services.
+    /// The model that it needs and the size of its prompt; none for calls of plain services.
     pub(crate) prompt: Option<&'a Prompt>,
-    /// Where it may be served.
+    /// The regions where it may be served.
     pub(crate) homes: &'a Homes,
     /// The builds that may run it.
     pub(crate) pin: &'a Pin,
-    /// Whether it begins a stream that its client may take up at another entry VM.
+    /// Whether it begins a stream that its client may resume at another entry VM.
     pub(crate) begins: bool,
-    /// Engines that are left out.
+    /// Engines that must not get it.
     pub(crate) avoid: &'a [Name],
-    /// Engines to which no connection could be opened for it.
+    /// Engines to which connecting failed for it.
     pub(crate) unsent: &'a [Name],
     /// Time until the answer must begin.
     pub(crate) left: Duration,
-    /// How long it may wait for a place at an engine in need.
+    /// How long it may wait for a reservation at a rate-limited engine.
     pub(crate) queue: Duration,
-    /// The time to an answer that the operator aims at.
+    /// The operator's target for the time to an answer.
     pub(crate) target: Duration,
 }
 
-/// An engine that can have the request.
+/// An engine that can get the request, and its cost.
 #[derive(Debug)]
 struct Candidate<'a> {
     engine: &'a Engine,
@@ -94,19 +94,19 @@
     cost_ms: f64,
 }
 
-/// What a look at all engines of a service gives.
+/// The result of a scan of all engines of a service.
 #[derive(Debug, Default)]
 struct Found<'a> {
     candidates: Vec<Candidate<'a>>,
-    /// Engines of the service that may run it, by their homes and builds.
+    /// Number of engines of the service whose region and build allow the request.
     members: usize,
-    /// Those of them that take work, and may get this request.
+    /// Number of `members` that take work and are not excluded.
     takers: usize,
-    /// Those of them that hold what is asked for.
+    /// Number of `takers` that hold the model and have not asked for a pause.
     holders: usize,
-    /// The shortest time until one that is full has room, in ms.
+    /// The shortest time until an overloaded engine has room, in ms.
     soonest_ms: Option<f64>,
-    /// The shortest pause of those that want one.
+    /// The shortest remaining pause of the engines that accept no requests for a while.
     pause: Option<Duration>,
 }
 
@@ -134,7 +134,7 @@
     }
 }
 
-/// Looks at all engines of a service.
+/// Scans all engines of a service for candidates.
 fn look<'a>(state: &'a State, now: Time, query: Query<'a>, rng: &mut fastrand::Rng) -> Found<'a> {
     let Query { service, prompt, avoid, .. } = query;
     let settings = &state.settings;
@@ -179,7 +179,7 @@
                 found.soonest_ms = Some(found.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
                 continue;
             }
-            // A prompt's wait is counted with the time to read it.
+            // For a prompt, `read_ms` counts the wait.
             Access::After(wait, reserve_ms) => reserve_ms + if prompt.is_none() { ms(wait) } else { 0.0 },
         };
         if intake::would_wait(state, now, engine) {
@@ -204,8 +204,8 @@
     found
 }
 
-/// How long a build must have been known to get a request: one that begins a stream which may be resumed goes to a build that all entry VMs
-/// know, as long as any serves. None where any may have it.
+/// How long a build must have been known to get a request; none if any build may get it. A request that begins a resumable stream goes to
+/// a build that all entry VMs know, as long as any such build serves.
 fn settling(state: &State, now: Time, query: Query<'_>) -> Option<Duration> {
     let settling = pin::settling(state);
     if !query.begins || !state.history.is_settling(now, query.service, settling) {
@@ -218,7 +218,8 @@
     state.engines_of(query.service).any(settled).then_some(settling)
 }
 
-/// Draws one of the candidates, by what other entry VMs send there before it is known here.
+/// Draws one of the candidates. Their weights depend on the requests that other entry VMs are expected to have sent to each, and
+/// that have not been reported here yet.
 fn draw(
     state: &State,
     now: Time,
@@ -239,7 +240,7 @@
         *zones.entry(&candidate.engine.entry.zone).or_default() += 1;
     }
     let late_ms = ms(frame::lateness(state, now));
-    // Each availability zone's requests go to its own engines first, and raise their costs.
+    // Entry VMs prefer the engines of their own availability zone, so the unseen requests of each zone raise the costs there.
     let requests = f64::from(others) * late_ms / run_ms.max(1.0) / zones.len().max(1) as f64;
     let requests = if state.settings.uses(Mechanism::Draw) { requests } else { 0.0 };
     let unseen = Unseen { requests, step_ms };
@@ -263,21 +264,22 @@
     })
 }
 
-/// Time until a slot is free for one more request.
+/// Expected time until a slot is free for one more request, in ms.
 fn queue_ms(engine: &Engine, load: Load, run_ms: f64) -> f64 {
     let slots = engine.entry.slots.max(1);
     let over = (load.open + 1).saturating_sub(slots);
     f64::from(over) * run_ms / f64::from(slots)
 }
 
-/// Whether an engine has too much to do for one more prompt.
+/// Whether an engine has too many open requests for one more prompt.
 fn is_full(engine: &Engine, load: Load) -> bool {
     let slots = f64::from(engine.entry.slots.max(1));
     f64::from(load.open) >= slots * (1.0 + QUEUE_DEPTH)
 }
 
-/// Whether an engine is offered one more call of a plain service. Calls wait as long as they can still be answered in time:
-/// their runs are short. What other entry VMs have sent there is known too late for that, and tells by the answers.
+/// Whether an engine is offered one more call of a plain service. Calls may wait in its queue as long as they can still be answered
+/// in time, because their runs are short. The load of other entry VMs is reported too late for this decision; the share of
+/// calls that is offered follows it by the waits seen in answers.
 fn takes_call(engine: &Engine, now: Time, query: Query<'_>, run_ms: f64, drawn: f64) -> bool {
     let answer_ms = queue_ms(engine, engine.own, run_ms) + run_ms;
     let late = is_full(engine, engine.own) && answer_ms > ms(query.target);
@@ -288,13 +290,13 @@
     time.as_secs_f64() * 1_000.0
 }
 
-/// Time until a prompt has been read: it waits for its place in the schedule, or for the prompts that are ahead.
+/// Expected time until a prompt has been read, in ms: it waits for its reservation, or for the prompts ahead of it.
 fn read_ms(engine: &Engine, work: Duration, now: Time) -> f64 {
     let ahead_ms = engine.load().reading_us as f64 / 1_000.0;
     ahead_ms.max(ms(engine.schedule.wait(now))) + ms(work)
 }
 
-/// What else speaks against an engine.
+/// Other costs of an engine, in ms: its open requests, another availability zone, and recent failures.
 fn beside_ms(engine: &Engine, now: Time, zone: &Name, settings: &Settings) -> f64 {
     let mut cost = 0.0;
     if settings.uses(Mechanism::CrowdCost) {
--- a/fleet/src/effect.rs
+++ b/fleet/src/effect.rs
@@ -1,4 +1,4 @@
-//! Every action of the reducer, as data for a process to carry out.
+//! The actions that the reducer asks the process to carry out.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,32 +20,32 @@
 use crate::revision::Revision;
 use crate::schedule::Ask;
 
-/// Something to do.
+/// An action for the process to carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Do this for a request.
+    /// Take the next step of a request.
     Step {
         /// The request.
         request: Id,
-        /// What to do.
+        /// The step.
         step: Step,
     },
-    /// Send a frame to the hub; its answer comes back as [`crate::event::Event::Replied`].
+    /// Send a frame to the hub; its reply comes back as [`crate::event::Event::Replied`].
     Frame {
         /// Where the hub listens.
         address: SocketAddr,
         /// The frame.
         frame: Box<Frame>,
     },
-    /// Push something to another entry VM; [`crate::event::Event::Missed`] follows if it was not taken.
+    /// Push an update to another entry VM; [`crate::event::Event::Missed`] follows if that fails.
     Push(Push),
-    /// Ask the owner of an engine's schedule for a place; its answer comes back as [`crate::event::Event::Granted`].
+    /// Ask the owner of an engine's schedule for a reservation; its answer comes back as [`crate::event::Event::Granted`].
     Ask {
         /// Where the owner listens.
         address: SocketAddr,
-        /// The request that the place is for.
+        /// The request that the reservation is for.
         request: Id,
-        /// The question.
+        /// The reservation request.
         ask: Ask,
     },
     /// Ask a holder of a share of a workspace's limit for credit; its answer comes back as [`crate::event::Event::Drawn`].
@@ -54,32 +54,32 @@
         address: SocketAddr,
         /// The request that the credit is for.
         request: Id,
-        /// The question.
+        /// The request for credit.
         draw: Draw,
     },
-    /// Ask the leader for a repeat; its answer comes back as [`crate::event::Event::Permitted`].
+    /// Ask the leader for a permit to repeat a request; its answer comes back as [`crate::event::Event::Permitted`].
     Permit {
         /// Where the leader listens.
         address: SocketAddr,
-        /// The request that is to be sent once more.
+        /// The request to be repeated.
         request: Id,
-        /// Now.
+        /// The current time.
         asked: Time,
-        /// The question.
+        /// The request for a permit.
         ask: budget::Ask,
     },
-    /// Tell another entry VM what began some streams. No answer is waited for.
+    /// Tell another entry VM which engine builds began some streams. No answer is expected.
     Note {
         /// Where the entry VM listens.
         address: SocketAddr,
-        /// The streams.
+        /// The streams, by origin.
         notes: Vec<Note>,
     },
-    /// Ask another entry VM what began a stream; its answer comes back as [`crate::event::Event::Traced`].
+    /// Ask another entry VM which engine build began a stream; its answer comes back as [`crate::event::Event::Traced`].
     Trace {
         /// Where the entry VM listens.
         address: SocketAddr,
-        /// The request that goes on with the stream.
+        /// The request that resumes the stream.
         request: Id,
         /// The stream.
         stream: Stream,
@@ -88,30 +88,31 @@
     Lease(lease::Call),
     /// Send an order to an engine.
     Order(Box<Dispatch>),
-    /// Ask an engine what it holds.
+    /// Ask an engine which models and adapters it holds; its answer comes back as [`crate::event::Event::Reported`].
     Report {
         /// The engine's id.
         engine: Name,
-        /// The start of the engine that is listed.
+        /// The engine's incarnation according to the engines' table.
         incarnation: Incarnation,
         /// Where it listens.
         address: SocketAddr,
     },
-    /// Try the port of an engine that is suspected, or that broke a run; the answer comes back as [`crate::event::Event::Probed`].
+    /// Probe the port of an engine that is suspected or broke off a request; the result comes back as
+    /// [`crate::event::Event::Probed`].
     Probe {
         /// The engine's id.
         engine: Name,
         /// Where it listens.
         address: SocketAddr,
     },
-    /// Ask another entry VM how the port of an engine answers there; that comes back as [`crate::event::Event::ProbedIndirectly`].
+    /// Ask another entry VM to probe an engine's port; the result comes back as [`crate::event::Event::ProbedIndirectly`].
     IndirectProbe {
         /// Where the entry VM listens.
         address: SocketAddr,
         /// The engine's id.
         engine: Name,
     },
-    /// Ask another entry VM whether it reaches an engine; that comes back as [`crate::event::Event::PathSeen`].
+    /// Ask another entry VM whether it reaches an engine; the answer comes back as [`crate::event::Event::PathSeen`].
     AskPath {
         /// The entry VM.
         vm: Name,
@@ -120,65 +121,66 @@
         /// The engine's id.
         engine: Name,
     },
-    /// Keep a record of a decision.
+    /// Log a decision.
     Record(Record),
-    /// Follow the store's tables like this, or leave that to the hub.
+    /// Poll the store's tables in this way; none leaves that to the hub.
     Follow(Option<Follow>),
-    /// Ask the store at once, on a new connection, what has changed in the engines' table; the answer comes back as
+    /// Ask the store at once, on a new connection, for changes of the engines' table; the answer comes back as
     /// [`crate::event::Event::Listed`], or as [`crate::event::Event::Unread`].
     Refresh {
-        /// Up to which version the table is known.
+        /// The revision up to which the table is already known.
         after: Revision,
-        /// How long an answer is waited for.
+        /// How long to wait for the answer.
         limit: Duration,
     },
-    /// Hold callers to these limits from now on.
+    /// Apply these limits to callers from now on.
     Limit(Limits),
     /// Take the entry VM in or out of the balancer's rotation.
     Ready(bool),
-    /// What this engine holds has changed; whoever waits for that may be answered.
+    /// The models or adapters at this engine have changed; replies that are held back for that may be sent.
     Changed(Name),
     /// Send [`crate::event::Event::Wake`] at this time. A later effect of this kind replaces an earlier one.
     WakeAt(Time),
-    /// End the process: nothing is in flight any more.
+    /// Exit the process: nothing is in flight any more.
     Exit,
 }
 
-/// How long an answer to a call for changes is waited for.
+/// Time limits of a long poll for changes of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Patience {
-    /// How long the store may hold the call until it answers that there are none.
+    /// How long the store may hold the call before it answers that nothing has changed.
     pub wait: Duration,
-    /// How much later its answer may begin before the call is made anew.
+    /// How long after `wait` the answer may still begin; after that, the call is repeated.
     pub overdue: Duration,
 }
 
-/// How the store's tables are followed.
+/// How the store's tables are polled.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Follow {
-    /// The store's version up to which the engines' table is known; 0 if it is not.
+    /// The store's revision up to which the engines' table is known; 0 if it is not.
     pub listed: Revision,
-    /// The store's version up to which the operator's table is known; 0 if it is not.
+    /// The store's revision up to which the operator's table is known; 0 if it is not.
     pub declared: Revision,
-    /// The configuration's version that stands there then.
+    /// The version of the configuration in the operator's table at that revision.
     pub config: u64,
-    /// A table that is known from before the store came back from an older copy is read whole after a part of this time: others may do so too.
+    /// After the store was restored from an older copy, a table that is known from before is read in full within this time; entry VMs
+    /// spread these reads, since several may have to make them.
     pub spread: Duration,
-    /// How changes of the engines' table are waited for,
+    /// Time limits of long polls of the engines' table.
     pub engines: Patience,
-    /// and those of the operator's.
+    /// Time limits of long polls of the operator's table.
     pub operator: Patience,
-    /// The longest pause after a call that failed.
+    /// The longest pause after a failed call.
     pub retry_max: Duration,
-    /// Time until the first call,
+    /// Time until the first call.
     pub delay: Duration,
-    /// and from one that failed to the next, at least.
+    /// The shortest pause after a failed call.
     pub failed: Duration,
-    /// Time from one answer to the next call: changes that come together are read together.
+    /// Time from an answer to the next call, so that changes made close together are read together.
     pub pause: Duration,
 }
 
-/// An order on its way to an engine.
+/// An order to be sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispatch {
     /// The engine's id; another engine at its address must refuse.
@@ -187,10 +189,10 @@
     pub address: SocketAddr,
     /// The order.
     pub order: Order,
-    /// The start of the engine that the order is for.
+    /// The engine's incarnation that the order is for.
     pub incarnation: Incarnation,
-    /// Orders that the engine has accepted before; it refuses if there were others.
+    /// Number of orders that the engine has accepted so far; it refuses the order if the number differs.
     pub sequence: u64,
-    /// The fencing number of the lease under which it is sent.
+    /// The fencing token of the lease under which it is sent.
     pub term: u64,
 }
--- a/fleet/src/event.rs
+++ b/fleet/src/event.rs
@@ -23,58 +23,58 @@
 use crate::schedule::Grant;
 use crate::settings::Settings;
 
-/// Something that happened. The time at which it did is handed in beside it.
+/// Something that happened. [`crate::apply`] gets the time of it as a separate argument.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A version of the configuration was read.
     Configured(Arc<Config>),
-    /// The operator's table was read, and what it holds was told.
+    /// The operator's table was read.
     Declared {
-        /// The store's version up to which it was read.
+        /// The store's revision up to which it was read.
         version: Revision,
-        /// The configuration's version that stands there; 0 for none.
+        /// The version of the configuration in the table; 0 if there is none.
         config: u64,
-        /// When the store was asked.
+        /// When the store was queried.
         asked: Time,
     },
-    /// What operators say of availability zones was read.
+    /// The operators' evacuations of availability zones were read.
     Evacuations(evacuation::Listing),
-    /// The engines' table, or what changed in it, was read.
+    /// The engines' table, or its changes, were read.
     Listed(Listing),
-    /// The store did not say what has changed in the engines' table ([`crate::effect::Effect::Refresh`]).
+    /// A refresh of the engines' table failed ([`crate::effect::Effect::Refresh`]).
     Unread,
-    /// An answer of the store, whatever it was to, named this era.
+    /// A response of the store, to any call, carried this era.
     Era(u64),
-    /// The store could not be reached, or can be again.
+    /// The store has become unreachable (false), or can be reached again (true).
     StoreUp(bool),
     /// A caller's request was read.
     Arrive {
-        /// Its number.
+        /// The request's id within this process.
         request: Id,
-        /// What it asks for.
+        /// The request.
         arrival: Box<Arrival>,
     },
-    /// A request's caller is gone.
+    /// A request's caller has disconnected.
     Gone(Id),
-    /// Events of an answer came, and go to the caller.
+    /// Events of an answer arrived and are forwarded to the caller.
     Began {
         /// The request.
         request: Id,
-        /// The version of the software of the engine that wrote them, as it was known when the request was sent there.
+        /// The software version of the engine that wrote them, as known when the request was sent; none if unknown.
         build: Option<Name>,
     },
-    /// Something came from an engine.
+    /// Bytes were received from an engine.
     Heard(Name),
-    /// An answer of an engine, to whatever it was asked, said something of the engine.
+    /// An answer of an engine, to any kind of request, carried a notice about the engine itself.
     Noticed {
-        /// Which engine, and which start of it.
+        /// The engine and its incarnation.
         from: Start,
-        /// What it said.
+        /// The notice.
         notice: Notice,
-        /// The request that was answered, if a caller's was.
+        /// The caller's request that was answered; none if the answer was to something else.
         asked: Option<Asked>,
     },
-    /// A request's current attempt ended.
+    /// The current attempt of a request ended.
     Ended {
         /// The request.
         request: Id,
@@ -82,102 +82,102 @@
         attempt: u32,
         /// How it ended.
         end: End,
-        /// How its events came.
+        /// The timing of its events.
         events: Events,
     },
-    /// A frame came from another entry VM. The answer is asked for with [`crate::reply`].
+    /// A frame arrived from another entry VM. [`crate::reply`] computes the reply to it.
     Framed(Box<Frame>),
-    /// The hub answered a frame; none if it could not be reached.
+    /// The hub replied to a frame; none if it could not be reached.
     Replied(Option<Box<Reply>>),
-    /// Another entry VM pushed an update of the configuration.
+    /// Another entry VM pushed an update.
     Pushed(Box<push::Message>),
-    /// An entry VM did not take what was pushed to it.
+    /// A push to another entry VM failed.
     Missed(push::Push),
-    /// The owner of an engine's schedule answered; none if it could not be reached.
+    /// The owner of an engine's schedule answered a reservation request.
     Granted {
-        /// The request that the place is for.
+        /// The request that the reservation is for.
         request: Id,
-        /// The answer.
+        /// The answer; none if the owner could not be reached.
         grant: Option<Grant>,
     },
-    /// A holder of a share of a workspace's limit answered; none if it could not be reached.
+    /// A holder of a share of a workspace's limit answered a request for credit.
     Drawn {
         /// The request that the credit is for.
         request: Id,
         /// The workspace.
         workspace: Name,
-        /// The answer.
+        /// The answer; none if the holder could not be reached.
         credit: Option<Credit>,
     },
-    /// The leader answered a question for a repeat; none if it could not be reached.
+    /// The leader answered a request for a permit to repeat a request.
     Permitted {
-        /// The request that is to be sent once more.
+        /// The request to be repeated.
         request: Id,
-        /// When the question was asked.
+        /// When the permit was requested.
         asked: Time,
-        /// The answer.
+        /// The answer; none if the leader could not be reached.
         permit: Option<Permit>,
     },
-    /// An entry VM answered what began a stream; none if it does not know, or could not be reached.
+    /// Another entry VM answered which engine build began a stream.
     Traced {
-        /// The request that goes on with the stream.
+        /// The request that resumes the stream.
         request: Id,
-        /// The answer.
+        /// The stream's origin; none if the entry VM does not know it, or could not be reached.
         origin: Option<Origin>,
     },
     /// The lease was read or written.
     Lease(lease::Answer),
-    /// An engine answered an order; none if it is not known whether the order arrived.
+    /// An engine answered an order, or the call failed.
     Ordered {
         /// The engine's id.
         engine: Name,
-        /// The start of the engine that the order was for.
+        /// The engine's incarnation that the order was for.
         incarnation: Incarnation,
-        /// Its answer.
+        /// Its answer; none if it is unknown whether the order arrived.
         receipt: Option<Receipt>,
     },
-    /// An engine reported what it holds; none if it could not be asked.
+    /// An engine reported its models and adapters, or could not be asked.
     Reported {
         /// The engine's id.
         engine: Name,
-        /// Its report.
+        /// Its report; none if it could not be asked.
         report: Option<Report>,
     },
-    /// The port of an engine that is suspected, or that broke a run, was tried.
+    /// The port of an engine was probed, because the engine is suspected or broke off a request.
     Probed {
         /// The engine's id.
         engine: Name,
-        /// How it answers.
+        /// The result.
         reach: Reach,
     },
-    /// Another entry VM was asked how the port of an engine answers there.
+    /// Another entry VM was asked to probe an engine's port.
     ProbedIndirectly {
         /// The engine's id.
         engine: Name,
-        /// How; none if the entry VM did not answer, or does not know the engine.
+        /// The result; none if the entry VM did not answer, or does not know the engine.
         reach: Option<Reach>,
     },
     /// Another entry VM was asked whether it reaches an engine.
     PathSeen {
         /// The engine's id.
         engine: Name,
-        /// Who was asked.
+        /// The entry VM that was asked.
         by: Relay,
-        /// How the engine's port answers there; none if the entry VM did not answer, or cannot tell.
+        /// The state of the engine's port as seen there; none if the entry VM did not answer, or cannot tell.
         reach: Option<Reach>,
     },
-    /// A request of another entry VM that was passed on has ended.
+    /// A request that was relayed for another entry VM has ended.
     Relayed,
     /// The settings have changed.
     Settings(Box<Settings>),
     /// The process was asked to stop.
     Stop,
-    /// The time that an effect asked to be woken at has come.
+    /// The time of the last [`crate::effect::Effect::WakeAt`] has come.
     Wake,
 }
 
 impl Event {
-    /// What it is called where its cost is counted.
+    /// The label under which the cost of handling it is counted in metrics.
     #[must_use]
     pub const fn label(&self) -> &'static str {
         match self {
@@ -216,15 +216,15 @@
     }
 }
 
-/// What was read of the engines' table.
+/// Rows that were read from the engines' table.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The rows that were read.
+    /// The rows.
     pub rows: Vec<Row>,
-    /// The store's version up to which they hold.
+    /// The store's revision up to which they are current.
     pub version: Revision,
-    /// Whether they are all rows there are.
+    /// Whether they are all rows of the table; otherwise they are changes to it.
     pub whole: bool,
-    /// All that the store had taken by then is in it; none if that is not known.
+    /// The rows include every write that the store had accepted by this time; none if that is unknown.
     pub as_of: Option<Time>,
 }
--- a/fleet/src/flow.rs
+++ b/fleet/src/flow.rs
@@ -1,4 +1,4 @@
-//! The way of a request: its route, the engines that it is sent to, and its end.
+//! The life cycle of a request: its state, its dispatch to engines and its waits.
 
 mod end;
 mod place;
@@ -36,9 +36,9 @@
 use place::engage;
 pub(crate) use place::granted;
 
-/// How long a request waits for engines in doubt, and for a hub that does not answer.
+/// How long a request waits while all engines are unreachable, or while nobody can have a missing model loaded.
 const DOUBT_WAIT: Duration = Duration::from_millis(400);
-/// When a caller may come back if no better time is known.
+/// The `retry_after` of a refusal if no better estimate is known.
 pub(crate) const COME_BACK: Duration = Duration::from_millis(500);
 
 /// A request that has not ended.
@@ -46,53 +46,53 @@
 pub(crate) struct Flow {
     pub(crate) route: Arc<Route>,
     pub(crate) service: Name,
-    /// The workspace that its caller belongs to, if it needs a key.
+    /// The workspace of its caller; none if its route needs no key.
     pub(crate) workspace: Option<Arc<Workspace>>,
-    /// What it counts for its workspace's limit; 0 where there is none.
+    /// Units that it uses of its workspace's limit; 0 if there is no limit.
     pub(crate) cost: f64,
-    /// The workspace from whose credit that was taken, until it is given back.
+    /// The workspace whose credit it used, until that is refunded.
     pub(crate) charged: Option<Name>,
-    /// The key that it came with.
+    /// The digest of its caller's key.
     pub(crate) key: Option<Digest>,
     pub(crate) prompt: Option<Prompt>,
     pub(crate) fingerprint: Fingerprint,
-    /// What its prompt shares with others.
+    /// The parts of its prompt that other requests may share.
     pub(crate) parts: Arc<[Fingerprint]>,
-    /// Whether an engine has answered it for long enough to say that it ends none.
+    /// Whether an engine has answered it for long enough to show that it does not crash engines.
     pub(crate) sound: bool,
-    /// When the first event came of the engine that it is at.
+    /// When the first event of the current attempt arrived.
     pub(crate) first_at: Option<Time>,
     pub(crate) arrived: Time,
     pub(crate) deadline: Time,
-    /// When its answer must begin.
+    /// The time by which its answer must begin.
     pub(crate) begin_by: Time,
-    /// Time to read its prompt.
+    /// Estimated time to read its prompt.
     pub(crate) work: Duration,
     pub(crate) stage: Stage,
-    /// Attempts made.
+    /// Number of attempts made, and the number of the current one.
     pub(crate) number: u32,
-    /// Engines that it was handed to, and that did not prove that they have not run it.
+    /// Attempts without proof that the engine did not run the request. They count against the route's attempts.
     pub(crate) used: u32,
-    /// Engines that refused it.
+    /// Attempts that an engine refused.
     pub(crate) refusals: u32,
-    /// Places in schedules that it asked for in vain since it was last sent.
+    /// Reservations that were denied since it was last sent.
     pub(crate) asked: u32,
-    /// Engines that are not to get it again.
+    /// Engines that must not get it again.
     pub(crate) avoid: Vec<Name>,
-    /// Engines to which no connection could be opened for it, once for each time.
+    /// Engines to which connecting failed for this request; one entry per failure.
     pub(crate) unsent: Vec<Name>,
     pub(crate) may_have_run: bool,
-    /// The builds that may go on with it.
+    /// The builds whose engines may continue its answer.
     pub(crate) pin: Pin,
-    /// The stream that it begins or goes on with, if that has a name.
+    /// The stream that it begins or resumes, if that has an id.
     pub(crate) stream: Option<Stream>,
-    /// What its client says of a stream that it takes up, until it is known which build began that.
+    /// The stream that its client resumes, until it is known which build began that.
     pub(crate) resumes: Option<Resumption>,
-    /// What it needs to be sent.
+    /// Whether its next attempt needs a permit, or has one.
     pub(crate) repeat: Repeat,
-    /// Until when it may be sent to another engine than the one that it is at, if that was asked.
+    /// Expiry of a permit for another attempt that was obtained while the current one is still open.
     pub(crate) ahead: Option<Time>,
-    /// Whether the leader is asked whether it may be sent once more.
+    /// Whether a request for a permit to the leader has not been answered yet.
     pub(crate) asks_repeat: bool,
     /// How its last attempt ended.
     pub(crate) ended: Option<End>,
@@ -100,15 +100,15 @@
 
 #[derive(Clone, Debug)]
 pub(crate) enum Stage {
-    /// Credit of its workspace's limit was asked for.
+    /// It waits for credit of its workspace's limit.
     Charging(quota::Asking),
-    /// So many entry VMs are still to answer what began the stream that it goes on with.
+    /// It waits for this number of entry VMs to answer which build began the stream that it resumes.
     Tracing { left: usize },
     /// It waits for an engine.
     Waiting,
-    /// A place in an engine's schedule was asked for.
+    /// It waits for a reservation in an engine's schedule.
     Scheduling { pick: Pick, ask: Box<Ask>, owner: Name },
-    /// It is at an engine.
+    /// It was sent to an engine, or will be once the time of its reservation (`at`) comes.
     Sent { engine: Name, at: Time, begun: bool, relay: Option<Name> },
 }
 
@@ -121,13 +121,13 @@
         })
     }
 
-    /// How long it may wait for a place at an engine in need: a less urgent one finds the queue full sooner, so that the few places go to
-    /// the urgent ones.
+    /// How long it may wait for a reservation at a rate-limited engine. Less urgent requests may wait for a shorter time, so that the few
+    /// reservations go to the urgent ones.
     pub(crate) fn queue(&self, settings: &Settings) -> Duration {
         settings.schedule_wait / (1 + u32::from(self.priority()))
     }
 
-    /// Its rank; 0 goes first.
+    /// Its priority; 0 is the highest.
     pub(crate) fn priority(&self) -> u8 {
         let own = self.workspace.as_ref().and_then(|workspace| workspace.priority);
         own.unwrap_or(self.route.priority)
@@ -138,7 +138,7 @@
     }
 }
 
-/// A caller's request was read.
+/// Handles a new request of a caller.
 pub(crate) fn arrive(state: &mut State, now: Time, id: Id, arrival: Arrival, out: &mut Vec<Effect>) {
     let (fingerprint, parts) = (arrival.fingerprint, crash::shared(&arrival));
     match admit::admit(state, now, arrival) {
@@ -159,12 +159,12 @@
     }
 }
 
-/// Sends a request to an engine, or lets it wait for one, or refuses it. `fresh`: it does not wait yet.
+/// Sends a request to an engine, lets it wait for one, or refuses it. `fresh` means that it is not waiting yet.
 pub(crate) fn dispatch(state: &mut State, now: Time, id: Id, fresh: bool, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    // Each way to an engine passes here: retries, resumed streams, and those that waited or lost their place in a schedule.
+    // Every request passes here before it is sent: also retries, resumed streams, and requests that waited or lost a reservation.
     if state.crashes.bars(flow.fingerprint, &flow.parts, now).is_some() {
         give_up(state, now, id, Code::CrashesBackends, None, out);
         return;
@@ -174,7 +174,7 @@
         return;
     }
     if state.freshness.in_doubt() {
-        // One that waits is looked at again anyhow.
+        // Waiting requests are dispatched again anyway.
         if fresh {
             state.freshness.hold(id);
         }
@@ -208,7 +208,7 @@
             Obtained::No => outcome::not_repeated(state, now, id, out),
         },
         Choice::Absent => {
-            // Nobody brings a model to engines of a build for one that is pinned to it.
+            // Models are not loaded on engines of a given build because a request is pinned to it.
             let loads = can_load(state, now) && !pin.binds();
             let wait = if loads { state.settings.load_wait } else { DOUBT_WAIT };
             wait_for(state, now, id, wait, fresh, out);
@@ -224,12 +224,12 @@
     }
 }
 
-/// Whether whoever gives orders can be told what is missing.
+/// Whether a missing model can be loaded: this process may send orders, or the hub can be told.
 fn can_load(state: &State, now: Time) -> bool {
     state.lease.orders(now).is_some() || (state.hub.leads && state.hub.alive(now, &state.settings))
 }
 
-/// Whether a request has waited as long as is reasonable for engines that are full.
+/// Whether a request has waited for overloaded engines as long as it may.
 fn flow_waited(state: &State, now: Time, id: Id) -> bool {
     state.flows.get(&id).is_some_and(|flow| now.since(flow.arrived) > DOUBT_WAIT)
 }
@@ -266,12 +266,12 @@
     }
 }
 
-/// Something changed that requests may be waiting for: look again once this event is dealt with.
+/// Requests a rescan of the waiting requests at the end of this event, since something that they may wait for has changed.
 pub(crate) const fn stir_later(state: &mut State) {
     state.stirred = true;
 }
 
-/// Looks again at all requests that wait for an engine.
+/// Dispatches all requests that wait for an engine again.
 pub(crate) fn stir(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.stirred = false;
     let waiting: Vec<Id> = state.waiting.iter().copied().collect();
@@ -284,7 +284,7 @@
     }
 }
 
-/// Looks for engines for requests that were held back, and have not ended meanwhile.
+/// Dispatches requests that were held back while the engines' table was in doubt, unless they have ended or wait already.
 pub(crate) fn release(state: &mut State, now: Time, held: &[Id], out: &mut Vec<Effect>) {
     for id in held {
         let flow = state.flows.get(id);
@@ -294,8 +294,8 @@
     }
 }
 
-/// Finds other engines for the requests that have a place in an engine's schedule and have not gone out yet: the engine is
-/// to get nothing more.
+/// Cancels the reservations at an engine that must get nothing more, and dispatches their requests to other engines. Requests
+/// that were sent already are not affected.
 pub(crate) fn withdraw(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     withdraw_from(state, now, |of| of == engine, out);
 }
@@ -311,7 +311,7 @@
         state.flows.iter().filter(|(_, flow)| due(&flow.stage)).map(|(id, _)| *id).collect();
     due.sort_unstable();
     for id in due {
-        // Another engine may be asked for a place first, and the time of this one may come meanwhile.
+        // The request may have to wait for a reservation at another engine. Without this step it would be sent here meanwhile.
         out.push(Effect::Step { request: id, step: Step::Wait });
         leave(state, id);
         if let Some(flow) = state.flows.get_mut(&id) {
--- a/fleet/src/flow/end.rs
+++ b/fleet/src/flow/end.rs
@@ -1,4 +1,4 @@
-//! How requests end: refused, left by their callers, or too late.
+//! Requests that end without an engine's answer: refused, abandoned by their callers, or too late.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 use crate::request::{Id, Refusal, Step};
 use crate::state::State;
 
-/// Answers a request without an engine, or breaks its answer off.
+/// Refuses a request, or breaks its answer off if that has begun. `ran` means that an engine may have run it.
 pub(super) fn refuse(
     state: &mut State,
     now: Time,
@@ -26,7 +26,7 @@
 ) {
     *state.refusals.entry(refusal.code).or_default() += 1;
     if refusal.code == Code::KeyUnproven {
-        // A loss that lasts less than the time between frames is to have its line too.
+        // The regular check runs once per frame interval: it would not log a shorter loss of the proof.
         proof::check(state, now, out);
     }
     out.push(Effect::Record(refused_record(state, now, id, refusal, ran)));
@@ -49,7 +49,7 @@
     }
 }
 
-/// A request ends without an answer of an engine.
+/// Ends a request without an answer of an engine.
 pub(crate) fn give_up(
     state: &mut State,
     now: Time,
@@ -62,7 +62,7 @@
         return;
     };
     let ran = flow.may_have_run || matches!(flow.stage, Stage::Sent { .. });
-    // A code that promises that nothing has run is only for requests that have not.
+    // A code that guarantees that nothing ran must not be given to requests that may have run.
     let code = match code {
         Code::BuildGone | Code::OriginUnknown if ran => Code::Interrupted,
         code if ran && code.outcomes() == [Outcome::NotRun] => Code::BackendFailed,
@@ -77,7 +77,7 @@
     close(state, id);
 }
 
-/// Takes a request off its engine. Returns the engine and when it was sent there.
+/// Detaches a request from its engine. Returns the engine and when the request was sent there; none if it was not.
 pub(crate) fn leave(state: &mut State, id: Id) -> Option<(Name, Time)> {
     let flow = state.flows.get_mut(&id)?;
     let (engine, at, begun) = match std::mem::replace(&mut flow.stage, Stage::Waiting) {
@@ -95,7 +95,7 @@
     at.map(|at| (engine, at))
 }
 
-/// Forgets a request.
+/// Drops the state of a request.
 pub(crate) fn close(state: &mut State, id: Id) {
     let Some(flow) = state.flows.remove(&id) else {
         return;
@@ -108,7 +108,7 @@
     }
 }
 
-/// A request's caller is gone.
+/// Handles the disconnection of a request's caller.
 pub(crate) fn gone(state: &mut State, now: Time, id: Id) {
     let ran = |flow: &Flow| flow.may_have_run || matches!(flow.stage, Stage::Sent { .. });
     if !state.flows.get(&id).is_none_or(ran) {
@@ -118,7 +118,7 @@
     close(state, id);
 }
 
-/// A request's deadline has come.
+/// Ends a request whose deadline has passed.
 pub(crate) fn deadline(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
@@ -128,9 +128,9 @@
     give_up(state, now, id, code, Some(COME_BACK), out);
 }
 
-/// When a caller may come back that waited in vain. While nobody may give orders, nothing is loaded: callers have one or
-/// two more attempts, and would spend them before anything can have changed. That holds for 57 to 82 in 100 of those that
-/// wait in vain on days with trouble.
+/// The `retry_after` for a caller whose wait has expired. While nobody may send orders, no model is loaded. Callers have one or
+/// two more attempts, and would use them up before anything can have changed. On days with faults that is the case for 57% to
+/// 82% of the requests whose wait expires.
 fn come_back(state: &State, now: Time, id: Id) -> Duration {
     let waits_for_model = state.flows.get(&id).is_some_and(|flow| flow.prompt.is_some());
     if waits_for_model && !can_load(state, now) {
@@ -139,7 +139,7 @@
     COME_BACK
 }
 
-/// A request has waited for a model or an engine as long as it may.
+/// Ends a request that has waited for a model or an engine as long as it may.
 pub(crate) fn waited(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     if state.waiting.contains(&id) {
         let come_back = come_back(state, now, id);
--- a/fleet/src/flow/place.rs
+++ b/fleet/src/flow/place.rs
@@ -1,4 +1,4 @@
-//! A request's place at the engine that was picked, and its sending.
+//! The reservation of a request at the chosen engine, and its sending.
 
 use std::time::Duration;
 
@@ -23,11 +23,11 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// How long a place at an engine in need may be used after its time: one that a suspended machine finds later would come on top of
-/// others'.
+/// How long after its time a reservation at a rate-limited engine may still be used. A machine that was suspended could otherwise
+/// send it late, on top of the reservations of others.
 const PLACE_KEPT: Duration = Duration::from_millis(300);
 
-/// Counts a request at the engine that was picked, and sends it: at once, or once it has its place in the schedule.
+/// Counts a request at the chosen engine, and sends it at once or after a reservation in the engine's schedule.
 pub(super) fn engage(state: &mut State, now: Time, id: Id, pick: Pick, fresh: bool, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
@@ -56,7 +56,7 @@
         send(state, now, id, &pick, Duration::ZERO, out);
         return;
     }
-    // One that found the schedule of its first choice full takes what the next one offers.
+    // After a denied reservation, the request takes any wait that its time allows at the next engine.
     let slack = pick.slack.max(state.settings.schedule_slack);
     let most = if limited { flow.queue(&state.settings) } else { state.settings.schedule_wait };
     let most = if brittle { most.min(intake::WAIT_MAX) } else { most };
@@ -96,7 +96,7 @@
     scheduled(state, now, id, grant, out);
 }
 
-/// The owner of a schedule answered, or did not.
+/// Handles the answer of a schedule's owner; `grant` is none if it did not answer.
 pub(crate) fn granted(state: &mut State, now: Time, id: Id, grant: Option<Grant>, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
@@ -113,13 +113,13 @@
     }
     schedule::unanswered(state, now, &owner, out);
     if is_limited(state, now, &ask.engine) {
-        // Nobody else may give a place there.
+        // Only the owner may grant reservations at a limited engine.
         leave(state, id);
         dispatch(state, now, id, true, out);
         return;
     }
     if surge.is_some() {
-        // It may be cold, and the next owner may know how much it has got.
+        // The engine may be cold, and the next owner may know how many requests it has had.
         scheduled(state, now, id, Grant::Elsewhere, out);
         return;
     }
@@ -127,13 +127,13 @@
     scheduled(state, now, id, grant, out);
 }
 
-/// A request has its place in the schedule of the engine that was picked, or is to find another.
+/// Sends a request whose reservation was granted, or looks for another engine if it was denied.
 fn scheduled(state: &mut State, now: Time, id: Id, grant: Grant, out: &mut Vec<Effect>) {
     let Some(Flow { stage: Stage::Scheduling { pick, ask, .. }, asked, .. }) = state.flows.get(&id) else {
         return;
     };
     let (pick, asked) = (pick.clone(), *asked);
-    // The place may have been given before anybody knew of the limit.
+    // The reservation may have been granted by an owner that did not know the engine's limit.
     let unaware = !ask.is_limited() && is_limited(state, now, &pick.engine);
     if let Err(Refusal { code, retry_after }) = access::recheck(state, now, id) {
         give_up(state, now, id, code, retry_after, out);
@@ -145,7 +145,7 @@
         {
             send(state, now, id, &pick, wait, out);
         }
-        // It went, was suspected, or named a limit meanwhile, or may have.
+        // The engine was removed, suspected or limited meanwhile, or that is in doubt.
         Grant::After(_) => {
             leave(state, id);
             dispatch(state, now, id, true, out);
@@ -166,12 +166,12 @@
     }
 }
 
-/// Whether an engine has a limit.
+/// Whether a limit applies to an engine.
 fn is_limited(state: &State, now: Time, engine: &Name) -> bool {
     state.engines.get(engine).is_some_and(|engine| intake::bound_of(state, now, engine).is_some())
 }
 
-/// Whether an engine can still be sent a request that was meant for it.
+/// Whether an engine can still be sent the request that it was chosen for.
 fn is_open(state: &State, now: Time, id: Id, engine: &Name) -> bool {
     let Some(flow) = state.flows.get(&id) else {
         return false;
--- a/fleet/src/outcome.rs
+++ b/fleet/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What comes of a request's attempts: what they say of engines, and whether another follows.
+//! Results of attempts: what they show about engines, and whether another attempt follows.
 
 use std::time::Duration;
 
@@ -25,15 +25,16 @@
 use crate::timer::Timer;
 use crate::trust;
 
-/// Sendings of one request that engines may refuse beyond the route's attempts: a refusal proves that
-/// the request has not run, so it has not had an engine yet.
+/// Refusals by engines after which a request may still be sent to another one. They do not count as attempts of the route, because
+/// a refusal proves that the request has not run.
 const REFUSALS_MAX: u32 = 2;
-/// Times that no connection to an engine may be opened for a request, by whatever way, until it is left out.
+/// Failed connections to an engine, direct or through a relay, after which the engine is excluded for the request.
 const UNSENT_MAX: usize = 2;
-/// A request that may run again is given to another engine after this part of its time.
+/// Divisor of a request's time. An idempotent request whose answer has not begun after that part of its time moves to another
+/// engine.
 const HANG_PART: u32 = 3;
 
-/// Events of an answer came from an engine of this build, and go to the caller.
+/// Handles events of an answer that an engine of this build wrote. They are forwarded to the caller.
 pub(crate) fn began(state: &mut State, now: Time, id: Id, build: Option<&Name>, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
@@ -42,7 +43,7 @@
         Stage::Sent { engine, .. } => state.engines.get(engine),
         Stage::Waiting | Stage::Tracing { .. } | Stage::Charging(_) | Stage::Scheduling { .. } => None,
     };
-    // One whose row says otherwise by now was sent what it wrote by an older row, or has started anew since.
+    // If the engine's row names another build by now, the request was sent by an outdated row, or the engine has restarted since.
     let build = build.filter(|build| engine.is_none_or(|engine| engine.entry.build.as_ref() == Some(build)));
     let begins = !flow.pin.binds();
     flow.pin.wrote(build);
@@ -69,7 +70,7 @@
             sent_ms: ms(now.since(*at)),
         }));
         if let Some(prompt) = prompt {
-            // One that is crowded or in need says nothing of how fast the others read.
+            // The time of a crowded or limited engine does not show how fast others read.
             let slowed =
                 |engine: &Engine| engine.is_crowded() || state.intakes.limit_of(engine, now).is_some();
             if !state.engines.get(engine).is_some_and(slowed) && state.settings.uses(Mechanism::LearntSpeed) {
@@ -97,16 +98,16 @@
     pub(crate) events: Events,
 }
 
-/// Why a request may be sent once more.
+/// A failed attempt, after which the request may be sent once more.
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     end: End,
-    /// Whether this may be the second crash under the request: that is known in a moment, and would be too late for an
-    /// engine that it was sent to at once.
+    /// Whether the request may have crashed a second engine. That is known a moment later: an engine that got the request at once
+    /// would crash too.
     doubted: bool,
 }
 
-/// A request's attempt ended.
+/// Handles the end of a request's attempt.
 pub(crate) fn ended(state: &mut State, now: Time, id: Id, ended: Ended, out: &mut Vec<Effect>) {
     let Ended { attempt: number, end, events } = ended;
     let Some(flow) = state.flows.get_mut(&id) else {
@@ -178,7 +179,7 @@
     }
 }
 
-/// What the end of a call of a plain service says of the queue at its engine.
+/// Learns from the end of a call of a plain service how long calls wait in the queue of its engine.
 fn learn_call(
     state: &mut State,
     now: Time,
@@ -195,7 +196,7 @@
     let Some(engine) = state.engines.get_mut(engine) else {
         return;
     };
-    // A call that took long at an engine with free slots did not wait there: some take longer than others.
+    // At an engine with free slots nothing waits: a call that took long there had a long run.
     let queued = engine.load().open + 1 >= engine.entry.slots;
     let waited = if queued { took.saturating_sub(run) } else { Duration::ZERO };
     match end {
@@ -205,17 +206,17 @@
     }
 }
 
-/// An attempt that ended.
+/// An attempt that ended, as evidence about its engine.
 struct Judged<'a> {
     engine: &'a Name,
     end: End,
-    /// The entry VM that passed it on.
+    /// The entry VM that relayed it.
     relay: Option<Name>,
     /// When it was sent.
     at: Time,
 }
 
-/// What an attempt's end says of its engine.
+/// Updates what is known about an engine from the end of an attempt there.
 fn judge(state: &mut State, now: Time, id: Id, judged: Judged<'_>, out: &mut Vec<Effect>) {
     let Judged { engine, end, relay, at } = judged;
     let settings = state.settings.clone();
@@ -255,8 +256,8 @@
     }
 }
 
-/// Sends a request once more after a failed attempt, if it may run again or has not run, and if there is
-/// time for it. Whether there is allowance is seen once there is an engine.
+/// Sends a request once more after a failed attempt, if it may run again or has not run, and if time is left. A permit is
+/// obtained once an engine has been chosen.
 fn again(state: &mut State, now: Time, id: Id, engine: Name, failure: Failure, out: &mut Vec<Effect>) {
     let Failure { end, doubted } = failure;
     let Some(flow) = state.flows.get_mut(&id) else {
@@ -265,17 +266,17 @@
     let repeatable = flow.route.kind.repeatable() || !flow.may_have_run;
     let within = flow.used < flow.route.attempts && flow.refusals <= REFUSALS_MAX;
     let in_time = now + state.settings.reserve < flow.deadline;
-    // An engine that lacks what was asked for may get it: that is kept with the engine, for a while.
+    // An engine that lacks the model may load it: it is not excluded here, but for a limited time by `Engine::absent`.
     match end {
         End::Refused(Cause::Absent) | End::Withheld => {}
-        // Another entry VM may reach it, and so may one after that.
+        // Another entry VM may reach the engine and relay the request, and if that one fails, yet another may.
         End::Unsent if flow.unsent.iter().filter(|of| **of == engine).count() < UNSENT_MAX => {
             flow.unsent.push(engine);
         }
         _ => flow.avoid.push(engine),
     }
     flow.ended = Some(end);
-    // Where nothing was sent, no engine has had work of it.
+    // If nothing was sent, no engine has spent work on it, and its permit is still unused.
     flow.repeat = match end {
         End::Unsent | End::Withheld => flow.repeat.withdrawn(),
         End::Done | End::Failed | End::Lost | End::Broken | End::Refused(_) => {
@@ -289,7 +290,7 @@
     flow::dispatch(state, now, id, true, out);
 }
 
-/// Ends a request that is not sent once more, by how its last attempt ended.
+/// Ends a request that is not sent once more, with the result of its last attempt.
 pub(crate) fn not_repeated(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
@@ -310,8 +311,8 @@
     flow::give_up(state, now, id, code, Some(budget::pause(&state.settings)), out);
 }
 
-/// A look at whether an attempt's engine has gone silent. Silence alone ends nothing: the request is given to
-/// another engine only if it may be, if there is allowance for it, and if this one cannot be reached.
+/// Checks whether the engine of an attempt is silent. Silence alone ends no attempt: the request moves to another engine only if
+/// it may run again, a permit is granted, and the engine cannot be reached or does not answer an idempotent request.
 pub(crate) fn silence(state: &mut State, now: Time, id: Id, number: u32, out: &mut Vec<Effect>) {
     let settings = state.settings.clone();
     let Some(flow) = state.flows.get(&id) else {
@@ -326,11 +327,11 @@
     let Some(known) = state.engines.get_mut(&engine) else {
         return;
     };
-    // What the engine said while this process stood still is read next.
+    // What the engine sent while this process was stalled is read only after this event.
     let awake_since = state.freshness.awake_since();
     let last = known.health.heard.max(at).max(awake_since);
     let silent = now.since(last) >= settings.silence;
-    // One whose relay still reaches it may just be slow.
+    // An engine that its relay still reaches may just be slow.
     let relayed = relay.as_ref().is_some_and(|relay| known.path.is_relayed_by(relay));
     let dead = silent && known.path.is_lost() && !relayed;
     let hangs = !begun
--- a/fleet/src/pin.rs
+++ b/fleet/src/pin.rs
@@ -1,10 +1,11 @@
-//! Which engines may write a stream's next events: those that run the build of its service's software that wrote the events before.
+//! Pins a stream to the build of its service's software that wrote its first events: only engines of that build may continue it.
 //!
-//! What two builds write of one stream does not fit together, and engines do not check that. Engines of several builds may serve side by side.
-//! Inside one answer the request itself keeps which build began it. Over its client's tries at other entry VMs that is told: with the first event that
-//! goes to the client, whoever passes it on tells some entry VMs of each availability zone, picked by a hash of the stream (its keepers), and
-//! tells them again every now and then as long as the stream lasts, since they may have been restarted. Whoever gets the client's next try asks
-//! them all. None of that is needed for a service that has had one build alone for as long as a stream may last (`history`). What is not certain
+//! Events of one stream that are written by two builds do not fit together, and engines do not check that. Engines of several builds may
+//! serve at the same time. Within one answer, the state of the request holds the build. If the client resumes the stream at another entry VM,
+//! that one has to find out the build. So the entry VM that forwards the first event sends the stream's origin to some entry VMs of each
+//! availability zone, picked by a hash of the stream (its replicas). It sends it again at intervals as long as the stream is open,
+//! because replicas may have been restarted. The entry VM at which the client resumes the stream asks all replicas. This is not needed
+//! for a service of which only one build has served for as long as a stream may last (`history`). If the build is not certain, the request
 //! is refused at once.
 
 mod history;
@@ -28,34 +29,36 @@
 pub use kept::Origin;
 pub(crate) use trace::{identify, traced};
 
-/// For how long it is kept at least what began a stream. A stream lasts over several tries, each of up to its route's timeout.
+/// Shortest time for which the origin of a stream is stored. A stream may last for several attempts of its client, each of which may
+/// take its route's timeout.
 const LIFE_MIN: Duration = Duration::from_secs(30);
 
-/// What this process knows of streams.
+/// The stream origins stored by this process, and statistics.
 #[derive(Debug, Default)]
 pub(crate) struct Pins {
     pub(crate) kept: Kept,
-    /// How it was decided who may go on with streams that clients took up.
+    /// Number of decisions on resumed streams, by the source of the origin.
     pub(crate) decided: BTreeMap<&'static str, u64>,
-    /// Messages to keepers, and streams that they told.
+    /// Messages sent to replicas.
     pub(crate) messages: u64,
+    /// Stream origins in these messages.
     pub(crate) told: u64,
 }
 
-/// The builds that may write a request's next events.
+/// The builds whose engines may write a request's next events.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum Pin {
-    /// Any: its caller has no events.
+    /// Any build: the caller has no events yet.
     #[default]
     Free,
-    /// This one, which has written the events that its caller has.
+    /// This build, which wrote the events that the caller has.
     Build(Name),
-    /// None: it is not known which has written them.
+    /// No build: it is unknown which build wrote the events that the caller has.
     Unknown,
 }
 
 impl Pin {
-    /// Whether engines of this build may go on; none is that of an engine that does not say.
+    /// Whether engines of this build may continue; `build` is none for engines whose row names no build.
     #[must_use]
     pub fn allows(&self, build: Option<&Name>) -> bool {
         match self {
@@ -65,12 +68,12 @@
         }
     }
 
-    /// Whether not all builds may go on.
+    /// Whether some builds may not continue.
     pub(crate) const fn binds(&self) -> bool {
         !matches!(self, Self::Free)
     }
 
-    /// Events of a build have gone to the caller.
+    /// Records that events of a build were forwarded to the caller.
     pub fn wrote(&mut self, build: Option<&Name>) {
         *self = match (&*self, build) {
             (Self::Free, Some(build)) => Self::Build(build.clone()),
@@ -80,14 +83,14 @@
     }
 }
 
-/// Time for which it counts what began a stream.
+/// How long a stream's origin matters: the longest time for which a stream may last.
 fn life(state: &State) -> Duration {
     let routes = state.config.iter().flat_map(|config| &config.routes);
     let timeouts = routes.filter(|route| route.kind.resumable()).map(|route| route.timeout * 2);
     timeouts.max().unwrap_or_default().max(LIFE_MIN)
 }
 
-/// The only build of a service that can have begun a stream; none if there are others, or that is not certain.
+/// The only build of a service that can have begun a stream; none if there are several, or if that is not certain.
 fn only_build<'a>(state: &'a State, now: Time, service: &Name) -> Option<&'a Name> {
     let age = state.freshness.age(now)?;
     if age > fresh(state) {
@@ -96,7 +99,7 @@
     state.history.only(now, service, life(state))
 }
 
-/// Whether a request begins a stream that its client may take up at another entry VM.
+/// Whether a request begins a stream that its client may resume at another entry VM.
 pub(crate) fn begins(flow: &Flow) -> bool {
     flow.route.kind.resumable() && flow.pin == Pin::Free
 }
--- a/fleet/src/pin/history.rs
+++ b/fleet/src/pin/history.rs
@@ -1,9 +1,9 @@
-//! Which builds of each service's software have served, and since when that is known without a gap.
+//! The history of the builds of each service's software, and since when it is complete.
 //!
-//! A service that has had one build alone for as long as a stream can last needs no word on who began which stream. That is certain only by what is
-//! known of the engines' table as of late, and only if nobody else can have begun a stream at a build that is not known here yet. So a build gets no
-//! streams that may be resumed until its first entry has been known for longer ([`settling`]) than what anybody goes by here may be old
-//! ([`fresh`]).
+//! If only one build of a service has served for as long as a stream can last, that build began all of the service's streams, and no origins need
+//! to be stored. That conclusion needs a recent copy of the engines' table, and no other entry VM may have begun a stream at a build that is not
+//! known here yet. A build therefore gets no resumable streams until its first entry has been known for longer ([`settling`]) than the age
+//! that a copy of the table may have for this conclusion ([`fresh`]).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,82 +15,82 @@
 use crate::frame;
 use crate::state::State;
 
-/// How old what is known of the engines' table may be where it is to be certain which builds serve.
+/// The largest age of the known state of the engines' table at which it is certain which builds serve.
 pub(crate) fn fresh(state: &State) -> Duration {
     state.settings.departure.word() + frame::pace(state) * 2
 }
 
-/// How long a build must have been known before it is given streams that may be resumed: the bounds of two entry VMs that count a different
-/// number of others may differ.
+/// How long a build must have been known before it gets resumable streams. This is twice [`fresh`], because that bound differs between entry
+/// VMs that count different numbers of members.
 pub(crate) fn settling(state: &State) -> Duration {
     fresh(state) * 2
 }
 
-/// The builds of all services.
+/// The builds of all services, with the times at which they served.
 #[derive(Debug, Default)]
 pub(crate) struct History {
     services: BTreeMap<Name, BTreeMap<Option<Name>, Span>>,
-    /// From when on nothing is missing here; none before the table is known.
+    /// Since when this is complete; none before the table has been read.
     known: Option<Known>,
-    /// Up to when that holds.
+    /// Up to when this is complete.
     until: Time,
-    /// When the table was first known here.
+    /// When the table was first read.
     began: Option<Time>,
-    /// What another process knew then, until the table is known here.
+    /// The report of another process and its time, until the table has been read.
     inherited: Option<(Report, Time)>,
 }
 
-/// From when on something is known.
+/// Since when the history is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Known {
     Ever,
     From(Time),
 }
 
-/// A build's time.
+/// The time during which a build has had engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Span {
-    /// Its engines that are listed.
+    /// Number of its engines in the table.
     engines: u32,
-    /// Since when there are any, as far as is known.
+    /// Since when it has had engines, as far as is known.
     first: Time,
-    /// When there were any last.
+    /// When it last had engines.
     last: Time,
-    /// Whether they were there when the table was first read here, and may have been for long.
+    /// Whether it had engines when the table was first read. If so, it may have had them long before `first`.
     found: bool,
 }
 
-/// What another process may take over of this.
+/// The history in the form in which another process may take it over.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// For how long nothing is missing, in ms; none for ever.
+    /// For how long the history is complete, in ms; none if it is complete from the beginning of the deployment.
     pub known_ms: Option<u64>,
-    /// Up to how many ms before now that holds.
+    /// Age of the history, in ms: changes since then are missing.
     pub age_ms: u64,
     /// The builds.
     pub builds: Vec<Seen>,
 }
 
-/// A build of a service.
+/// A build of a service in a [`Report`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Seen {
     /// The service.
     pub service: Name,
-    /// The build; none for engines that do not say one.
+    /// The build; none for engines whose rows name no build.
     pub build: Option<Name>,
-    /// Since when it has engines, in ms before now.
+    /// Time since it first had engines, in ms.
     pub first_ms: u64,
-    /// When it had any last, in ms before now; 0 if it has.
+    /// Time since it last had engines, in ms; 0 if it has any.
     pub last_ms: u64,
 }
 
 impl Report {
-    /// The same, so much later.
+    /// The same report after a further time `by`.
     fn aged(&self, by: Duration) -> Self {
         let by_ms = by.as_millis() as u64;
         let aged = |seen: &Seen| Seen {
             first_ms: seen.first_ms + by_ms,
-            // One that had engines then may have lost them since.
+            // A build that had engines may have lost them since; 0 keeps it as one that may serve.
             last_ms: if seen.last_ms > 0 { seen.last_ms + by_ms } else { 0 },
             ..seen.clone()
         };
@@ -103,7 +103,7 @@
 }
 
 impl History {
-    /// An engine of this build is listed. Returns whether it is the first one there, beside others.
+    /// Adds an engine of this build. Returns whether it is the build's first one, of a service that has had other builds.
     pub(crate) fn put(&mut self, now: Time, service: &Name, build: Option<&Name>) -> bool {
         let began = *self.began.get_or_insert(now);
         let builds = self.services.entry(service.clone()).or_default();
@@ -119,7 +119,7 @@
         is_first && builds.len() > 1
     }
 
-    /// An engine of this build is not listed any more.
+    /// Removes an engine of this build.
     pub(crate) fn remove(&mut self, now: Time, service: &Name, build: Option<&Name>) {
         let builds = self.services.get_mut(service);
         if let Some(span) = builds.and_then(|builds| builds.get_mut(&build.cloned())) {
@@ -128,9 +128,9 @@
         }
     }
 
-    /// All that the store had taken of the table by `at` is known. `before`: up to when that was known until now.
+    /// Records that the table is known as it was at `at`. `before` is the time up to which it was known until now.
     pub(crate) fn confirmed(&mut self, at: Time, before: Option<Time>, settling: Duration) {
-        // A build that came and went within that time got no streams that may be resumed.
+        // A build that came and went within a shorter gap has got no resumable streams.
         let gap = before.is_some_and(|before| at.since(before) >= settling);
         self.until = at;
         if gap || self.known.is_none() {
@@ -141,12 +141,12 @@
         }
     }
 
-    /// Nothing served before this process began.
+    /// Marks the history as complete from the beginning, since nothing served before this process started.
     pub(crate) const fn is_first(&mut self) {
         self.known = Some(Known::Ever);
     }
 
-    /// Whether a build has been known for long enough to begin streams there that may be resumed.
+    /// Whether a build has been known for long enough to get resumable streams.
     pub(crate) fn is_settled(
         &self,
         now: Time,
@@ -158,13 +158,13 @@
         span.is_some_and(|span| now.since(span.first) >= settling)
     }
 
-    /// Whether any build of a service that has engines has not been known for that long.
+    /// Whether any build of a service that has engines has been known for a shorter time than `settling`.
     pub(crate) fn is_settling(&self, now: Time, service: &Name, settling: Duration) -> bool {
         let mut spans = self.services.get(service).into_iter().flat_map(BTreeMap::values);
         spans.any(|span| span.engines > 0 && now.since(span.first) < settling)
     }
 
-    /// The only build that has served in this time, if nothing is missing from then on.
+    /// The only build of a service that has served within `life`, if the history of that time is complete.
     pub(crate) fn only(&self, now: Time, service: &Name, life: Duration) -> Option<&Name> {
         let known = match self.known? {
             Known::Ever => true,
@@ -177,19 +177,19 @@
         (known && served.next().is_none()).then_some(only)
     }
 
-    /// Forgets builds that have not served in this time.
+    /// Forgets builds that have not served within `life`.
     pub(crate) fn prune(&mut self, now: Time, life: Duration) {
         for builds in self.services.values_mut() {
             builds.retain(|_, span| span.engines > 0 || now.since(span.last) < life);
         }
     }
 
-    /// What another process may take over; none before anything is known.
+    /// The history as another process may take it over; none before any is known.
     pub(crate) fn report(&self, now: Time) -> Option<Report> {
         let known_ms = match (self.known, &self.inherited) {
             (Some(Known::Ever), _) => None,
             (Some(Known::From(from)), _) => Some(now.since(from).as_millis() as u64),
-            // Whoever comes next is to go on from there.
+            // The next process can continue from the inherited report.
             (None, Some((report, then))) => return Some(report.aged(now.since(*then))),
             (None, None) => return None,
         };
@@ -206,7 +206,8 @@
         Some(Report { known_ms, age_ms, builds: builds.collect() })
     }
 
-    /// Takes over what another process knew `age` ago, if nothing can have been missed between.
+    /// Takes over the report that another process made `age` ago. It extends this history back in time if no build can have got
+    /// resumable streams in the gap between them.
     pub(crate) fn inherit(&mut self, now: Time, report: &Report, age: Duration, settling: Duration) {
         let from = match self.known {
             Some(Known::From(from)) => from,
--- a/fleet/src/pin/keepers.rs
+++ b/fleet/src/pin/keepers.rs
@@ -1,4 +1,5 @@
-//! Tells some entry VMs of each availability zone, a stream's keepers, what began it: whoever did may be gone when its client takes it up elsewhere.
+//! Replicates stream origins to some entry VMs of each availability zone, the stream's replicas, since the entry VM at which a stream began
+//! may be gone when its client resumes the stream elsewhere.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,21 +16,21 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Time between two tellings of the streams that last; longer with hundreds of entry VMs.
+/// Interval at which the origins of open streams are sent again; longer with hundreds of entry VMs.
 const TELL_EVERY: Duration = Duration::from_secs(1);
-/// Over this time entry VMs tell of them where a build has come; over a longer one with hundreds of entry VMs.
+/// Time over which entry VMs spread the messages that they send when a new build appears; longer with hundreds of entry VMs.
 const TELL_SPREAD: Duration = Duration::from_millis(40);
 
-/// Streams of one origin.
+/// Streams of one origin, as sent to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Note {
-    /// What began them.
+    /// Their origin.
     pub origin: Origin,
     /// The streams.
     pub streams: Vec<Stream>,
 }
 
-/// The first events of a stream have gone to its client.
+/// Stores and replicates the origin of a stream whose first events were forwarded to its client.
 pub(crate) fn begun(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some((stream, origin)) = state.flows.get(&id).and_then(origin_of) else {
         return;
@@ -44,7 +45,7 @@
     }
 }
 
-/// The stream that a request goes on with, and what began it.
+/// The stream of a request whose caller has events, and its origin.
 fn origin_of(flow: &Flow) -> Option<(Stream, Origin)> {
     let build = match &flow.pin {
         Pin::Free => return None,
@@ -55,7 +56,7 @@
     Some((stream, Origin { service: flow.service.clone(), build }))
 }
 
-/// Where the keepers of a stream listen, but for this process.
+/// The addresses of a stream's replicas other than this process.
 pub(super) fn keepers(state: &State, stream: Stream) -> Vec<SocketAddr> {
     let keepers = state.members.keepers(stream).into_iter().filter(|member| member.vm != state.me.vm);
     keepers.map(|member| member.address).collect()
@@ -67,7 +68,7 @@
     out.push(Effect::Note { address, notes });
 }
 
-/// It is time to tell of the streams that last.
+/// Sends the origins of open streams again, at a regular interval.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.timers.set(now + TELL_EVERY.mul_f64(frame::many(state)), Timer::Pins);
     let life = life(state);
@@ -75,13 +76,13 @@
     tell_all(state, now, out);
 }
 
-/// A service has engines of another build than before: what began its streams is to be told soon, and not by all entry VMs at once.
+/// Schedules sending the origins of open streams after a service got engines of a new build. Entry VMs spread this over some time.
 pub(crate) fn build_came(state: &mut State, now: Time) {
     let within = TELL_SPREAD.mul_f64(frame::many(state) * state.rng.f64());
     state.timers.set(now + within, Timer::TellPins);
 }
 
-/// Tells the keepers of all streams that last.
+/// Sends the origins of all open streams to their replicas.
 pub(crate) fn tell_all(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let life = life(state);
     let streams: Vec<(Stream, Origin)> = state.flows.values().filter_map(origin_of).collect();
@@ -104,7 +105,7 @@
     }
 }
 
-/// Another entry VM tells what began some streams.
+/// Stores stream origins that another entry VM sent.
 pub(crate) fn keep(state: &mut State, now: Time, notes: Vec<Note>) {
     let life = life(state);
     for Note { origin, streams } in notes {
--- a/fleet/src/pin/kept.rs
+++ b/fleet/src/pin/kept.rs
@@ -1,4 +1,4 @@
-//! Where streams began, as far as this process was told.
+//! The stream origins stored by this process.
 
 use std::time::Duration;
 
@@ -9,19 +9,20 @@
 
 use crate::request::Stream;
 
-/// Streams in one generation, at most: a new one begins then.
+/// Largest number of streams in one generation; when it is reached, a new generation begins.
 const GENERATION_MAX: usize = 32_768;
 
-/// What began a stream.
+/// The origin of a stream: which engine build began it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Origin {
     /// The service whose engine wrote its first event.
     pub service: Name,
-    /// That engine's build; none if that is not certain.
+    /// That engine's build; none if it is not certain.
     pub build: Option<Name>,
 }
 
-/// The origins of streams, in two generations: the older one is dropped as a whole, so that what is forgotten is what was told longest ago.
+/// The origins of streams in two generations. The older one is dropped as a whole, so that the origins received longest ago are
+/// forgotten first.
 #[derive(Debug, Default)]
 pub(crate) struct Kept {
     young: FxHashMap<Stream, Origin>,
@@ -30,25 +31,25 @@
 }
 
 impl Kept {
-    /// Keeps a stream's origin for this long at least, unless too many come.
+    /// Stores a stream's origin for at least `life`, unless too many streams are stored meanwhile.
     pub(crate) fn insert(&mut self, now: Time, stream: Stream, mut origin: Origin, life: Duration) {
         if now.since(self.began) >= life || self.young.len() >= GENERATION_MAX {
             self.old = std::mem::take(&mut self.young);
             self.began = now;
         }
         if self.get(stream).is_some_and(|known| *known != origin) {
-            // Two attempts had the same id.
+            // Two attempts had the same id, so it is unknown which of the two origins a client means.
             origin.build = None;
         }
         self.young.insert(stream, origin);
     }
 
-    /// A stream's origin.
+    /// The origin of a stream, if stored.
     pub(crate) fn get(&self, stream: Stream) -> Option<&Origin> {
         self.young.get(&stream).or_else(|| self.old.get(&stream))
     }
 
-    /// Streams whose origin is kept.
+    /// Number of stored origins.
     pub(crate) fn len(&self) -> usize {
         self.young.len() + self.old.len()
     }
--- a/fleet/src/pin/trace.rs
+++ b/fleet/src/pin/trace.rs
@@ -1,4 +1,4 @@
-//! Finds out what began a stream that a client takes up.
+//! Finds out which build began a stream that a client resumes.
 
 use std::time::Duration;
 
@@ -14,8 +14,8 @@
 use crate::request::Id;
 use crate::state::State;
 
-/// Whether it is known which engines may go on with a request. If its client takes up a stream that another entry VM began, that is found out
-/// first, or the request is refused.
+/// Whether it is known which engines may serve a request. If its client resumes a stream whose origin is not known here, the stream's replicas
+/// are asked, or the request is refused.
 pub(crate) fn identify(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> bool {
     let Some(flow) = state.flows.get(&id) else {
         return false;
@@ -47,7 +47,7 @@
     false
 }
 
-/// A keeper answered what began the stream that a request goes on with, or did not; none if it does not know.
+/// Handles a replica's answer on the origin of the stream that a request resumes; none if it does not know it or did not answer.
 pub(crate) fn traced(state: &mut State, now: Time, id: Id, origin: Option<&Origin>, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
@@ -68,7 +68,7 @@
     }
 }
 
-/// It is known what began the stream that a request goes on with. Returns whether an engine may.
+/// Pins a request to the build that began the stream that it resumes. Returns whether the request may be dispatched.
 fn settle(
     state: &mut State,
     now: Time,
@@ -91,13 +91,13 @@
     flow.service.clone_from(&origin.service);
     decided(state, id, by, Some(build.clone()), out);
     if !allowed {
-        // Requests of its route may not go there any more.
+        // The route no longer includes the service that began the stream.
         flow::give_up(state, now, id, Code::BuildGone, Some(Duration::ZERO), out);
     }
     allowed
 }
 
-/// Nobody says what began the stream that a request goes on with.
+/// Refuses a request because the origin of the stream that it resumes is unknown.
 fn unknown(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     decided(state, id, "unknown", None, out);
     flow::give_up(state, now, id, Code::OriginUnknown, Some(COME_BACK), out);
--- a/fleet/src/reduce.rs
+++ b/fleet/src/reduce.rs
@@ -1,4 +1,5 @@
-//! The reducer: one function over all events. It only hands each to the module that decides.
+//! The reducer, which passes each event and each expired timer to the module that handles it, and the
+//! functions that answer calls of other entry VMs.
 
 use std::net::SocketAddr;
 
@@ -35,7 +36,7 @@
 use crate::timer::Timer;
 use crate::trust;
 
-/// Applies one event to the state and returns what is to be done.
+/// Applies one event to the state and returns the actions to carry out.
 ///
 /// The same state, times and events give the same effects. `now` must not run backwards.
 #[must_use]
@@ -57,46 +58,46 @@
     out
 }
 
-/// What the hub answers to a frame that it was given before.
+/// The hub's reply to a frame. The frame must have been applied as an event before.
 #[must_use]
 pub fn reply(state: &mut State, now: Time, asker: &Frame) -> Reply {
     frame::reply(state, now, asker)
 }
 
-/// Whether the answer to a frame, which was given before, is worth holding for a moment: an adapter that its callers wait for
-/// is on its way.
+/// Whether to hold back the reply to a frame for a moment, because an adapter that callers of its sender wait for is being
+/// loaded. The frame must have been applied as an event before.
 #[must_use]
 pub fn awaits(state: &State, now: Time, asker: &Frame) -> bool {
     frame::awaits(state, now, asker)
 }
 
-/// Whether an engine whose holding has changed can run now what the callers of a frame wait for.
+/// Whether an engine whose models or adapters have changed can now serve callers of the frame's sender that wait.
 #[must_use]
 pub fn meets(state: &State, now: Time, engine: &Name, asker: &Frame) -> bool {
     frame::meets(state, now, engine, asker)
 }
 
-/// Answers a question of another entry VM for a place in the schedule of an engine that this one owns.
+/// Answers another entry VM's request for a reservation, as the owner of the engine's schedule.
 pub fn grant(state: &mut State, now: Time, ask: &Ask) -> Grant {
     schedule::grant(state, now, ask)
 }
 
-/// Answers a question of another entry VM for credit of a workspace of whose limit this one holds a share.
+/// Answers another entry VM's request for credit, as a holder of a share of the workspace's limit.
 pub fn credit(state: &mut State, now: Time, draw: &Draw) -> Credit {
     quota::draw(state, now, draw)
 }
 
-/// Answers a question of another entry VM for a repeat, as the leader.
+/// Answers another entry VM's request for a permit to repeat a request, as the leader.
 pub fn permit(state: &mut State, now: Time, ask: budget::Ask) -> Permit {
     budget::give(state, now, ask)
 }
 
-/// Another entry VM, which does not reach an engine, wants a request passed on to this start of it. Returns where the engine listens; once the
-/// request has ended, [`Event::Relayed`] is due.
+/// Accepts a request to be relayed to this incarnation of an engine, for another entry VM that does not reach it. Returns the
+/// engine's address. The caller must send [`Event::Relayed`] once the request has ended.
 ///
 /// # Errors
 ///
-/// Why it is not passed on.
+/// The reason why the request is not relayed.
 pub fn pass(
     state: &mut State,
     now: Time,
@@ -107,18 +108,18 @@
     path::pass(state, now, engine, incarnation, build)
 }
 
-/// Another entry VM tells what began some streams, in case their clients take them up elsewhere.
+/// Stores stream origins that another entry VM sent, for clients that resume these streams elsewhere.
 pub fn keep(state: &mut State, now: Time, notes: Vec<Note>) {
     pin::keep(state, now, notes);
 }
 
-/// What began a stream, as far as this process was told.
+/// The origin of a stream, if this process has stored it.
 #[must_use]
 pub fn origin(state: &State, stream: Stream) -> Option<Origin> {
     state.pins.kept.get(stream).cloned()
 }
 
-/// What is to be tried to tell another entry VM how an engine's port answers here; none where nothing can be told.
+/// The ports to probe in order to tell another entry VM whether this one reaches an engine; none if it cannot tell.
 #[must_use]
 pub fn look(state: &State, now: Time, engine: &Name) -> Option<Look> {
     path::look(state, now, engine)
@@ -218,7 +219,7 @@
     state.timers.set(now + state.settings.balancer_grace, Timer::Grace);
 }
 
-/// Ends the process once the balancer sends nobody any more and nothing is in flight.
+/// Asks the process to exit once the balancer has stopped sending requests and nothing is in flight.
 fn leave(state: &mut State, out: &mut Vec<Effect>) {
     if state.graced && state.flows.is_empty() && !path::is_passing(state) {
         out.push(Effect::Exit);
--- a/fleet/src/request.rs
+++ b/fleet/src/request.rs
@@ -20,7 +20,7 @@
 pub struct Id(pub u64);
 
 impl Id {
-    /// No request's: of questions that are asked for none.
+    /// The id of no request, for calls to other entry VMs that are not made for a request.
     pub const NONE: Self = Self(0);
 }
 
@@ -30,13 +30,13 @@
     }
 }
 
-/// What a request asks of an engine, whoever sends it and under whichever id: a hash of its host, target and body. Or a part of
-/// its prompt, which other requests share: a hash of the part's id.
+/// Identifies equal requests, whoever sends them and under whichever id, by a hash of host, target and body; or a part of a
+/// prompt that other requests may share, by a hash of the part's id.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint(u64, u64);
 
 impl Fingerprint {
-    /// Of a request for `host` with this path, query and body.
+    /// The fingerprint of a request for `host`; `target` is its path with the query.
     #[must_use]
     pub fn of(host: &str, target: &str, body: &[u8]) -> Self {
         Self::hash(host, &[target.as_bytes(), body])
@@ -52,18 +52,18 @@
         Self((sum >> 64) as u64, sum as u64)
     }
 
-    /// Of the part of a prompt that has this id.
+    /// The fingerprint of the prompt part with this id.
     #[must_use]
     pub fn of_part(id: &str) -> Self {
         Self::hash("part", &[id.as_bytes()])
     }
 
-    /// Of a part of prompts for one model.
+    /// The fingerprint of this prompt part in prompts for one model.
     pub(crate) fn of_part_for(self, model: &str) -> Self {
         Self::hash("model", &[&self.0.to_le_bytes(), &self.1.to_le_bytes(), model.as_bytes()])
     }
 
-    /// A number for it, and another one where what is said of it is the opposite.
+    /// A number that stands for a verdict on it in a digest of verdicts, and a different one for the opposite verdict.
     pub(crate) const fn digest(self, opposite: bool) -> u64 {
         if opposite { self.1 } else { self.0 }
     }
@@ -75,12 +75,12 @@
     }
 }
 
-/// A stream, by the attempt of its client that brought the first event: a hash of the id of that attempt.
+/// The id of a stream: a hash of the id of the client's attempt that delivered the first event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stream(u64);
 
 impl Stream {
-    /// The stream whose first event came by the attempt with this id.
+    /// The stream whose first event was delivered by the client's attempt with this id.
     #[must_use]
     pub fn of(attempt_id: &str) -> Self {
         Self(xxh3_64(attempt_id.as_bytes()))
@@ -93,7 +93,7 @@
     }
 }
 
-/// A client takes up a stream of which it has some events.
+/// A client's wish to resume a stream of which it has some events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resumption {
     /// The stream; none if the client does not name it.
@@ -103,126 +103,126 @@
 /// A request as it was read from a caller.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Arrival {
-    /// The host that it names.
+    /// The host in the request.
     pub host: Name,
     /// Its path, without the query.
     pub path: Name,
-    /// How long the caller waits.
+    /// How long the caller waits for the answer; none if it does not say.
     pub patience: Option<Duration>,
-    /// What it wants a model for; none for calls of plain services.
+    /// The model that it needs and the size of its prompt; none for calls of plain services.
     pub prompt: Option<Prompt>,
-    /// What it asks, to tell when it comes again.
+    /// A hash of its contents, by which repeated requests are recognised.
     pub fingerprint: Fingerprint,
     /// The parts of its prompt that other requests may share, in order.
     pub parts: Vec<Fingerprint>,
-    /// The key that its caller has, if it names one.
+    /// The digest of the caller's key, if the request has one.
     pub key: Option<Digest>,
-    /// Tokens that it says it reads and generates.
+    /// Tokens of the prompt and the answer together, if the request states them.
     pub tokens: Option<u64>,
-    /// The stream that it begins, if it begins one and has an id.
+    /// The id of the stream that its answer begins, if it begins one and has an attempt id.
     pub stream: Option<Stream>,
-    /// The stream that it takes up; none if it begins anew.
+    /// The stream that it resumes; none if it resumes none.
     pub resumes: Option<Resumption>,
 }
 
-/// What a request wants of a model.
+/// What a request needs of a model.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// The model.
     pub model: Name,
     /// The adapter of that model, if one is named.
     pub adapter: Option<Name>,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub tokens: u32,
-    /// Tokens to be generated at most.
+    /// Largest number of tokens to generate.
     pub tokens_max: u32,
 }
 
-/// One sending of a request to one engine.
+/// One attempt to send a request to an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt {
     /// Its number within the request, from 1.
     pub number: u32,
     /// The engine's id.
     pub engine: Name,
-    /// The start of the engine that is meant.
+    /// The engine's incarnation that the attempt is meant for.
     pub incarnation: Incarnation,
-    /// The version of the engine's software, as its row said; none if it did not.
+    /// The engine's software version according to its row; none if the row does not name one.
     pub build: Option<Name>,
     /// Where the engine listens.
     pub address: SocketAddr,
-    /// The entry VM that passes it on; none where the engine is reached from here.
+    /// The entry VM that relays it; none if the engine is reached directly.
     pub relay: Option<Relay>,
     /// When it is to be sent.
     pub at: Time,
-    /// When the engine is to stop at the latest.
+    /// The time by which the engine must have finished.
     pub deadline: Time,
-    /// The request's rank, for engines to order by; 0 goes first.
+    /// The request's priority, by which engines order their queues; 0 is the highest.
     pub priority: u8,
     /// Whether it is answered by a stream of events.
     pub streams: bool,
-    /// The workspace that its caller belongs to, for the engine to know; none for callers without a key.
+    /// The caller's workspace, which is sent to the engine; none for callers without a key.
     pub workspace: Option<Name>,
-    /// When it may not be sent any more, since nobody says so long that its caller's key still holds, or since its place at an engine
-    /// in need is over; none where neither binds.
+    /// The time after which it must not be sent, because the proof that the caller's key is valid, the reservation at a limited engine
+    /// or the permit for a repeat has expired by then; none if none of these applies.
     pub send_by: Option<Time>,
-    /// When it may not be written any more, since the engine may have left meanwhile.
+    /// The time after which it must not be written to a connection, because the engine may have left by then.
     pub write_by: Time,
-    /// The word that the engine is where the request may be served.
+    /// The proof that the engine is in a region where the request may be served.
     pub permit: Permit,
-    /// Whether the engine has named a limit, as far as is known: an answer that names none says that it is over.
+    /// Whether the engine is known to have reported a limit. If so, an answer that reports none ends the limit.
     pub limited: bool,
 }
 
-/// What is to be done for a request next.
+/// The next step of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Send it, going on after the last event that was delivered, if any was.
+    /// Send it. If events of the answer were delivered already, continue after the last of them.
     Send(Attempt),
-    /// Send nothing until the next word: the attempt that was to be sent later is not to be.
+    /// Send nothing until the next step: the attempt that was scheduled for a later time is cancelled.
     Wait,
-    /// Pass on the answer that the engine gave.
+    /// Forward the engine's answer to the caller.
     Pass,
-    /// Answer it without an engine, or break its answer off if that has begun.
+    /// Refuse it, or break its answer off if that has begun.
     Refuse(Refusal),
 }
 
-/// Why a request is answered without an engine.
+/// An answer to a request without an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// The result code.
     pub code: Code,
-    /// When the caller may come back; only for requests that have not run.
+    /// Time after which the caller may try again; only for requests that have not run.
     pub retry_after: Option<Duration>,
 }
 
-/// How the events of an attempt's answer came.
+/// The timing of the events of an attempt's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Events {
     /// The longest pause between two of them.
     pub pause: Duration,
-    /// The mean time between two of them; none for less than two.
+    /// The mean time between two of them; none for fewer than two events.
     pub gap: Option<Duration>,
-    /// Whether nothing but the end of its connection said that the answer was over: its engine may have crashed.
+    /// Whether the answer was ended by the end of its connection alone. Its engine may have crashed then.
     pub unframed: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer, a success, is there or was delivered.
+    /// The answer is a success and was received or delivered completely.
     Done,
-    /// The engine ran the request and answered with a failure, which is there whole.
+    /// The engine ran the request and answered with a failure, which was received completely.
     Failed,
-    /// No connection could be had: nothing was sent.
+    /// No connection could be opened: nothing was sent.
     Unsent,
-    /// It was not sent in time ([`Attempt::send_by`], [`Attempt::write_by`]), which says nothing of the engine.
+    /// It was not sent in time ([`Attempt::send_by`], [`Attempt::write_by`]). This is no sign of a fault of the engine.
     Withheld,
-    /// The engine says that it did not run the request.
+    /// The engine answered that it did not run the request.
     Refused(Cause),
     /// The connection broke.
     Lost,
-    /// What came was no answer to this request, or none came in time.
+    /// The response was not a valid answer to this request, or none came in time.
     Broken,
 }
 
@@ -238,7 +238,7 @@
 }
 
 impl End {
-    /// Its name in logs and metrics.
+    /// Its label in logs and metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
--- a/fleet/src/schedule.rs
+++ b/fleet/src/schedule.rs
@@ -1,18 +1,18 @@
-//! When prompts are sent: spaced, so that an engine reads them one after another.
+//! Schedules that space the prompts at an engine, so that it reads them one after another.
 //!
-//! The load that this answers: many prompts at once for models whose engines stream to many callers. While an engine
-//! reads a prompt, all its streams stand still, and one event spans several of the engine's steps. Three steps that each
-//! read 2,048 tokens make a pause of over 300 ms at 22 tokens a ms, though the engine reads for a third of the time only.
-//! Operators count such a pause as late, for each of the twenty streams there. The first event has 500 ms or more.
+//! While an engine reads a prompt, all its streams pause, and one event takes several steps of the engine. If three prompts arrive at
+//! once, three steps that each read 2,048 tokens make a pause of over 300 ms at 22 tokens a ms, even if the engine reads prompts
+//! for only a third of the time. Operators count such a pause as late for each of the twenty streams there, while a first event
+//! may take 500 ms or more.
 //!
-//! Prompts are therefore spaced at each engine (a leaky bucket). In any span as long as the pause that the operator
-//! allows, what is read and one event's own time have to fit: `pause / space + 1` prompts of a size, so that a prompt
-//! that takes `work` to be read keeps the next one away for `work * pause / (pause - event - work)`. Which entry VM sends next is not
-//! known to the others before it is too late, so one of them owns the engine's schedule, and the others ask it for
-//! a place. The owner is found by rendezvous hashing among the entry VMs of the engine's availability zone, so that the
-//! work is spread and most questions stay within the zone. If the owner does not answer, the asker goes by the schedule
-//! as it knows it: a schedule only spaces prompts, and no promise rests on it. That is otherwise for an engine in need, whose
-//! limit the spaces keep as well ([`crate::intake`]).
+//! Prompts are therefore spaced at each engine (a leaky bucket). In any span as long as the pause that the operator allows, the
+//! reading of prompts and the time of one event have to fit. The span holds `pause / space + 1` prompts of one size, so a
+//! prompt that takes `work` to be read delays the next one by `work * pause / (pause - event - work)`. Entry VMs learn too late
+//! what the others send, so one of them owns the engine's schedule, and the others ask it for reservations. The owner is found
+//! by rendezvous hashing among the entry VMs of the engine's availability zone, so that the work is spread and most
+//! reservation requests stay within the zone. If the owner does not answer, the asker goes by its own copy of the
+//! schedule, because badly spaced prompts break no guarantee. At a limited engine they do: there the spacing also enforces the
+//! limit ([`crate::intake`]), and only the owner grants reservations.
 
 use std::time::Duration;
 
@@ -27,8 +27,7 @@
 use crate::record::{Record, ms};
 use crate::state::State;
 
-/// How long an entry VM that did not answer is not asked: longer than a stall of a small machine, shorter than most
-/// outages.
+/// How long an owner that did not answer is not asked again. Longer than a stall of a small machine, shorter than most outages.
 const SILENT: Duration = Duration::from_secs(1);
 
 /// The schedule of prompts at one engine.
@@ -39,62 +38,63 @@
 }
 
 impl Schedule {
-    /// How long a prompt would wait.
+    /// How long the next prompt would have to wait.
     #[must_use]
     pub fn wait(&self, now: Time) -> Duration {
         self.free_at.since(now)
     }
 
-    /// Takes the next place. Returns how long the prompt is to wait.
+    /// Reserves the next free time for a prompt. Returns how long the prompt has to wait for it.
     pub fn take(&mut self, now: Time, need: Need) -> Duration {
         let wait = self.wait(now);
         self.free_at = now + wait + need.space_after(wait);
         wait
     }
 
-    /// Nothing is to be sent before this time.
+    /// Moves the next free time to `until`, unless it is later already.
     pub fn keep_away(&mut self, until: Time) {
         self.free_at = self.free_at.max(until);
     }
 
-    /// The next place is free by this time.
+    /// Moves the next free time to `by`, unless it is earlier already.
     pub fn bring_forward(&mut self, by: Time) {
         self.free_at = self.free_at.min(by);
     }
 
-    /// Takes over what the owner said: the next prompt can be sent after `wait`.
+    /// Sets the next free time as reported by the owner: the next prompt can be sent after `wait`.
     pub fn learn(&mut self, now: Time, wait: Duration) {
         self.free_at = now + wait;
     }
 }
 
-/// What a prompt needs of a schedule.
+/// The time that a prompt takes in a schedule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Need {
-    /// Time to read it.
+    /// Time to read the prompt.
     pub work: Duration,
-    /// Time for which the next prompt is kept away.
+    /// Time from this prompt to the next one.
     pub space: Duration,
-    /// The time to the first event that the operator aims at.
+    /// The operator's target for the time to the first event.
     pub target: Duration,
 }
 
 impl Need {
-    /// What a prompt needs that takes `work` to be read, at an engine that takes `event` to make one event when it reads
-    /// nothing.
+    /// The time that a prompt takes which is read in `work`, at an engine that takes `event` to make one event while it reads no
+    /// prompt.
     #[must_use]
     pub fn new(work: Duration, event: Duration, route: &Route) -> Self {
         let (pause, target) = (route.pause, route.target);
         let room = pause.saturating_sub(event);
-        // One that fills more than half of the room makes a pause only together with others of its size.
+        // A prompt that fills more than half of the room makes a late pause only together with others of its size.
         let rest = room.saturating_sub(work).max(room / 2);
         let space =
             if rest.is_zero() { work } else { work.mul_f64(pause.as_secs_f64() / rest.as_secs_f64()) };
         Self { work, space, target }
     }
 
-    /// The space after a prompt that has waited. From half of its target on prompts move closer, and follow each other as
-    /// fast as they are read once that is over: later first events would then cost more than the pauses.
+    /// The time from a prompt that has waited to the next one. Once prompts wait for more than half of their target, the spacing shrinks;
+    /// once they wait for all of it, prompts follow each other as fast as they are read. Later first events would then cost more than
+    /// the pauses.
     fn space_after(&self, wait: Duration) -> Duration {
         let half = self.target.as_secs_f64() / 2.0;
         let pressed = if half > 0.0 { (wait.as_secs_f64() / half - 1.0).clamp(0.0, 1.0) } else { 0.0 };
@@ -102,18 +102,18 @@
     }
 }
 
-/// A question for a place in an engine's schedule.
+/// A request for a reservation in an engine's schedule.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Ask {
     /// The engine's id.
     pub engine: Name,
-    /// What the prompt needs.
+    /// The time that the prompt takes in the schedule.
     pub need: Need,
-    /// The longest wait for which the place is wanted.
+    /// The longest wait for which the reservation is wanted.
     pub wait_max: Duration,
-    /// What the asker knows of the engine's limit.
+    /// The engine's limit as known to the asker.
     pub limit: Option<Advert>,
-    /// For how long the engine is still cold, as far as the asker knows.
+    /// How much longer the engine is cold, as known to the asker; none if it is not.
     pub cold: Option<Duration>,
 }
 
@@ -125,19 +125,19 @@
     }
 }
 
-/// The answer.
+/// The answer to a request for a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Grant {
-    /// The place is taken: send the prompt after this time.
+    /// Reserved: send the prompt after this time.
     After(Duration),
-    /// No place is taken, since the wait would be this long.
+    /// Not reserved, because the prompt would have to wait for this time.
     Busy(Duration),
-    /// No place is taken: the engine has named a limit, and another entry VM gives its places.
+    /// Not reserved: the engine is limited, and another entry VM owns its schedule.
     Elsewhere,
 }
 
 impl Grant {
-    /// Its name in metrics.
+    /// Its label in metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -148,7 +148,7 @@
     }
 }
 
-/// Answers a question, as the owner of the engine's schedule.
+/// Answers a request for a reservation, as the owner of the engine's schedule.
 pub(crate) fn grant(state: &mut State, now: Time, ask: &Ask) -> Grant {
     if let Some(limit) = &ask.limit {
         intake::told(state, now, limit);
@@ -157,7 +157,7 @@
         intake::cold(state, now, &ask.engine, left);
     }
     let Some(engine) = state.engines.get(&ask.engine) else {
-        // It was registered just now: nobody has sent it anything.
+        // The engine was registered just now, so nobody has sent it anything.
         return if ask.is_limited() { Grant::Elsewhere } else { Grant::After(Duration::ZERO) };
     };
     let apart = match intake::spacing(state, now, engine) {
@@ -177,7 +177,7 @@
     Grant::After(wait)
 }
 
-/// Takes over an answer, with what it says of the schedule.
+/// Updates the local copy of an engine's schedule by the owner's answer.
 pub(crate) fn learn(state: &mut State, now: Time, ask: &Ask, grant: Grant) {
     let again = frame::every(state);
     if intake::keeps_schedule(state, now, &ask.engine) {
@@ -190,12 +190,12 @@
     match grant {
         Grant::After(wait) => engine.schedule.learn(now, wait + ask.need.space.max(apart)),
         Grant::Busy(wait) => engine.schedule.learn(now, wait),
-        // Who gives its places is known with the leader's next answer.
+        // The leader's next answer tells who owns the schedule.
         Grant::Elsewhere => engine.schedule.learn(now, again),
     }
 }
 
-/// The owner of an engine's schedule did not answer.
+/// Handles a schedule owner that did not answer: it is not asked again for a while.
 pub(crate) fn unanswered(state: &mut State, now: Time, owner: &Name, out: &mut Vec<Effect>) {
     out.push(Effect::Record(Record::OwnerSilent { owner: owner.clone(), for_ms: ms(SILENT) }));
     state.members.suspect(owner, now + SILENT);
--- a/fleet/src/share.rs
+++ b/fleet/src/share.rs
@@ -1,43 +1,43 @@
-//! Which share of its calls an entry VM offers an engine of a plain service.
+//! The share of its calls that an entry VM offers to an engine of a plain service.
 //!
-//! The load that this answers: engines of a plain service are taken away, and callers ask for twice what the last one can
-//! answer. What is known of its load is some hundred ms old and its queue turns over in less, so that 65 entry VMs that
-//! all go by it send everything at one moment and nothing at the next: the engine rejected a sixth of the calls that came to
-//! it, and three in ten of its answers came late, although it had no moment's rest.
+//! This limits the load when engines of a plain service are removed and callers ask for twice what the last one can answer. The
+//! reported load of that engine is some hundred ms old, and its queue turns over in less. With 65 entry VMs that all go by the
+//! reported load, all send at one moment and none at the next: the engine rejected a sixth of its calls and gave 30% of its
+//! answers late, although it was busy all the time.
 //!
-//! Each entry VM therefore offers a share of its calls, and moves it by how long its answers waited at the engine, until
-//! they wait for a quarter of the time that they may. All see the same queue and converge on what the engine can answer in
-//! time; nobody has to be asked, and how many others there are need not be known. Callers beyond it learn at once that they
-//! have to come back, in place of a late answer to everyone.
+//! Each entry VM therefore offers a share of its calls, and adjusts it by how long its calls waited at the engine until they wait
+//! for a quarter of the time that they may. All entry VMs see the same queue, so their shares converge on what the engine can
+//! answer in time, without communication and without knowing how many entry VMs there are. Callers beyond that are refused at once
+//! with a time to come back, where all answers would otherwise be late.
 //!
-//! The gains were found by playing that load (`call_shares`, eight plays): of what the engine can do 84 in 100 are answered
-//! in time and 5 late, a shortage is met within three seconds, and ten seconds after it all is offered again. Twice the
-//! recovery together with two thirds of the shrinkage makes 10 in 100 late.
+//! The gains below were found by simulation (test `call_shares`, eight runs): 84% of what the engine can answer is answered in time and 5%
+//! late, the shares follow a shortage within three seconds, and ten seconds after it all calls are offered again. With twice the
+//! recovery and two thirds of the shrinkage, 10% are late.
 
 use std::time::Duration;
 
 use boragecove_core::time::Time;
 
-/// Part of the time that calls may wait for which they are to wait: the rest is for calls that come in bursts.
+/// Target wait of calls, as a part of the longest wait within the operator's target. The rest is left for bursts.
 const AIM: f64 = 0.25;
-/// By which part the share grows for each unit that calls wait less.
+/// Relative growth of the share for each unit by which the wait is below the target, in parts of the longest wait.
 const GROWTH: f64 = 0.9;
-/// What it grows by in any case then, so that small shares grow as well.
+/// Absolute growth of the share after a wait below the target, so that small shares grow as well.
 const STEP: f64 = 0.03;
-/// By which part the share shrinks for each unit that calls wait longer.
+/// Relative shrinkage of the share for each unit by which the wait is above the target, in parts of the longest wait.
 const SHRINKAGE: f64 = 0.7;
-/// The least part that is left of the share after one answer or rejection.
+/// Factor by which one answer or rejection shrinks the share at most.
 const LEFT: f64 = 0.4;
-/// The least share: what becomes of it tells when there is room again.
+/// The smallest share: the results of these calls show when there is room again.
 const LEAST: f64 = 0.1;
-/// What it grows by in a second without an answer or a rejection: one that offers next to nothing learns next to nothing.
+/// Growth of the share per second without an answer or a rejection, since an entry VM that offers few calls sees few results.
 const RECOVERY: f64 = 0.02;
 
-/// The share of calls that may be offered.
+/// The share of calls that may be offered to an engine, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Share {
     part: f64,
-    /// When it was last moved.
+    /// When `part` was last set.
     at: Time,
 }
 
@@ -48,7 +48,7 @@
 }
 
 impl Share {
-    /// Whether a call may be offered; `drawn` is random, from 0 to 1.
+    /// Whether a call may be offered; `drawn` is a random number from 0 to 1.
     #[must_use]
     pub fn takes(self, now: Time, drawn: f64) -> bool {
         drawn < self.part(now)
@@ -58,8 +58,8 @@
         RECOVERY.mul_add(now.since(self.at).as_secs_f64(), self.part)
     }
 
-    /// An answer waited so long at the engine, of the time that it may wait and still come within the target. Nothing is
-    /// learnt where it can never come within it.
+    /// Adjusts the share after an answered call that waited at the engine for `waited`. `allowed` is the longest wait with which
+    /// it would still be answered within the target; if that is zero, no call can be, and the share is left as it is.
     pub fn answered(&mut self, now: Time, waited: Duration, allowed: Duration) {
         if allowed.is_zero() {
             return;
@@ -74,7 +74,7 @@
         self.set(now, moved);
     }
 
-    /// The engine rejected a call, since its queue is full.
+    /// Adjusts the share after the engine rejected a call because its queue was full.
     pub fn rejected(&mut self, now: Time) {
         self.set(now, self.part(now) * LEFT);
     }
--- a/fleet/src/spread.rs
+++ b/fleet/src/spread.rs
@@ -1,38 +1,37 @@
-//! Draws one of several engines, by what all entry VMs will send there before any hears of it.
+//! Draws one of several engines, weighted by the requests that all entry VMs send before any of them learns of the others'.
 //!
-//! The load that this answers: many entry VMs that all know the same, some hundred ms late. If each picks the
-//! engine that has least to do, all pick the same one until the next frame (herd behaviour), and it refuses what its
-//! queue does not hold while others idle. With 90 entry VMs, six engines of six slots rejected 29% of the calls that
-//! came to them.
+//! Many entry VMs choose by the same load figures, which are some hundred ms old. If each picked the least loaded engine, all
+//! would pick the same one until the next frame (herd behaviour). That engine would reject what its queue cannot hold while
+//! others idle. With 90 entry VMs, six engines of six slots rejected 29% of their calls in this way.
 //!
-//! The requests that others are expected to send meanwhile are therefore distributed by water-filling: each engine gets
-//! as many as raise its cost to one level that is the same for all. An engine is drawn with the probability that one of
-//! these requests goes there. The fewer they are, or the fresher the known loads, the more this is the engine that has
-//! least to do.
+//! The requests that others are expected to send meanwhile are therefore distributed by water-filling: each engine below a common
+//! cost level gets as many requests as raise its cost to that level. An engine is drawn with the probability that one of these
+//! requests goes there. With fewer of them, or fresher load figures, the draw approaches the least loaded engine.
 
-/// Requests that are not known here yet, and what each adds to an engine's cost.
+/// The estimated load that is not reported here yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Unseen {
-    /// Requests of other entry VMs that are sent before they are known here.
+    /// Requests that other entry VMs have sent and that are not reported here yet.
     pub requests: f64,
     /// What one request adds to the cost of its engine, in ms.
     pub step_ms: f64,
 }
 
 impl Unseen {
-    /// All that they add, in ms.
+    /// What all of them add to costs, in ms.
     fn total_ms(self) -> f64 {
         self.requests.max(0.0) * self.step_ms.max(0.0)
     }
 
-    /// What they add to each of so many engines, in ms.
+    /// What they add to the cost of each engine, in ms, if they are spread evenly over this number of engines.
     #[must_use]
     pub fn each_ms(self, engines: usize) -> f64 {
         self.total_ms() / engines.max(1) as f64
     }
 }
 
-/// Draws one of the engines with these costs, in ms; `drawn` is random, from 0 to 1. None if there are none.
+/// Draws one of the engines with these costs in ms and returns its index; none if there are no engines. `drawn` is a random number
+/// from 0 to 1.
 #[must_use]
 pub fn draw(costs: &[f64], unseen: Unseen, drawn: f64) -> Option<usize> {
     let mut order: Vec<usize> = (0..costs.len()).collect();
@@ -53,7 +52,7 @@
     Some(first)
 }
 
-/// The cost to which all engines below it are raised when they share so much.
+/// The cost level that all engines below it reach when `total_ms` is distributed over them.
 fn level(costs: &[f64], order: &[usize], total_ms: f64) -> f64 {
     let mut sum = total_ms;
     let mut level = f64::INFINITY;
--- a/fleet/src/trust.rs
+++ b/fleet/src/trust.rs
@@ -1,4 +1,4 @@
-//! Trust in engines: suspicion, its end, and what other entry VMs say.
+//! Suspicion of engines: how it begins and ends, and what other entry VMs report about it.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Time in which further suspicions of an engine are not logged: one that hangs is suspected and found to be well twice a second.
+/// Time for which further suspicions of an engine are not logged. An engine that hangs is suspected and found well twice a second.
 const LOGGED_AGAIN: Duration = Duration::from_secs(10);
-/// Suspicions that are logged in one second, at most: many engines may crash at once, and each entry VM suspects each.
+/// Largest number of suspicions logged per second. Many engines may crash at once, and each entry VM suspects each of them.
 const LOGGED_PER_S: u32 = 8;
 
-/// Time for which an entry VM that has sent an engine a request looks into others' suspicions of it. What others suspect is of use to whoever
-/// is to send there next; all engines that somebody suspects, tried by each entry VM, would be as many connections as engines times entry
-/// VMs, and these are never more than an entry VM's own requests.
+/// Time after a request to an engine during which an entry VM checks suspicions of it that other entry VMs report. A suspicion is useful
+/// to entry VMs that will send there next. If each entry VM probed each engine that any suspects, there would be as many
+/// connections as engines times entry VMs; with this limit there are at most as many as the entry VM's own requests.
 const USED_WITHIN: Duration = Duration::from_secs(10);
 
-/// How many suspicions were logged in this second.
+/// Limits the number of suspicions that are logged per second.
 #[derive(Debug, Default)]
 pub(crate) struct Lines {
     since: Time,
@@ -34,7 +34,7 @@
 }
 
 impl Lines {
-    /// Whether another suspicion is to be logged. What was left out in the second before is counted in a line.
+    /// Whether another suspicion may be logged. The number left out in an earlier second is logged as one line.
     pub(crate) fn take(&mut self, now: Time, out: &mut Vec<Effect>) -> bool {
         if now.since(self.since) >= Duration::from_secs(1) {
             if self.left_out > 0 {
@@ -48,7 +48,7 @@
     }
 }
 
-/// An engine could not be reached: it gets no work, and is asked whether it is well once that has lasted.
+/// Suspects an engine that could not be reached: it gets no work, and is probed when the suspicion ends.
 pub(crate) fn unreached(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     suspect(state, now, engine, out);
     let Some(known) = state.engines.get(engine) else {
@@ -59,7 +59,7 @@
     path::lost(state, now, engine, out);
 }
 
-/// An engine is silent: it gets no work until it has been asked, which is done at once, since it may just be slow.
+/// Suspects a silent engine: it gets no work until it has answered a probe, which is sent at once because it may just be slow.
 pub(crate) fn silent(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     suspect(state, now, engine, out);
     if let Some(known) = state.engines.get_mut(engine) {
@@ -88,7 +88,7 @@
     health.suspect(now, &state.settings);
 }
 
-/// Another entry VM suspects an engine: if this one uses it, it is asked, unless it was heard or asked just now.
+/// Probes an engine that another entry VM suspects, if this one uses it and has not heard from it or probed it just now.
 pub(crate) fn look(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     if !state.settings.uses(Mechanism::SharedSuspicion) {
         return;
@@ -107,7 +107,7 @@
     out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
 }
 
-/// A suspicion ends: the engine is asked, and stays without work until it answers.
+/// Probes an engine whose suspicion has lasted long enough. It gets no work until it answers.
 pub(crate) fn probe(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
@@ -119,7 +119,7 @@
     out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
 }
 
-/// The port of an engine was tried.
+/// Handles the result of a probe of an engine's port.
 pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Reach, out: &mut Vec<Effect>) {
     crash::probed(state, now, engine, reach, out);
     if reach != Reach::Open {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Something of the answer to a request came, by a relay or from an attempt of then.
+/// Handles a part of an answer to a request, which was sent at `sent`, through a relay if `relayed`.
 pub(crate) fn answered(
     state: &mut State,
     now: Time,
@@ -148,7 +148,7 @@
     }
 }
 
-/// Tries all engines that were used lately and are not suspected: no more than there were requests.
+/// Probes all engines that were used lately and are not suspected: at most as many as there were requests.
 pub(crate) fn look_at_used(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let used = |engine: &&mut Engine| {
         let health = &engine.health;
@@ -160,7 +160,7 @@
     }
 }
 
-/// An engine answered: whatever was held against it is over.
+/// Ends all suspicion of an engine that has answered.
 pub(crate) fn heard(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
--- a/fleet/tests/call_shares.rs
+++ b/fleet/tests/call_shares.rs
@@ -1,7 +1,7 @@
-//! Calls of a plain service whose engines are taken away: what is offered to the last one.
+//! The share of calls that entry VMs offer to the last engine of a plain service whose other engines were removed.
 //!
-//! The figures are the users': 65 entry VMs, an engine of 6 slots that answers a call in 40 ms and queues 33, 345 calls a
-//! second, a target of 150 ms.
+//! The figures come from the users: 65 entry VMs, one engine with 6 slots that answers a call in 40 ms and queues 33, 345 calls
+//! a second, and a target of 150 ms.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 const QUEUE: usize = 33;
 const RUN_MS: u64 = 40;
 const TARGET_MS: u64 = 150;
-/// Plays of each load.
+/// Seeds of the simulations of each load.
 const SEEDS: std::ops::Range<u64> = 1..9;
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// What became of the calls of one second.
+/// Results of the calls within one second.
 #[derive(Clone, Copy, Debug, Default)]
 struct Second {
     in_time: u32,
@@ -29,7 +29,7 @@
     rejected: u32,
 }
 
-/// An engine and the entry VMs that call it, for so many calls a second. Returns what became of the calls, by second.
+/// Simulates an engine and the entry VMs that call it. Returns the results of the calls by second.
 fn play(seed: u64, seconds: u64, calls_per_s: impl Fn(u64) -> f64) -> Vec<Second> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut shares = vec![Share::default(); ENTRIES];
@@ -77,12 +77,12 @@
     f64::from(seconds.iter().map(of).sum::<u32>())
 }
 
-/// What the engine can answer in so many seconds.
+/// Number of calls that the engine can answer in this time.
 fn can(seconds: usize) -> f64 {
     SLOTS as f64 * 1_000.0 / RUN_MS as f64 * seconds as f64
 }
 
-/// Twice what the engine can answer: it answers as much as it can, and in time.
+/// With twice the calls that the engine can answer, it answers about as many as it can, and in time.
 #[test]
 fn last_engine_answers_in_time() {
     let steady: Vec<Second> = SEEDS.flat_map(|seed| play(seed, 30, |_| 345.0).split_off(10)).collect();
@@ -95,7 +95,7 @@
     assert!(rejected <= 0.02 * can, "{rejected} rejected of {can}");
 }
 
-/// A shortage is met within three seconds.
+/// The shares follow a shortage within three seconds.
 #[test]
 fn shortage_is_met() {
     let fourth: Vec<Second> = SEEDS.map(|seed| play(seed, 4, |_| 345.0)[3]).collect();
@@ -103,7 +103,7 @@
     assert!(late <= 0.1 * can(fourth.len()), "{late} late in the fourth second");
 }
 
-/// Once there is room again, all is offered within ten seconds.
+/// Ten seconds after a shortage, all calls are offered again.
 #[test]
 fn all_is_offered_again() {
     let play = |seed| play(seed, 40, |second| if second < 20 { 345.0 } else { 100.0 });
@@ -113,7 +113,7 @@
     assert!(answered >= 0.95 * asked, "{answered} of about {asked} calls");
 }
 
-/// Without a shortage nothing is held back.
+/// Without a shortage no calls are held back.
 #[test]
 fn enough_for_all() {
     let seconds: Vec<Second> = SEEDS.flat_map(|seed| play(seed, 20, |_| 90.0)).collect();
--- a/fleet/tests/caller_patience.rs
+++ b/fleet/tests/caller_patience.rs
@@ -1,4 +1,4 @@
-//! Requests wait for what is missing no longer than their callers do, and are told when to come back.
+//! Requests wait for a missing model or adapter no longer than their callers do, and are then refused with a time to come back.
 
 mod node;
 
@@ -16,9 +16,9 @@
     node.lead();
     node.pass(millis(300));
     let id = node.arrive(streamed("/brief/1", "m0", Some("a7")));
-    assert_eq!(node.step(id), None, "no engine has the adapter");
+    assert_eq!(node.step(id), None, "no engine holds the adapter");
     let sent = orders(&node.effects);
-    assert_eq!(sent.len(), 1, "ordered at once: {sent:?}");
+    assert_eq!(sent.len(), 1, "the adapter is ordered at once: {sent:?}");
     let engine = sent[0].engine.clone();
     node.feed(Event::Ordered {
         engine: engine.clone(),
@@ -39,7 +39,7 @@
     let id = node.arrive(brief("m3"));
     assert_eq!(node.step(id), None);
     let effects = node.pass(millis(1_900));
-    assert_eq!(step_of(&effects, id), None, "its caller waits for two seconds");
+    assert_eq!(step_of(&effects, id), None, "the caller waits for two seconds");
     let effects = node.pass(millis(100));
     match step_of(&effects, id) {
         Some(Step::Refuse(refusal)) => {
@@ -57,9 +57,13 @@
     let effects = node.pass(millis(450));
     let refused =
         matches!(step_of(&effects, id), Some(Step::Refuse(refusal)) if refusal.code == Code::NoBackend);
-    assert!(refused, "without a hub, waiting longer is of no use");
+    assert!(refused, "without a hub nobody can load the model");
     let Some(Step::Refuse(refusal)) = step_of(&effects, id) else { panic!("{effects:?}") };
-    assert_eq!(refusal.retry_after, Some(millis(3_500)), "whoever takes the lease may give orders after 3 s");
+    assert_eq!(
+        refusal.retry_after,
+        Some(millis(3_500)),
+        "a new holder of the lease may send orders after 3 s"
+    );
 }
 
 #[test]
@@ -68,7 +72,7 @@
     assert_eq!(node.refused(brief("m99")).code, Code::UnknownModel);
 }
 
-/// Names that callers make up are not counted, waited for or ordered.
+/// Adapter names that are not declared are not counted as demand, waited for or ordered.
 #[test]
 fn undeclared_adapter() {
     let mut node = Node::ready("a");
@@ -103,5 +107,5 @@
         Effect::Frame { frame, .. } => Some(frame.demand.iter().any(|demand| demand.waiting == 1)),
         _ => None,
     });
-    assert_eq!(told, Some(true), "the hub hears of it in a frame of its own");
+    assert_eq!(told, Some(true), "a frame reports the waiting request to the hub at once");
 }
--- a/fleet/tests/engine_choice.rs
+++ b/fleet/tests/engine_choice.rs
@@ -1,4 +1,4 @@
-//! A request goes to the engine where it is expected to wait least, of those that can run it.
+//! A request goes to the engine with the shortest expected wait among those that can run it.
 
 mod node;
 
@@ -18,7 +18,7 @@
 fn own_zone_first() {
     let mut node = Node::ready("a");
     let (_, attempt) = node.sent(brief("m0"));
-    assert_eq!(*attempt.engine, *"w1", "both hold the model; w1 is in the own zone");
+    assert_eq!(*attempt.engine, *"w1", "both engines hold the model, and w1 is in the same zone");
 }
 
 #[test]
@@ -55,10 +55,10 @@
     let mut node = Node::ready("a");
     let (id, attempt) = node.sent(plain("/ack/1"));
     let first = attempt.engine.clone();
-    let Some(Step::Send(second)) = node.ended(id, 1, End::Unsent) else { panic!("not sent again") };
+    let Some(Step::Send(second)) = node.ended(id, 1, End::Unsent) else { panic!("no further attempt") };
     assert_ne!(second.engine, first);
     for _ in 0..4 {
-        assert_ne!(node.sent(plain("/ack/1")).1.engine, first, "it could not be reached just now");
+        assert_ne!(node.sent(plain("/ack/1")).1.engine, first, "connecting to it has just failed");
     }
     node.pass(millis(520));
     node.feed(Event::Probed { engine: first.clone(), reach: Reach::Open });
@@ -66,10 +66,10 @@
     for _ in 0..6 {
         back |= node.sent(plain("/ack/1")).1.engine == first;
     }
-    assert!(back, "it answered and has its work back");
+    assert!(back, "the engine answered a probe and gets requests again");
 }
 
-/// Whatever begins a suspicion, the log says so once.
+/// A suspicion is logged once, whatever its cause.
 #[test]
 fn suspicion_is_logged() {
     let suspected = |effects: &[Effect]| {
@@ -79,11 +79,11 @@
     };
     let mut silent = Node::ready("a");
     silent.sent(brief("m0"));
-    assert_eq!(suspected(&silent.pass(millis(600))), 1, "it was silent");
+    assert_eq!(suspected(&silent.pass(millis(600))), 1, "a silent engine");
     let mut told = Node::ready("a");
     told.pass(millis(600));
     told.feed(Event::Probed { engine: "w1".into(), reach: Reach::Silent });
-    assert_eq!(suspected(&told.effects), 1, "it could not be reached");
+    assert_eq!(suspected(&told.effects), 1, "a failed probe");
     let mut unreached = Node::ready("a");
     let (id, attempt) = unreached.sent(plain("/ack/1"));
     unreached.ended(id, attempt.number, End::Unsent);
@@ -103,10 +103,10 @@
     for _ in 0..8 {
         back |= *node.sent(brief("m0")).1.engine == *"w1";
     }
-    assert!(back, "whoever orders the engine knows better after a while");
+    assert!(back, "the refusal is disregarded after a while");
 }
 
-/// An engine that lacked an adapter gets it: the request that it refused goes there.
+/// An engine that refused a request for lack of an adapter gets that request again once it has loaded the adapter.
 #[test]
 fn refused_engine_can_serve_later() {
     let mut node = Node::bare("a");
@@ -126,7 +126,7 @@
         receipt: Some(Receipt::Accepted),
     });
     assert!(matches!(step_of(&node.pass(millis(60)), first), Some(Step::Send(_))));
-    assert_eq!(node.ended(first, 1, End::Refused(Cause::Absent)), None, "it had to make way meanwhile");
+    assert_eq!(node.ended(first, 1, End::Refused(Cause::Absent)), None, "the adapter was evicted meanwhile");
     let report = Report {
         incarnation: Incarnation::default(),
         sequence: 9,
@@ -162,7 +162,7 @@
             break;
         }
     }
-    let refusal = refused.expect("8 slots cannot hold 60 requests");
+    let refusal = refused.expect("a refusal: 8 slots cannot hold 60 requests");
     assert_eq!(refusal.code, Code::DeadlineUnreachable);
     assert!(refusal.retry_after.is_some_and(|after| after > Duration::ZERO));
 }
@@ -179,7 +179,7 @@
         node.ended(id, attempt.number, end);
         node.pass(millis(10));
     }
-    assert!(counts[1] * 3 < counts[0], "{counts:?} to the sound and the failing engine");
+    assert!(counts[1] * 3 < counts[0], "{counts:?} requests to the working and the failing engine");
 }
 
 #[test]
@@ -191,8 +191,8 @@
     }
 }
 
-/// Calls of a plain service wait behind others as long as their answers still come in the operator's time: two engines
-/// run 16 at once here, in 200 ms each, and 500 ms are aimed at.
+/// Calls of a plain service may queue as long as their answers still meet the operator's target. Here two engines run 16 calls
+/// at once in 200 ms each, and the target is 500 ms.
 #[test]
 fn plain_calls_wait_in_time() {
     let mut node = Node::ready("a");
@@ -201,11 +201,11 @@
         matches!(node.step(id), Some(Step::Send(_)))
     });
     let taken = taken.count();
-    assert!(taken > 32, "{taken} calls: twice what runs at once is answered within 400 ms");
-    assert!(taken < 48, "{taken} calls: the last would have waited for over 400 ms");
+    assert!(taken > 32, "{taken} calls: twice the number of slots is answered within 400 ms");
+    assert!(taken < 48, "{taken} calls: the last of them would wait for over 400 ms");
 }
 
-/// Calls that take long at engines with free slots are no sign of a queue: none is held back.
+/// Long calls at engines with free slots are not taken for a queue, so no call is held back.
 #[test]
 fn long_calls_are_no_queue() {
     let mut node = Node::ready("a");
@@ -217,7 +217,8 @@
     }
 }
 
-/// An engine that goes silent again and again was logged each time, by each entry VM, with its end 3 ms later.
+/// Guards against log floods: without a limit, an engine that goes silent repeatedly is logged each time by each entry VM, with the
+/// end of the suspicion 3 ms later.
 #[test]
 fn repeated_suspicion_is_logged_once() {
     let mut node = Node::ready("a");
@@ -229,13 +230,13 @@
             node.pass(millis(100));
         }
     }
-    assert_eq!(lines, 2, "suspected, and well");
+    assert_eq!(lines, 2, "one line for the suspicion and one for its end");
     node.pass(Duration::from_secs(11));
     node.feed(Event::Probed { engine: "w1".into(), reach: Reach::Silent });
-    assert_eq!(engine_lines(&node.effects), 1, "that is another time");
+    assert_eq!(engine_lines(&node.effects), 1, "a later suspicion is logged again");
 }
 
-/// Many engines that crash at once were logged one by one, by each of the entry VMs.
+/// Guards against log floods: without a limit, each of many engines that crash at once is logged by each entry VM.
 #[test]
 fn many_suspicions_are_counted() {
     let mut node = Node::ready("a");
@@ -253,7 +254,7 @@
         Effect::Record(Record::LeftOut { lines, .. }) => Some(*lines as usize),
         _ => None,
     });
-    assert_eq!(counted, Some(50 - lines), "what was left out is counted");
+    assert_eq!(counted, Some(50 - lines), "the lines left out are counted");
 }
 
 fn engine_lines(effects: &[Effect]) -> usize {
--- a/fleet/tests/load_spread.rs
+++ b/fleet/tests/load_spread.rs
@@ -1,9 +1,9 @@
-//! Entry VMs that all know the same, and late, do not all pick the same engine.
+//! Entry VMs with the same outdated load figures do not all pick the same engine.
 
 use boragecove_fleet::spread::{Unseen, draw};
 use fastrand::Rng;
 
-/// Entry VMs of the users' grown first site.
+/// Entry VMs of the users' first site after it grew.
 const NODES: usize = 90;
 /// Engines of its plain service.
 const ENGINES: usize = 6;
@@ -11,12 +11,12 @@
 const SLOTS: f64 = 6.0;
 /// Time of a run, in ms.
 const RUN_MS: f64 = 60.0;
-/// Requests in a ms, from all entry VMs: half of what the engines can do.
+/// Requests per ms from all entry VMs: half of what the engines can serve.
 const RATE: f64 = 0.3;
-/// Time between two words on loads, in ms.
+/// Interval of load reports, in ms.
 const EPOCH_MS: f64 = 450.0;
 
-/// The most requests at one engine, beside the mean of all, over a simulated minute.
+/// The largest number of open requests at one engine within a simulated minute, in multiples of the mean over all engines.
 fn busiest(spread: bool) -> f64 {
     let mut rng = Rng::with_seed(5);
     let mut open = vec![Vec::<f64>::new(); ENGINES];
@@ -48,19 +48,19 @@
     most as f64 / (sum / samples)
 }
 
-/// The load of plain calls on the grown site, with and without, in one run.
+/// Plain calls at the grown site, with and without spreading.
 #[test]
 fn no_herd() {
     let (with, without) = (busiest(true), busiest(false));
-    assert!(without > 8.0, "the load should be one that matters: {without:.1}");
-    assert!(with < without / 2.0, "with {with:.1}, without {without:.1}");
+    assert!(without > 8.0, "the load is too low to show the effect: {without:.1}");
+    assert!(with < without / 2.0, "{with:.1} with spreading, {without:.1} without");
 }
 
 #[test]
 fn fresh_word() {
     let costs = [30.0, 10.0, 20.0];
     for drawn in [0.0, 0.5, 0.999] {
-        assert_eq!(draw(&costs, Unseen::default(), drawn), Some(1), "nothing is under way: the cheapest");
+        assert_eq!(draw(&costs, Unseen::default(), drawn), Some(1), "no unseen load: the cheapest engine");
     }
 }
 
@@ -68,7 +68,7 @@
 fn cheapest_first() {
     let costs = [30.0, 10.0, 20.0];
     let unseen = Unseen { requests: 2.0, step_ms: 10.0 };
-    // Raised to 25: two thirds of that at 10, the rest at 20, nothing at 30.
+    // The common level is 25: the engine at 10 gets three quarters of the load, the one at 20 the rest, the one at 30 nothing.
     assert_eq!(draw(&costs, unseen, 0.7), Some(1));
     assert_eq!(draw(&costs, unseen, 0.8), Some(2));
     assert_eq!(draw(&costs, unseen, 0.999), Some(2));
--- a/fleet/tests/planned_stop.rs
+++ b/fleet/tests/planned_stop.rs
@@ -1,4 +1,5 @@
-//! A stop cuts nothing off: the balancer is told first, what comes meanwhile is served, the rest refused as not run.
+//! A planned stop cuts no request off. The balancer is notified first, requests that arrive until it has reacted are served, and later
+//! ones are refused as not run.
 
 mod node;
 
@@ -19,7 +20,7 @@
     node.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
     assert!(
         !node.effects.iter().any(|effect| matches!(effect, Effect::Ready(true))),
-        "no engine is known yet"
+        "the engines' table has not been read"
     );
     node.feed(node::listing(Vec::new(), 3, true));
     assert!(node.effects.iter().any(|effect| matches!(effect, Effect::Ready(true))));
@@ -38,13 +39,13 @@
     let refusal = node.refused(brief("m0"));
     assert_eq!(refusal.code, Code::Stopping);
     assert_eq!(refusal.code.status(), 503);
-    assert!(!exits(&node.effects), "a request is still under way");
+    assert!(!exits(&node.effects), "a request is still in flight");
     node.ended(open, attempt.number, End::Done);
     assert!(exits(&node.effects));
 }
 
-/// The load of a rolling restart: most entry VMs of a zone are stopping, so that the balancer goes on to send requests to
-/// all of them. Calls that will have been answered in time are served; what may last longer is refused as not run.
+/// In a rolling restart most entry VMs of a zone are stopping, and the balancer still sends requests to all of them. Calls that will be
+/// answered before the process ends are served, and requests that may take longer are refused as not run.
 #[test]
 fn calls_that_fit_are_served() {
     let mut node = Node::ready("a");
@@ -58,7 +59,7 @@
     assert_eq!(
         node.refused(plain("/ack/2")).code,
         Code::Stopping,
-        "3 s would be longer than the process has"
+        "the process ends in less than the 3 s that the call may take"
     );
 }
 
--- a/fleet/tests/prompt_spacing.rs
+++ b/fleet/tests/prompt_spacing.rs
@@ -1,4 +1,4 @@
-//! Prompts are spaced at engines, by schedules that entry VMs own, so that no engine reads many at once.
+//! Prompts are spaced at engines by schedules that entry VMs own, so that no engine reads many prompts at once.
 
 mod node;
 
@@ -16,7 +16,7 @@
 use boragecove_fleet::schedule::{Ask, Grant, Need, Schedule};
 use node::{Node, WRITER, address, brief, entry, hub_row, listing, millis, removed, row};
 
-/// A load of prompts at the engines of a model that many ask for.
+/// A load of prompts at the engines of a popular model.
 #[derive(Clone, Copy)]
 struct Load {
     engines: usize,
@@ -24,7 +24,7 @@
     rate: f64,
     /// Time to read a prompt.
     read: Duration,
-    /// The pause that operators allow.
+    /// The longest pause that operators allow.
     window: Duration,
     /// Time to make an event.
     event: Duration,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Engines that read 40 tokens a ms, busy with that for two fifths of the time; events of six tokens.
+/// Engines that read 40 tokens per ms and spend two fifths of the time on reading; events of six tokens.
 const FAST: Load = Load {
     engines: 5,
     rate: 22.0,
@@ -45,7 +45,7 @@
     window: Duration::from_millis(150),
     event: Duration::from_millis(32),
 };
-/// Engines that read 22 tokens a ms, for three fifths of the time; events of three tokens.
+/// Engines that read 22 tokens per ms and spend three fifths of the time on reading; events of three tokens.
 const SLOW: Load = Load {
     engines: 4,
     rate: 12.0,
@@ -54,11 +54,11 @@
     event: Duration::from_millis(28),
 };
 
-/// What a minute of a load came to.
+/// Results of one simulated minute of a load.
 struct Outcomes {
-    /// Share of prompts in whose window an engine reads for longer than it may.
+    /// Share of prompts in whose window the engine reads for longer than allowed.
     crowded: f64,
-    /// Share of prompts in whose window an engine reads for over two thirds of it.
+    /// Share of prompts in whose window the engine reads for over two thirds of it.
     busy: f64,
     /// Mean time that a prompt waits.
     wait: Duration,
@@ -96,21 +96,21 @@
     Outcomes { crowded: share(crowded), busy: share(busy), wait: waited / count }
 }
 
-/// The load of the heaviest days, with and without schedules. Also by a measure that leaves less room, 100 ms of reading in
-/// 150 ms, there is less than a third of what there is without.
+/// The load of the heaviest days, with and without schedules. Also by a stricter measure, 100 ms of reading within 150 ms,
+/// schedules leave less than a third of the crowded windows.
 #[test]
 fn fewer_crowds() {
     let (without, with) = (minute(FAST, false), minute(FAST, true));
     assert!(with.busy < without.busy / 3.0, "{:.3} of {:.3}", with.busy, without.busy);
     for load in [FAST, SLOW] {
         let (without, with) = (minute(load, false), minute(load, true));
-        assert!(without.crowded > 0.10, "the load should be one that matters: {:.3}", without.crowded);
+        assert!(without.crowded > 0.10, "the load is too low to show the effect: {:.3}", without.crowded);
         assert!(with.crowded < without.crowded / 10.0, "{:.3} of {:.3}", with.crowded, without.crowded);
         assert!(with.wait < millis(40), "{:?} on average", with.wait);
     }
 }
 
-/// Where more is asked for than engines can read, prompts follow each other as fast as they are read.
+/// Under overload, prompts follow each other as fast as they are read.
 #[test]
 fn pressed_reads_on() {
     let now = Time::from_millis(1_000_000);
@@ -123,12 +123,12 @@
     assert_eq!(schedule.wait(now).saturating_sub(before), SLOW.read);
 }
 
-/// The members of a deployment whose first zone has nobody but `a` and, if so, another.
+/// An entry VM as a member of the deployment.
 fn member(vm: &str, zone: &str, port: u16) -> Member {
     Member { vm: vm.into(), zone: zone.into(), address: address(port), weak: false }
 }
 
-/// A process that knows who else there is from the hub.
+/// A process that has got these members from the hub.
 fn among(members: Vec<Member>) -> Node {
     let mut node = Node::ready("a");
     node.pass(millis(10));
@@ -156,7 +156,7 @@
 fn owner_is_asked() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
     let id = node.arrive(brief("m1"));
-    assert_eq!(node.step(id), None, "it has no place yet");
+    assert_eq!(node.step(id), None, "it has no reservation yet");
     let (port, request, ask) = asked(&node).expect("w1 is in zone-a, where b is the only one");
     assert_eq!((port, request, &*ask.engine), (7_002, id, "w1"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(millis(40))) });
@@ -169,9 +169,9 @@
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
     let id = node.arrive(brief("m1"));
     node.feed(Event::Granted { request: id, grant: None });
-    assert_eq!(sent(&node, id).at, node.now, "nothing else is known of the schedule");
+    assert_eq!(sent(&node, id).at, node.now, "the local schedule is empty");
     let next = node.arrive(brief("m1"));
-    assert!(sent(&node, next).at > node.now, "it goes by the schedule that it knows");
+    assert!(sent(&node, next).at > node.now, "the local schedule is used");
     node.pass(millis(450));
     node.feed(Event::Heard("w1".into()));
     node.pass(millis(450));
@@ -181,20 +181,20 @@
     assert!(asked(&node).is_some(), "after a while the owner is asked again");
 }
 
-/// A schedule that is full sends the request to the next best engine.
+/// If the schedule of an engine is full, the request goes to the next best engine.
 #[test]
 fn full_schedule_is_left() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
     let id = node.arrive(brief("m0"));
     assert_eq!(asked(&node).expect("asks").0, 7_002);
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(millis(400))) });
-    let (port, _, ask) = asked(&node).expect("asks the next");
+    let (port, _, ask) = asked(&node).expect("asks for the next engine");
     assert_eq!((port, &*ask.engine), (7_003, "w2"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
     assert_eq!(*sent(&node, id).engine, *"w2");
 }
 
-/// One that no schedule has a place for in time is refused at once, as not run, with the time that it would wait.
+/// A request that no schedule can take in time is refused at once as not run, with the time that it would have waited.
 #[test]
 fn no_place_in_time() {
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
@@ -206,18 +206,18 @@
     assert_eq!(refusal.retry_after, Some(Duration::from_secs(5)));
 }
 
-/// An engine that begins to leave may get nothing new after two seconds, so that no place is further away than one,
-/// however patient the caller is.
+/// Reservations are at most one second away, however long the caller waits: an engine that leaves must get nothing new after two
+/// seconds.
 #[test]
 fn places_are_near() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
     let id = node.arrive(brief("m0"));
     assert!(asked(&node).expect("asks").2.wait_max <= Duration::from_secs(1));
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(Duration::from_secs(3))) });
-    assert!(asked(&node).expect("asks the next").2.wait_max <= Duration::from_secs(1));
+    assert!(asked(&node).expect("asks for the next engine").2.wait_max <= Duration::from_secs(1));
 }
 
-/// An engine that went while its place was asked for gets nothing.
+/// An engine that is removed while a reservation is requested gets nothing.
 #[test]
 fn place_at_a_lost_engine() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
@@ -225,10 +225,10 @@
     assert_eq!(&*asked(&node).expect("asks").2.engine, "w1");
     node.feed(listing(vec![removed(9, "w1")], 9, false));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
-    assert_eq!(&*asked(&node).expect("asks for another").2.engine, "w2");
+    assert_eq!(&*asked(&node).expect("asks for another engine").2.engine, "w2");
 }
 
-/// A caller that leaves while a place is asked for leaves nothing behind.
+/// A caller that disconnects while a reservation is requested leaves no state behind.
 #[test]
 fn caller_leaves_while_asking() {
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
@@ -248,13 +248,13 @@
     let mut grant = || boragecove_fleet::grant(&mut owner.state, owner.now, &ask);
     assert_eq!(grant(), Grant::After(Duration::ZERO));
     assert_eq!(grant(), Grant::After(millis(50)));
-    assert_eq!(grant(), Grant::Busy(millis(100)), "it would wait too long");
-    assert_eq!(grant(), Grant::Busy(millis(100)), "and has taken no place");
+    assert_eq!(grant(), Grant::Busy(millis(100)), "the wait would be too long");
+    assert_eq!(grant(), Grant::Busy(millis(100)), "the denied request has reserved nothing");
     let unknown = Ask { engine: "new".into(), ..ask.clone() };
     assert_eq!(boragecove_fleet::grant(&mut owner.state, owner.now, &unknown), Grant::After(Duration::ZERO));
 }
 
-/// Entry VMs agree on who owns what, and one that goes leaves all else where it is.
+/// All entry VMs find the same owners, and removing one only changes the owners of what it owned.
 #[test]
 fn owners_agree() {
     use boragecove_fleet::members::Members;
@@ -277,7 +277,7 @@
     assert!(shares.iter().all(|count| (60..140).contains(count)), "{shares:?}");
 }
 
-/// An engine that has just been registered is known to nobody, and is used at once.
+/// An engine that has just been registered is used at once, even if the owner of its schedule does not know it yet.
 #[test]
 fn new_engine_is_used() {
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
--- a/fleet/tests/reading_speed.rs
+++ b/fleet/tests/reading_speed.rs
@@ -1,4 +1,4 @@
-//! How fast engines read is observed, whatever it is.
+//! The reading speed of engines is estimated from the times to first events.
 
 mod node;
 
@@ -10,8 +10,8 @@
 
 const SERVICE: &str = "writer";
 
-/// The time to the first event of a prompt at an engine that reads so many tokens a ms; three in ten prompts wait behind
-/// others, and one in twenty finds half of it kept.
+/// The time to the first event of a prompt at an engine that reads `per_ms` tokens per ms. Three in ten prompts wait for others, and
+/// one in twenty has half of its tokens in the engine's cache.
 fn first_event(rng: &mut fastrand::Rng, tokens: u32, per_ms: f64) -> Duration {
     let mut ms = 8.0 + f64::from(tokens) / per_ms;
     match rng.u32(0..20) {
@@ -22,7 +22,7 @@
     Duration::from_secs_f64(ms / 1_000.0)
 }
 
-/// After 80 prompts the estimate is within a quarter, for engines that read 10 to 160 tokens a ms.
+/// After 80 prompts the error of the estimate is below 25%, for engines that read 10 to 160 tokens per ms.
 #[test]
 fn any_speed_is_found() {
     for per_ms in [10.0, 22.0, 40.0, 160.0] {
@@ -35,11 +35,14 @@
         }
         let found = speed.work(SERVICE, "m0", 2_000).as_secs_f64() * 1_000.0;
         let truth = 2_000.0 / per_ms;
-        assert!((found / truth - 1.0).abs() < 0.25, "{found:.1} ms, not {truth:.1} ms, at {per_ms} a ms");
+        assert!(
+            (found / truth - 1.0).abs() < 0.25,
+            "{found:.1} ms, not {truth:.1} ms, at {per_ms} tokens per ms"
+        );
     }
 }
 
-/// A model that was not seen yet is taken for one like the others of its service.
+/// For a model without samples, the estimate is that of its service.
 #[test]
 fn new_models_are_like_others() {
     let mut speed = Speed::default();
@@ -50,7 +53,7 @@
     assert!(other < known * 2, "{other:?} and {known:?}");
 }
 
-/// A burst in which every prompt waits for others makes no engine look slow for long.
+/// A burst in which every prompt waits for others raises the estimate only little.
 #[test]
 fn bursts_are_not_believed() {
     let mut speed = Speed::default();
--- a/fleet/tests/request_attempts.rs
+++ b/fleet/tests/request_attempts.rs
@@ -1,4 +1,4 @@
-//! What may be sent again, how often, and what a caller is told at the end.
+//! Which requests are repeated, how often, and with which code they end.
 
 mod node;
 
@@ -13,7 +13,7 @@
 fn again(step: Option<Step>) -> Attempt {
     match step {
         Some(Step::Send(attempt)) => attempt,
-        other => panic!("not sent again: {other:?}"),
+        other => panic!("no further attempt: {other:?}"),
     }
 }
 
@@ -29,7 +29,7 @@
     let mut node = Node::ready("a");
     let (id, attempt) = node.sent(plain("/ack/1"));
     let refusal = refusal(node.ended(id, attempt.number, End::Broken));
-    assert_eq!(refusal.code.status(), 502, "it may have run: {}", refusal.code);
+    assert_eq!(refusal.code.status(), 502, "the request may have run: {}", refusal.code);
     assert_eq!(refusal.code, Code::BackendFailed);
     assert_eq!(refusal.retry_after, None);
 }
@@ -49,7 +49,7 @@
     let (id, first) = node.sent(plain("/ack/1"));
     let second = again(node.ended(id, first.number, End::Refused(Cause::Busy)));
     let after = node.ended(id, second.number, End::Refused(Cause::Busy));
-    // No third engine is left; the request waits for one, briefly.
+    // No third engine is left, so the request waits briefly for one.
     assert_eq!(after, None);
     let effects = node.pass(millis(600));
     let refusal = refusal(step_of(&effects, id));
@@ -62,7 +62,11 @@
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
     let second = again(node.ended(id, first.number, End::Broken));
-    assert_eq!(node.ended(id, second.number, End::Refused(Cause::Busy)), None, "it waits for a third engine");
+    assert_eq!(
+        node.ended(id, second.number, End::Refused(Cause::Busy)),
+        None,
+        "the request waits for a third engine"
+    );
     let effects = node.pass(millis(600));
     let refusal = refusal(step_of(&effects, id));
     assert_eq!(refusal.code.status(), 502, "the first attempt may have run");
@@ -77,7 +81,7 @@
     assert_eq!(
         node.ended(id, second.number, End::Failed),
         Some(Step::Pass),
-        "the engine's own failure goes on"
+        "the engine's own failure is forwarded"
     );
 }
 
@@ -125,7 +129,7 @@
     assert_ne!(second.engine, first.engine);
 }
 
-/// A silent engine that still accepts connections is slow, not gone: its streams are left alone.
+/// A silent engine that still accepts connections may just be slow, so its streams are not broken off.
 #[test]
 fn silence_cuts_nothing() {
     let mut node = Node::ready("a");
@@ -170,10 +174,10 @@
     node.feed(Event::Settings(Box::new(strict)));
     let (id, first) = node.sent(plain("/list/1"));
     let refused = refusal(node.ended(id, first.number, End::Broken));
-    assert_eq!(refused.code, Code::BackendFailed, "no repeat is allowed any more");
+    assert_eq!(refused.code, Code::BackendFailed, "repeats are no longer allowed");
 }
 
-/// Requests of which each is to be sent once more, while the store answers what the process writes. Returns how many were.
+/// Sends requests that all fail once, while the store accepts the lease writes of the process. Returns the number of repeats.
 fn repeats_of(node: &mut Node, requests: u32) -> u32 {
     let mut repeats = 0;
     for number in 0..requests {
@@ -200,7 +204,7 @@
     node.feed(Event::Settings(Box::new(tight())));
     node.lead();
     let repeats = repeats_of(&mut node, 200);
-    // A fifth of 200 requests and the slack of nine are allowed.
+    // The budget is a fifth of 200 requests and a slack of nine.
     assert!((36..=45).contains(&repeats), "{repeats} repeats of 200 requests");
 }
 
@@ -217,32 +221,32 @@
         }
         node.pass(millis(20));
     }
-    // 0.35 of a fifth of 200, which it has earned itself, and a part at the beginning.
+    // The process has earned 0.35 of a fifth of 200, and has a part of one at the beginning.
     assert!((14..=15).contains(&repeats), "{repeats} repeats of 200 requests");
 }
 
-/// Guards against repeats that are counted in one window and arrive in another: what a process that stands still sends late, or keeps until there is an
-/// engine.
+/// Permits expire. Otherwise a repeat could be counted in one window and sent in a later one, if the process stalls or the request
+/// waits for an engine.
 #[test]
 fn permits_lapse() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
-    assert_eq!(first.send_by, None, "the first sending is no repeat");
+    assert_eq!(first.send_by, None, "the first attempt is not a repeat");
     let second = again(node.ended(id, first.number, End::Failed));
     assert_eq!(second.send_by, Some(node.now + millis(500)));
     node.pass(millis(400));
     node.feed(Event::Heard(second.engine.clone()));
     node.pass(millis(300));
-    // It was not sent: it needs another permit by now.
+    // It was not sent in time, and its permit has expired: it needs another one.
     let third = again(node.ended(id, second.number, End::Withheld));
     assert_eq!(third.send_by, Some(node.now + millis(500)));
 }
 
-/// One that was allowed and not sent is there for another request.
+/// A permit that was not used is available to another request.
 #[test]
 fn permits_are_put_back() {
     let mut node = Node::ready("a");
-    // What one request earns at this ratio is one repeat, or none.
+    // At this ratio, one request earns exactly one repeat.
     let exact = Settings { repeat_ratio: 1.0 / 0.35, repeat_slack: 0.0, ..Settings::default() };
     node.feed(Event::Settings(Box::new(exact)));
     let (one, first) = node.sent(plain("/list/1"));
@@ -253,5 +257,5 @@
     let (two, third) = node.sent(plain("/list/2"));
     let fourth = again(node.ended(two, third.number, End::Failed));
     assert_eq!(allowed, Some(1));
-    assert_eq!(fourth.send_by, second.send_by, "the one that was put back lapses when it did");
+    assert_eq!(fourth.send_by, second.send_by, "the returned permit keeps its expiry");
 }
--- a/fleet/tests/silent_engines.rs
+++ b/fleet/tests/silent_engines.rs
@@ -1,4 +1,5 @@
-//! A sound engine that falls silent for a second and goes on: nothing is loaded in its place, no request is held against it, and it is used again.
+//! An engine without a fault that is silent for a second: its models are not loaded elsewhere, no request is blamed for a crash, and the engine
+//! is used again.
 
 mod node;
 
@@ -14,7 +15,7 @@
 use boragecove_fleet::request::{End, Step};
 use node::{Node, WRITER, brief, entry, listing, millis, orders, row};
 
-/// A leader of three engines, of which the first alone holds the model that is asked for, and the others have room.
+/// A leader of three engines. Only the first holds the requested model, and the others have room for it.
 fn leader() -> Node {
     let mut node = Node::ready("a");
     let rows = vec![
@@ -26,12 +27,12 @@
     node.lead();
     for _ in 0..4 {
         let given = pass(&mut node, millis(250));
-        assert_eq!(given, Vec::new(), "all is where it is wanted");
+        assert_eq!(given, Vec::new(), "the placement needs no orders");
     }
     node
 }
 
-/// Lets time pass; the store renews the lease, engines report what they hold, and accept no order.
+/// Advances the time. The store accepts the lease writes, and engines report their models but answer no orders. Returns the orders.
 fn pass(node: &mut Node, time: Duration) -> Vec<Order> {
     let effects = node.pass(time);
     for effect in &effects {
@@ -49,17 +50,17 @@
     orders(&effects).into_iter().map(|dispatch| dispatch.order).collect()
 }
 
-/// Sends a request to the engine that holds `m1`. Returns what is needed to end it.
+/// Sends a request to the engine that holds `m1`. Returns its id and the number of its attempt.
 fn send(node: &mut Node) -> (boragecove_fleet::request::Id, u32) {
     let id = node.arrive(brief("m1"));
     let Some(Step::Send(attempt)) = node.step(id) else {
-        panic!("it is sent");
+        panic!("the request is not sent");
     };
     assert_eq!(&*attempt.engine, "w8");
     (id, attempt.number)
 }
 
-/// The engine's port is tried.
+/// Reports a probe of the engine's port.
 fn probed(node: &mut Node, reach: Reach) {
     node.feed(Event::Probed { engine: Name::from("w8"), reach });
 }
@@ -68,7 +69,7 @@
     orders.iter().filter(|order| matches!(order, Order::Load { .. })).count()
 }
 
-/// Guards against loads of what a silent engine holds, which it still holds a second later.
+/// Guards against loading the models of a silent engine elsewhere: it still holds them a second later.
 #[test]
 fn nothing_is_loaded() {
     let mut node = leader();
@@ -85,7 +86,8 @@
     send(&mut node);
 }
 
-/// One whose port refuses has ended: what it held is loaded elsewhere at once. So is what one holds that stays silent.
+/// An engine whose port refuses connections has ended, so its models are loaded elsewhere at once. The same happens if an engine stays
+/// silent for long.
 #[test]
 fn ended_is_replaced() {
     for (reach, rounds) in [(Reach::Closed, 4), (Reach::Silent, 12)] {
@@ -103,7 +105,7 @@
     }
 }
 
-/// A run that breaks under an engine's silence is held against no request, nor told to anybody.
+/// A request whose connection breaks while the engine is silent is not blamed for a crash, and nothing is pushed to other entry VMs.
 #[test]
 fn no_verdict() {
     let mut node = leader();
--- a/fleet/tests/stream_builds.rs
+++ b/fleet/tests/stream_builds.rs
@@ -1,5 +1,5 @@
-//! A stream holds events of one build of its service's software alone, inside one answer and over its client's tries at any entry VM, whatever
-//! happens to engines, entry VMs, zones and the store.
+//! All events of a stream are written by one build of its service's software, within one answer and over all attempts of its client at any entry
+//! VMs, whatever happens to engines, entry VMs, zones and the store.
 
 mod node;
 mod world;
@@ -14,16 +14,16 @@
 use node::{BUILD, WRITER, entry, millis, row};
 use world::{Backends, World, ZONES};
 
-/// Engines of each build at the beginning.
+/// Number of engines of each build at the beginning.
 const EACH: usize = 6;
 /// The other build.
 const NEXT: &str = "v1.1";
 const SECOND: Duration = Duration::from_secs(1);
 /// Events of a stream: it lasts three seconds.
 const EVENTS: usize = 60;
-/// Streams that begin in a second.
+/// Streams that begin per second.
 const PER_S: f64 = 30.0;
-/// Of those that are taken up and whose build serves, the part that is to go on.
+/// Share of the resumed streams that must continue, of those whose build still serves.
 const GO_ON: f64 = 0.95;
 
 fn engine(number: usize, build: &str) -> Entry {
@@ -56,26 +56,26 @@
     world
 }
 
-/// What happens while streams are under way.
+/// The faults of a simulation while streams are open.
 #[derive(Clone, Copy, Debug)]
 enum Trouble {
-    /// An engine crashes each so many ms, and another of its build starts.
+    /// An engine crashes at this interval in ms, and another one of its build starts.
     Crashes(u64),
-    /// This part of the entry VMs is killed at once, each so many ms.
+    /// This share of the entry VMs is killed at the same time, at this interval in ms.
     Killed(f64, u64),
-    /// Zones are cut off by turns, and this part of the entry VMs is killed beside that.
+    /// Zones are cut off in turn, and this share of the entry VMs is killed as well.
     Cut(f64),
-    /// The store serves nobody, and this part of the entry VMs is killed meanwhile.
+    /// The store serves nobody at times, and this share of the entry VMs is killed as well.
     StoreAway(f64),
-    /// The leader is killed each so many ms.
+    /// The leader is restarted at this interval in ms.
     Leaders(u64),
-    /// Half of the entry VMs stand still by turns.
+    /// One half of the entry VMs is suspended, then the other half, then none.
     Frozen,
-    /// The engines of the older build are replaced by such of the newer one, while entry VMs are killed.
+    /// The engines of the older build are replaced by engines of the newer one, and this share of the entry VMs is killed as well.
     Rollout(f64),
 }
 
-/// Keeps a deployment in trouble for a while, with engines that crash besides.
+/// Runs a deployment under faults for a while. Engines crash at intervals in any case.
 fn run(world: &mut World, trouble: Trouble, time: Duration) {
     let end = world.now + time;
     let mut next = 2 * EACH;
@@ -122,7 +122,7 @@
     world.pass(Duration::from_secs(6));
 }
 
-/// An engine crashes, and one with a new id starts: of this build, or of the same.
+/// Crashes an engine and starts one with a new id, of `build` or of the same build as before.
 fn replace(world: &mut World, next: &mut usize, build: Option<&str>) {
     let running: Vec<Entry> = world.running();
     let old = match build {
@@ -140,7 +140,7 @@
     world.deregister(&old.id);
 }
 
-/// This part of the entry VMs is killed and starts anew half a second later.
+/// Kills this share of the entry VMs and restarts them half a second later.
 fn kill(world: &mut World, part: f64) {
     let count = (world.len() as f64 * part).round() as usize;
     let mut vms: Vec<usize> = (0..world.len()).collect();
@@ -157,7 +157,7 @@
     }
 }
 
-/// Plays a trouble and returns the deployment; prints what became of its streams.
+/// Simulates a deployment under faults and returns it. Prints the results of its streams.
 fn played(vms: usize, seed: u64, trouble: Trouble) -> World {
     played_in(mixed(vms, seed), trouble)
 }
@@ -174,19 +174,19 @@
     let kept = (0..vms).map(|at| world.state(at).streams_kept()).max().unwrap_or_default();
     let late = streams.refused_after().as_millis();
     println!(
-        "{vms} {trouble:?}: {mixed} of {all} mixed, {whole:.3} whole, {part:.3} of {taken} taken up went on, told {messages} {told}, kept {kept}, refused within {late} ms"
+        "{vms} {trouble:?}: {mixed} of {all} mixed, {whole:.3} complete, {part:.3} of {taken} resumed streams continued, {messages} messages with {told} origins, at most {kept} stored, refused within {late} ms"
     );
     world
 }
 
-/// A stream whose engine crashes goes on, in the same answer, at engines of the build that began it alone.
+/// A stream whose engine crashes continues, within the same answer, only at engines of the build that began it.
 #[test]
 fn builds_after_crashes() {
     let world = played(6, 1, Trouble::Crashes(1_000));
     assert_eq!(world.streams.mixed(), 0, "of {}", world.streams.clients.len());
 }
 
-/// A stream whose entry VM is killed goes on at another entry VM, at engines of the build that began it alone.
+/// A stream whose entry VM is killed is resumed at another entry VM, only at engines of the build that began it.
 #[test]
 fn builds_after_kills() {
     for (part, every_ms) in [(0.34, 1_000), (0.6, 2_000), (1.0, 3_000)] {
@@ -195,7 +195,7 @@
     }
 }
 
-/// The same while zones are cut off, the store is away, leaders are lost, entry VMs stand still and engines are replaced.
+/// The same while zones are cut off, the store is unreachable, leaders are lost, entry VMs are suspended or engines are replaced.
 #[test]
 fn builds_in_trouble() {
     let troubles = [
@@ -211,19 +211,19 @@
     }
 }
 
-/// Clients that take a stream up again are served, as long as the build that began it serves: what is safe alone would be to refuse them all.
+/// Clients that resume a stream are served as long as the build that began it serves. Refusing them all would pass the other tests.
 #[test]
 fn resumed_streams_served() {
     for trouble in [Trouble::Killed(0.34, 1_500), Trouble::Killed(0.6, 3_000), Trouble::Leaders(1_500)] {
         let world = played(9, 4, trouble);
         let (part, taken) = world.streams.gone_on();
-        assert!(taken >= 12, "{trouble:?}: {taken} were taken up");
-        assert!(part >= GO_ON, "{trouble:?}: {part:.3} of {taken} went on");
+        assert!(taken >= 12, "{trouble:?}: {taken} were resumed");
+        assert!(part >= GO_ON, "{trouble:?}: {part:.3} of {taken} continued");
         assert_eq!(world.streams.mixed(), 0, "{trouble:?}: of {}", world.streams.clients.len());
     }
 }
 
-/// The check sees it: entry VMs that do not read builds mix them, inside one answer and over clients' tries.
+/// The checks detect mixed builds: entry VMs that ignore builds mix them, within one answer and over several attempts of a client.
 #[test]
 fn unread_builds_seen() {
     for trouble in [Trouble::Crashes(1_000), Trouble::Killed(0.34, 1_000)] {
@@ -235,7 +235,7 @@
     }
 }
 
-/// Where a service has had one build alone, nothing is told of its streams, and they go on after any kill, also those that clients do not name.
+/// If a service has had only one build, no stream origins are sent, and streams are resumed after any kill, even if clients do not name them.
 #[test]
 fn one_build_untold() {
     for trouble in [Trouble::Killed(0.34, 1_500), Trouble::Killed(1.0, 3_000)] {
@@ -243,23 +243,23 @@
         world.streams.unnamed = true;
         let world = played_in(world, trouble);
         let (part, taken) = world.streams.gone_on();
-        assert!(taken >= 12, "{trouble:?}: {taken} were taken up");
-        assert!(part >= GO_ON, "{trouble:?}: {part:.3} of {taken} went on");
+        assert!(taken >= 12, "{trouble:?}: {taken} were resumed");
+        assert!(part >= GO_ON, "{trouble:?}: {part:.3} of {taken} continued");
         let told: u64 = (0..world.len()).map(|at| world.state(at).streams_told().0).sum();
         assert_eq!(told, 0, "{trouble:?}");
     }
 }
 
-/// A second build comes while streams that nobody was told of are under way, and entry VMs are killed all the while.
+/// A second build appears while streams are open whose origins were not replicated, and entry VMs are killed meanwhile.
 #[test]
 fn second_build_comes() {
     let world = played_in(uniform(9, 6), Trouble::Rollout(0.34));
     assert_eq!(world.streams.mixed(), 0, "of {}", world.streams.clients.len());
     let (part, taken) = world.streams.gone_on();
-    assert!(part >= GO_ON, "{part:.3} of {taken} went on");
+    assert!(part >= GO_ON, "{part:.3} of {taken} continued");
 }
 
-/// A build that has just come gets no streams that may be resumed as long as the one that all know serves; then it does.
+/// A new build gets no resumable streams at first, as long as a build that all entry VMs know serves. After a while it does.
 #[test]
 fn new_build_settles() {
     let mut world = uniform(9, 7);
@@ -271,14 +271,15 @@
         (0..world.streams.clients.len()).filter(of_next).count()
     };
     world.stream(2 * SECOND, PER_S, EVENTS);
-    assert_eq!(newer(&world), 0, "not all entry VMs may know it");
+    assert_eq!(newer(&world), 0, "some entry VMs may not know the new build");
     world.pass(3 * SECOND);
     world.stream(2 * SECOND, PER_S, EVENTS);
     world.pass(SECOND);
     assert!(newer(&world) > 10, "{} began there", newer(&world));
 }
 
-/// An entry VM that is cut off knows one build alone by an old table. It takes up no stream by that: another build may have come since.
+/// An entry VM that is cut off has an old copy of the engines' table with only one build. It does not resume a stream on that basis, because
+/// another build may have appeared since.
 #[test]
 fn old_table_refused() {
     let mut world = uniform(9, 8);
@@ -295,15 +296,15 @@
     assert_eq!(world.streams.builds_of(client).into_iter().collect::<Vec<_>>(), [Name::from(NEXT)]);
     world.move_stream(client, 1, 0);
     world.pass(millis(200));
-    let taken = world.streams.taken.last().expect("it was taken up");
-    let (code, after) = taken.refused.expect("it was refused");
+    let taken = world.streams.taken.last().expect("the stream was resumed");
+    let (code, after) = taken.refused.expect("the request was refused");
     assert_eq!(code, Code::OriginUnknown);
-    assert!(after <= millis(100), "at once: {after:?}");
+    assert!(after <= millis(100), "refused after {after:?}, not at once");
     assert_eq!(world.streams.mixed(), 0);
 }
 
-/// A stream is taken up three times in a row, each time at another entry VM after the one before was killed: it is named by the attempt that brought
-/// the first event all the while.
+/// A stream is resumed three times in a row, each time at another entry VM after the one before was killed. Its id stays that of the attempt that
+/// delivered the first event.
 #[test]
 fn taken_up_again() {
     for seed in 0..10 {
@@ -319,7 +320,8 @@
     }
 }
 
-/// Random days: entry VMs are killed, stand still and are cut off, the store serves some, engines crash and are replaced by such of other builds.
+/// Random faults: entry VMs are killed, suspended and cut off, the store serves only some of them, and engines crash and are replaced by engines of
+/// other builds.
 #[test]
 fn random_days() {
     arbtest(|u| {
@@ -347,8 +349,8 @@
     .budget_ms(world::budget_ms(4_000));
 }
 
-/// What it costs to tell who began streams beside two builds: some messages for each stream, whatever the number of entry VMs. Larger deployments are
-/// played by hand (`STREAM_SIZES=300,984`, `STREAM_PER_S=3000`).
+/// The cost of replicating stream origins with two builds is a small number of messages per stream, whatever the number of entry VMs. Larger
+/// deployments are simulated by hand (`STREAM_SIZES=300,984`, `STREAM_PER_S=3000`).
 #[test]
 fn told_to_few() {
     let number = |name: &str| std::env::var(name).ok();
@@ -365,11 +367,11 @@
         let each = messages as f64 / begun;
         let kept = (0..vms).map(|at| world.state(at).streams_kept()).max().unwrap_or_default();
         println!(
-            "{vms} entry VMs, {per_s} streams a second: {each:.1} messages and {:.1} tellings a stream, {:.1} messages a second by each, {kept} kept at most",
+            "{vms} entry VMs, {per_s} streams a second: {each:.1} messages and {:.1} origins sent per stream, {:.1} messages a second by each, {kept} stored at most",
             streams as f64 / begun,
             messages as f64 / time.as_secs_f64() / vms as f64
         );
-        // Two in each of three zones, on beginning and then each second of three.
+        // Two replicas in each of three zones, notified at the beginning and then once in each of three seconds.
         assert!(each <= 6.0 * 4.0, "{vms}: {each:.1} messages a stream");
         assert_eq!(world.streams.mixed(), 0);
     }
--- a/fleet/tests/stream_pins.rs
+++ b/fleet/tests/stream_pins.rs
@@ -1,5 +1,5 @@
-//! Inside one answer, a stream whose caller has events goes on at engines of the build that wrote them, however it lost its engine; one without
-//! events goes to any.
+//! A stream of which the caller has events continues only at engines of the build that wrote them, whatever ended the attempt before. A stream
+//! without events may go to any engine.
 
 mod node;
 
@@ -24,7 +24,7 @@
     Entry { build: build.map(Name::from), ..entry(id, WRITER, "zone-a", &["m0"]) }
 }
 
-/// A process that knows these engines.
+/// A process whose table lists these engines.
 fn knowing(engines: &[Entry]) -> Node {
     let mut node = Node::bare("a");
     node.feed(Event::Configured(Arc::new(config(1))));
@@ -33,7 +33,7 @@
     node
 }
 
-/// A stream that the only engine of the first build has begun, beside engines of the next.
+/// A stream that was begun by the only engine of the first build, while engines of the next build are listed.
 fn begun() -> (Node, Id, Attempt) {
     let mut node = knowing(&[writer("w1", Some(BUILD))]);
     let (id, first) = node.sent(streamed("/digest/1", "m0", None));
@@ -57,7 +57,8 @@
     }
 }
 
-/// However an attempt ends, its stream goes on at no engine of another build; where there is none of its own, that is said at once.
+/// However an attempt ends, its stream is not continued at an engine of another build. Without an engine of its own build, the request is
+/// refused at once.
 #[test]
 fn other_build_refused() {
     let ends = [End::Lost, End::Broken, End::Unsent, End::Withheld, End::Refused(Cause::Busy)];
@@ -69,7 +70,7 @@
     }
 }
 
-/// It waits, while the table changes, for an engine of its build, and goes on there once it has room.
+/// A pinned stream waits for an engine of its build that lacks the model, and continues there once the engine holds it.
 #[test]
 fn own_build_awaited() {
     let (mut node, id, first) = begun();
@@ -78,14 +79,14 @@
     assert_eq!(
         node.ended(id, first.number, End::Lost),
         None,
-        "one of its build is there, and does not hold the model"
+        "the only engine of its build does not hold the model"
     );
     node.pass(millis(100));
     let effects = node.feed(listing(vec![row(7, writer("w4", Some(BUILD)))], 7, false)).to_vec();
     assert_eq!(sent_to(step_of(&effects, id)), Name::from("w4"));
 }
 
-/// Before its first event went to the caller, any build may have it.
+/// Before its first event was forwarded to the caller, a stream may go to any build.
 #[test]
 fn unbegun_goes_anywhere() {
     let mut node = knowing(&[writer("w1", Some(BUILD))]);
@@ -94,7 +95,7 @@
     assert_eq!(sent_to(node.ended(id, first.number, End::Lost)), Name::from("w2"));
 }
 
-/// Engines that do not say their build are not taken for engines of one.
+/// Two engines whose rows name no build are not taken for engines of the same build.
 #[test]
 fn unsaid_build_refused() {
     let mut node = knowing(&[writer("w1", None), writer("w2", None)]);
@@ -103,7 +104,7 @@
     assert_eq!(refused(node.ended(id, first.number, End::Lost)).code, Code::Interrupted);
 }
 
-/// An engine's id is another start's, of another build, by the time the first event comes: nobody knows which of them wrote it.
+/// An engine that was restarted with another build before the first event arrives: it is unknown which of the two builds wrote it.
 #[test]
 fn build_changed_under_id() {
     let mut node = knowing(&[writer("w1", Some(BUILD)), writer("w2", Some(BUILD))]);
@@ -114,7 +115,7 @@
     assert_eq!(refused(node.ended(id, first.number, End::Lost)).code, Code::Interrupted);
 }
 
-/// Where it has lost its engine before a place at the next was given, the next one's row may say another build by then.
+/// The only other engine of a stream's build has been updated to another build when the stream loses its engine.
 #[test]
 fn build_changed_before_sending() {
     let mut node = knowing(&[writer("w1", Some(BUILD)), writer("w2", Some(BUILD))]);
@@ -135,7 +136,7 @@
     boragecove_fleet::origin(&node.state, Stream::of(&stream.to_string()))?.build
 }
 
-/// Two attempts had the same id, and began at two builds: nobody knows which of them a client means.
+/// Two attempts with the same id began at two builds: it is unknown which of them a client means.
 #[test]
 fn ids_used_twice() {
     let mut node = knowing(&[writer("w1", Some(BUILD))]);
@@ -145,7 +146,7 @@
     assert_eq!((build_of(&node, 0), build_of(&node, 1)), (Some(BUILD.into()), None));
 }
 
-/// What is kept of streams is bounded; the ones told longest ago go first, and are unknown then. What is told again stays.
+/// The number of stored origins is bounded. Those received longest ago are dropped first, and those received again stay.
 #[test]
 fn oldest_forgotten() {
     let mut node = knowing(&[writer("w1", Some(BUILD))]);
@@ -153,13 +154,13 @@
         noted(&mut node, 0..1, BUILD);
         noted(&mut node, streams, BUILD);
     }
-    assert!(node.state.streams_kept() <= 65_536, "{} are kept", node.state.streams_kept());
+    assert!(node.state.streams_kept() <= 65_536, "{} are stored", node.state.streams_kept());
     assert_eq!(build_of(&node, 0), Some(BUILD.into()));
     assert_eq!(build_of(&node, 1), None);
     assert_eq!(build_of(&node, 119_999), Some(BUILD.into()));
 }
 
-/// Whoever knows nobody who could tell refuses at once, with a code that says that nothing ran.
+/// A process that knows no replica of a stream refuses to resume it at once, with a code that guarantees that nothing ran.
 #[test]
 fn nobody_to_ask() {
     let mut node = knowing(&[writer("w1", Some(BUILD)), writer("w2", Some(NEXT))]);
@@ -171,8 +172,8 @@
     }
 }
 
-/// A stream goes on at the service that began it, whichever of its route's services is drawn for new ones; where its route has left that service, it
-/// does not go on.
+/// A stream is resumed at the service that began it, whichever of its route's services is drawn for new requests. If the route no longer
+/// includes that service, the request is refused.
 #[test]
 fn service_kept() {
     let split = |services: &[&str]| {
@@ -194,8 +195,8 @@
     assert_eq!(node.refused(arrival).code, Code::BuildGone);
 }
 
-/// A leader that takes the lease before it knows the engines' table writes on which builds have served: whoever is killed after it would leave nobody
-/// who knows.
+/// A leader that takes the lease before it has read the engines' table copies the build history from the old lease row to the new one. If it did not,
+/// the history would be lost when that leader is killed.
 #[test]
 fn history_written_on() {
     let report = Report {
@@ -219,9 +220,12 @@
         lease::Call::Write { row, .. } => Some(row),
         lease::Call::Read => None,
     });
-    let builds = row.expect("it takes the lease").builds.expect("it writes them on");
+    let builds = row.expect("a write of the lease").builds.expect("the build history");
     assert_eq!(builds.known_ms, None);
-    assert_eq!(builds.age_ms, 2_200, "the lease lasts 1.6 s from when the row was written at the latest");
+    assert_eq!(
+        builds.age_ms, 2_200,
+        "100 ms, 500 ms since the lease ended, and its length of 1.6 s, since the row may have been written at its beginning"
+    );
     let rows = vec![row_of(1, "w1"), row_of(2, "w2")];
     let asked = node.now;
     node.feed(listed(asked, rows, 2, true));
@@ -233,7 +237,7 @@
     row(version, writer(id, Some(BUILD)))
 }
 
-/// The same where the row is too old: a build may have come and gone since.
+/// A build history that is too old is not used, because a build may have come and gone since.
 #[test]
 fn history_too_old() {
     let report = Report { known_ms: None, age_ms: 20_000, builds: Vec::new() };
