--- a/fleet/tests/world/streams.rs
+++ b/fleet/tests/world/streams.rs
@@ -1,5 +1,5 @@
-//! Streams in a deployment of a test, from end to end: each event bears the build of the engine that wrote it, and clients take up streams that
-//! broke, at any entry VM, naming the attempt that brought the first event.
+//! Simulated streams from engine to client. Each event carries the build of the engine that wrote it, and clients resume broken streams at any
+//! entry VM, naming the attempt that delivered the first event.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -15,19 +15,20 @@
 use super::{Load, World};
 use crate::node::streamed;
 
-/// Time from a request's arrival at an engine to its first event, and from one event to the next.
+/// Time from a request's arrival at an engine to its first event.
 const FIRST_MS: u64 = 60;
+/// Time from one event to the next.
 const EVENT_MS: u64 = 50;
-/// Time until a broken connection is seen.
+/// Time until a broken connection is noticed.
 const BROKEN_MS: u64 = 3;
-/// How often a client tries to take a stream up again.
+/// Failed attempts after which a client gives a stream up.
 const TRIES: u32 = 4;
-/// Engines of a build that serve where a client may count on its stream's going on.
+/// Number of serving engines of a build with which a resumed stream is expected to continue.
 const SERVING: usize = 2;
 /// The workspace of callers without a key.
 const NOBODY: &str = "";
 
-/// An event of a stream, as its client has it.
+/// An event of a stream as received by its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Piece {
     pub build: Name,
@@ -40,9 +41,9 @@
 pub struct Client {
     pub pieces: Vec<Piece>,
     pub events: usize,
-    /// When it asked first.
+    /// When it sent its first attempt.
     pub asked: Time,
-    /// The attempt that brought the first event.
+    /// The stream's id, from the attempt that delivered the first event.
     origin: Option<Stream>,
     attempt: String,
     tries: u32,
@@ -53,22 +54,22 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Whole,
-    /// Refused at last, or broken off as often as it may be.
+    /// Refused or broken off in every attempt that the client makes.
     Lost(Option<Code>),
 }
 
-/// A client took a stream up again.
+/// An attempt of a client to resume a stream.
 #[derive(Clone, Debug)]
 pub struct Taken {
     pub at: Time,
     pub client: usize,
-    /// Events that it had.
+    /// Number of events that it had.
     pub had: usize,
-    /// Whether two engines of its build served then.
+    /// Whether enough engines of its build were serving then.
     pub serves: bool,
-    /// Whether another event came.
+    /// Whether another event arrived.
     pub went_on: bool,
-    /// How it was refused, and how long after it came.
+    /// The code with which it was refused, and the time from the attempt to the refusal.
     pub refused: Option<(Code, Duration)>,
 }
 
@@ -78,27 +79,27 @@
     pub clients: Vec<Client>,
     pub taken: Vec<Taken>,
     pub(super) at: BTreeMap<(usize, Id), usize>,
-    /// When clients try again.
+    /// When clients send their next attempt.
     retries: Vec<(Time, usize)>,
     drawn: u64,
-    /// Whether clients leave out which stream they take up.
+    /// Whether clients do not name the stream that they resume.
     pub unnamed: bool,
     crashed: BTreeSet<Name>,
 }
 
 impl Streams {
-    /// Streams of which this client's events are, by their builds.
+    /// The builds that wrote this client's events.
     pub fn builds_of(&self, client: usize) -> BTreeSet<Name> {
         self.clients[client].pieces.iter().map(|piece| piece.build.clone()).collect()
     }
 
-    /// Streams that hold events of two builds.
+    /// Number of streams with events of more than one build.
     pub fn mixed(&self) -> usize {
         let mixed = |client: &&Client| client.pieces.windows(2).any(|pair| pair[0].build != pair[1].build);
         self.clients.iter().filter(mixed).count()
     }
 
-    /// Of the streams that were taken up while their build served, the part that went on within their clients' tries, and how many there were. A
+    /// Of the streams that were resumed while their build served, the share that continued within their clients' attempts, and their number. A
     /// stream that breaks off twice counts twice.
     pub fn gone_on(&self) -> (f64, usize) {
         let mut breaks: BTreeMap<(usize, usize), bool> = BTreeMap::new();
@@ -109,14 +110,14 @@
         (on as f64 / breaks.len().max(1) as f64, breaks.len())
     }
 
-    /// The longest time until a client was told that its stream cannot go on.
+    /// The longest time until a client was refused because its stream cannot be resumed.
     pub fn refused_after(&self) -> Duration {
         let refused = self.taken.iter().filter_map(|taken| taken.refused);
         let unknown = refused.filter(|(code, _)| matches!(code, Code::OriginUnknown | Code::BuildGone));
         unknown.map(|(_, after)| after).max().unwrap_or_default()
     }
 
-    /// Streams that their clients have whole, as a part of all.
+    /// The share of streams that their clients received completely.
     pub fn whole(&self) -> f64 {
         let whole = self.clients.iter().filter(|client| client.end == Some(Ending::Whole)).count();
         whole as f64 / self.clients.len().max(1) as f64
@@ -124,14 +125,14 @@
 }
 
 impl World {
-    /// An engine starts, holds the model `m0`, and registers.
+    /// Starts and registers an engine that holds the model `m0`.
     pub fn start_engine(&mut self, entry: Entry) {
         let backends = self.backends.as_mut().expect("engines");
         backends.place(&entry);
         self.register(entry);
     }
 
-    /// An engine crashes: its entry stays until the store misses its heartbeats, and is removed by [`World::deregister`].
+    /// Crashes an engine. Its entry stays until [`World::deregister`] removes it, as the store does after missed heartbeats.
     pub fn crash_engine(&mut self, engine: &str) {
         let engine = Name::from(engine);
         self.truth.insert(engine.clone(), None);
@@ -148,7 +149,7 @@
         }
     }
 
-    /// Clients begin so many streams of so many events a second for a while, at entry VMs at random.
+    /// Advances the time while clients begin `per_s` streams per second, of `events` events each, at random entry VMs.
     pub fn stream(&mut self, time: Duration, per_s: f64, events: usize) {
         let end = self.now + time;
         while self.now < end {
@@ -161,14 +162,14 @@
         }
     }
 
-    /// A client asks for a stream of so many events, at an entry VM at random. Returns its number.
+    /// A client requests a stream at a random entry VM. Returns the client's index.
     pub fn begin_stream(&mut self, events: usize) -> usize {
         let client = self.add_client(events);
         self.try_stream(client);
         client
     }
 
-    /// The same at an entry VM.
+    /// A client requests a stream at this entry VM. Returns the client's index.
     pub fn begin_stream_at(&mut self, vm: usize, events: usize) -> usize {
         let client = self.add_client(events);
         self.try_stream_at(client, vm);
@@ -189,7 +190,7 @@
         client
     }
 
-    /// A client sends an attempt, to an entry VM at random.
+    /// A client sends an attempt to a random entry VM.
     fn try_stream(&mut self, client: usize) {
         let running: Vec<usize> = (0..self.len()).filter(|at| self.is_running(*at)).collect();
         if running.is_empty() {
@@ -200,7 +201,7 @@
         self.try_stream_at(client, vm);
     }
 
-    /// A client sends an attempt to an entry VM.
+    /// A client sends an attempt to this entry VM.
     pub fn try_stream_at(&mut self, client: usize, vm: usize) {
         let now = self.now;
         self.streams.drawn += 1;
@@ -225,13 +226,13 @@
         self.arrive(vm, &Name::from(NOBODY), 0.0, arrival);
     }
 
-    /// Engines of a build that run and do not leave.
+    /// Number of running engines of a build that are not leaving.
     pub fn serving(&self, build: &Name) -> usize {
         let entries = self.truth.values().flatten();
         entries.filter(|entry| !entry.leaving && entry.build.as_ref() == Some(build)).count()
     }
 
-    /// Whether a request is a stream's, which the engine begins to write then.
+    /// Lets an engine begin to write the stream of a request. Returns whether the request belongs to a stream.
     pub(super) fn streams_to(
         &mut self,
         vm: usize,
@@ -250,7 +251,7 @@
         true
     }
 
-    /// An event of a stream comes to the entry VM that serves its client.
+    /// An event of a stream arrives at the entry VM that serves its client.
     pub(super) fn piece(&mut self, vm: usize, request: Id, written: Box<Written>) {
         let Written { attempt, build, relay } = &*written;
         let Some(client) = self.streams.at.get(&(vm, request)).copied() else {
@@ -265,7 +266,7 @@
             return self.ended(vm, request, attempt.number, End::Lost);
         }
         if !self.reaches_engine(vm, &attempt.engine) && relay.is_none() {
-            // Nothing comes across, and nothing says that it is over.
+            // The event does not get through, and the connection does not break either.
             self.post(vm, vm, EVENT_MS, Load::Piece(request, written));
             return;
         }
@@ -314,7 +315,7 @@
         }
     }
 
-    /// An entry VM is asked what began a stream.
+    /// An entry VM is asked for the origin of a stream.
     pub(super) fn trace(&mut self, from: usize, to: usize, request: Id, stream: Stream) {
         let origin = boragecove_fleet::origin(&self.vms[to].state, stream);
         if self.reaches(to, from) {
@@ -323,14 +324,14 @@
         }
     }
 
-    /// It answers, or has not in time: whichever comes first ends the call.
+    /// The entry VM answers, or the call times out. Whichever comes first cancels the other.
     pub(super) fn traced(&mut self, vm: usize, request: Id, keeper: usize, origin: Option<Origin>) {
         let same = |load: &Load| matches!(load, Load::Traced(of, by, _) if *of == request && *by == keeper);
         self.on_way.retain(|way| way.to != vm || !same(&way.load));
         self.feed(vm, Event::Traced { request, origin });
     }
 
-    /// An entry VM is gone: its clients see their connections break.
+    /// An entry VM has ended, so the connections of its clients break.
     pub(super) fn lose_streams(&mut self, vm: usize) {
         let lost: Vec<((usize, Id), usize)> =
             self.streams.at.extract_if(.., |(at, _), _| *at == vm).collect();
@@ -342,14 +343,14 @@
         }
     }
 
-    /// An entry VM is killed, and one of its clients takes its stream up at another at once.
+    /// Kills an entry VM, and lets a client resume its stream at another one at once.
     pub fn move_stream(&mut self, client: usize, from: usize, to: usize) {
         self.kill(from);
         self.streams.retries.retain(|(_, waiting)| *waiting != client);
         self.try_stream_at(client, to);
     }
 
-    /// Clients whose time has come try again.
+    /// Sends the attempts that are due.
     pub(super) fn retry_streams(&mut self) {
         let now = self.now;
         let due: Vec<(Time, usize)> = self.streams.retries.extract_if(.., |(at, _)| *at <= now).collect();
@@ -359,17 +360,17 @@
     }
 }
 
-/// What an engine writes of a stream.
+/// An event written by an engine.
 #[derive(Clone, Debug)]
 pub struct Written {
     attempt: Attempt,
     build: Name,
-    /// The entry VM that passes it on, and which start of that.
+    /// The entry VM that relays it, with the number of that VM's start.
     relay: Option<(usize, u64)>,
 }
 
 impl World {
-    /// The engines that run, as they are.
+    /// The running engines with their actual state.
     pub fn running(&self) -> Vec<Entry> {
         self.truth.values().flatten().cloned().collect()
     }
