--- a/fleet/benches/quota.rs
+++ b/fleet/benches/quota.rs
@@ -1,4 +1,4 @@
-//! Time that keys and limits add to a request, and that shares of limits take the holder of the lease, by how many there are.
+//! Cost of keys and limits per request, and of share allocation at the hub, by their number.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,9 +23,10 @@
 const START: Time = Time::from_millis(1_000_000);
 const SERVICE: &str = "gateway";
 const HOST: &str = "care.example";
-/// Workspaces: as declared today, and many.
+/// Number of workspaces: as configured today, and a large number.
 const WORKSPACES: [u32; 2] = [16, 5_000];
-/// Entry VMs, workspaces with limits and availability zones: today's, and those of two years from now.
+/// Number of entry VMs, workspaces with limits and availability zones: today's, and those expected in two
+/// years.
 const SIZES: [(usize, u32, usize); 2] = [(62, 16, 3), (410, 2_000, 14)];
 
 fn main() {
@@ -102,7 +103,7 @@
 }
 
 impl Leader {
-    /// The holder of the lease, which holds shares of all limits itself until it hears others.
+    /// The hub, which holds shares of all limits itself until it hears from others.
     fn new(access: Option<Access>) -> Self {
         let address = SocketAddr::from(([10, 0, 0, 1], 7_000));
         let me = Identity { vm: "front-leader".into(), zone: "zone-0".into(), address };
@@ -131,7 +132,7 @@
         self.feed(Event::Wake);
     }
 
-    /// The store takes a renewal of the lease, and all that follows from it is done.
+    /// Completes a renewal of the lease and everything that follows from it.
     fn renewed(&mut self) {
         self.feed(Event::Lease(Answer { store_ms: Some(400), era: Some(0), outcome: Outcome::Written(2) }));
         self.pass(200);
@@ -160,7 +161,7 @@
     });
 }
 
-/// A request that comes, is sent and ends: without keys, and with a key and a limit.
+/// A request that arrives, is sent and ends: without keys, and with a key and a limit.
 #[divan::bench(args = [false, true])]
 fn request(bencher: Bencher<'_, '_>, keyed: bool) {
     let mut leader = Leader::new(keyed.then(|| access(16)));
--- a/fleet/src/budget.rs
+++ b/fleet/src/budget.rs
@@ -1,14 +1,16 @@
-//! Repeats: arrivals of requests at engines beyond the first of each. All entry VMs together may cause only so many in any window: a part of the
-//! requests for the service, and some beyond that.
+//! Retry budget: bounds how many retries all entry VMs together cause in any window. A retry is an arrival
+//! of a request at an engine beyond its first. The bound is a share of the requests for the service plus a
+//! fixed slack. (Settings, logs and metrics call a retry a "repeat".)
 //!
-//! A part of the allowance follows from requests alone: each process earns it with the requests that it takes in itself and may use it for a
-//! while (`own`). Whoever is killed has earned nothing for the next process, and nothing is divided by how many there are. The
-//! rest is with one owner, the leader, which is asked for each repeat (`pool`): it hears with the frames how many requests came. What it has given is
-//! in the row of the lease, and what it may give beyond that until the row is written again is bounded, so that the next leader
-//! goes on from there.
+//! Two sources grant retries. Each process earns some with the requests that it receives itself and may use
+//! them for a short time (`earned`). A process that is killed leaves nothing to its successor, and nothing
+//! is divided by the number of processes. The hub grants the rest, one permit per call (`pool`); frames
+//! tell it how many requests arrived. The lease row stores what the hub has granted. What it may grant
+//! before the row is written again is bounded, so that the next hub can continue from the row.
 //!
-//! In sum, over all lives of all processes: what is earned within `OWN_KEPT` before a window may be used in it besides what is earned in it,
-//! and `OWN_PART` leaves room for that; see the constants.
+//! The bound holds over all lives of all processes: besides what is earned within a window, the window may
+//! contain what was earned up to `EARNED_KEPT` before it. `EARNED_PART` leaves room for that; see the
+//! constants.
 
 mod own;
 mod permit;
@@ -33,92 +35,97 @@
 pub use pool::{Account, Spent};
 use window::Window;
 
-/// Part of the ratio that a process earns with its own requests. With [`OWN_KEPT`] and [`PERMIT_KEPT`] a quarter more of it can be used in a
-/// window, and with [`POOL_PART`] that stays below the whole.
+/// Part of the allowed ratio that processes earn with their own requests. Because of [`OWN_KEPT`] and
+/// [`PERMIT_KEPT`], up to a quarter more than this part can be used in one window; together with
+/// [`POOL_PART`] that is still less than the whole ratio.
 const OWN_PART: f64 = 0.35;
-/// Part of the ratio that the leader gives, of the requests that it has heard of.
+/// Part of the allowed ratio that the hub grants, applied to the requests reported to it.
 const POOL_PART: f64 = 0.5;
-/// Part of the slack that the leader gives. The rest is for counts that are a moment apart, here and at engines.
+/// Part of the slack that the hub grants. The rest covers small time differences between the counts here
+/// and those at the engines.
 const SLACK_PART: f64 = 0.9;
-/// Part of the slack that the leader may give beyond what the row of the lease says.
+/// Part of the slack that the hub may grant beyond what the lease row records.
 const RESERVE_PART: f64 = 0.25;
-/// Part of the window for which what was earned may be used: what one process has earned, and another one after it, are in one window only so far.
+/// Part of the window for which earned retries stay usable. It bounds how much a process and its successor
+/// can use in the same window.
 const OWN_KEPT: f64 = 0.2;
-/// How long a repeat that was allowed may be sent.
+/// How long a granted retry stays valid for sending.
 const PERMIT_KEPT: Duration = Duration::from_millis(500);
-/// Part of the window for which requests are kept that no leader has been told of: a little longer than the frames of a thousand entry VMs are apart.
+/// Part of the window for which request counts are kept that no hub has received. It is slightly longer
+/// than the frame interval with a thousand entry VMs.
 const UNTOLD_KEPT: f64 = 0.5;
-/// Slices in which a window is counted.
+/// Number of slices by which a window is counted.
 const SLICES: u32 = 40;
-/// Part of the window after which a repeat may be allowed again.
+/// Part of the window after which a denied caller may ask the hub again.
 const PAUSE_PART: f64 = 0.05;
 
-/// Requests for a service that came to an entry VM since its last frame.
+/// Number of requests for a service that an entry VM received since its last frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Asked {
-    /// A hash of the service's name.
+    /// Hash of the service's name.
     pub service: u32,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
-/// A question for a repeat, to the leader.
+/// Call to the hub for one retry permit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// A hash of the service's name.
+    /// Hash of the service's name.
     pub service: u32,
-    /// The rank of the request; 0 goes first.
+    /// Rank of the request; 0 is served first.
     pub rank: u8,
 }
 
-/// The answer. One that does not arrive was spent.
+/// Answer to a [`Ask`]. The hub counts a granted permit as used even if this answer is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Permit {
-    /// One repeat may be sent within half a second of the question.
+    /// One retry may be sent within half a second of the call.
     Given,
-    /// None is left, and some may be after this time.
+    /// No permit is left; there may be one after this time.
     Short(Duration),
-    /// This is no leader.
+    /// The receiver is not the hub.
     Elsewhere,
 }
 
-/// What a process keeps of repeats.
+/// Retry budget of a process.
 #[derive(Debug, Default)]
 pub(crate) struct Budget {
     own: FxHashMap<Name, Own>,
-    /// Requests that no leader has been told of, by service.
+    /// Request counts that no hub has received, by service.
     untold: BTreeMap<u32, Window>,
-    /// As the leader.
+    /// The permits that the hub grants; set only while this process is the hub.
     pool: Option<Pool>,
-    /// What the row of the lease that is taken over says; nothing is known before one was read.
+    /// Counts from the lease row that this process takes over; `None` until a row has been read.
     inherited: Option<Spent>,
-    /// Until when the leader is not asked for repeats of a service, and from which rank on.
+    /// By service: until when the hub is not asked for permits, and the most urgent rank that this applies
+    /// to.
     paused: FxHashMap<u32, (Time, u8)>,
-    /// Repeats that were wanted, by whether they were allowed, by whom or why not.
+    /// Number of decisions on retries, by label.
     pub(crate) decisions: BTreeMap<&'static str, u64>,
 }
 
-/// Time in which what was allowed arrives, counted from when it was.
+/// Time within which the retry of a permit can arrive at an engine, counted from the grant.
 fn counted(settings: &Settings) -> Duration {
     settings.repeat_window + PERMIT_KEPT
 }
 
-/// What the leader may give of a service beyond what the row of the lease says.
+/// Retries of a service that the hub may grant beyond what the lease row records.
 fn reserve(settings: &Settings) -> u32 {
     (settings.repeat_slack * RESERVE_PART).max(1.0) as u32
 }
 
-/// A slice of the window.
+/// Length of one slice of the window.
 fn slice(settings: &Settings) -> Duration {
     settings.repeat_window / SLICES
 }
 
-/// How long until a repeat may be allowed again, at most.
+/// Longest pause before the hub is asked again.
 pub(crate) fn pause(settings: &Settings) -> Duration {
     settings.repeat_window.mul_f64(PAUSE_PART)
 }
 
-/// A request for a service came from a caller.
+/// Counts a request that arrived from a caller.
 pub(crate) fn request(state: &mut State, now: Time, service: &Name) {
     let State { budget, settings, quota, .. } = state;
     let own = budget.own.entry(service.clone()).or_insert_with(|| Own::new(quota.process(), service));
@@ -127,7 +134,8 @@
     untold.add(now, 1, settings);
 }
 
-/// The requests that no leader has been told of, for one that is told now: whether or not it hears of them, no other is told.
+/// Takes the request counts that no hub has received, to be sent to the current one. They are never sent
+/// twice, even if that hub does not receive them.
 pub(crate) fn tell(state: &mut State, now: Time) -> Vec<Asked> {
     let kept = state.settings.repeat_window.mul_f64(UNTOLD_KEPT);
     let untold = std::mem::take(&mut state.budget.untold);
@@ -136,7 +144,7 @@
     asked.filter(|asked| asked.requests > 0).collect()
 }
 
-/// As the leader: an entry VM tells of its requests.
+/// As the hub: adds the request counts reported by an entry VM.
 pub(crate) fn told(state: &mut State, now: Time, asked: &[Asked]) {
     let State { budget, settings, .. } = state;
     if let Some(pool) = &mut budget.pool {
@@ -144,13 +152,13 @@
     }
 }
 
-/// As the leader: its own requests.
+/// As the hub: adds its own request counts.
 pub(crate) fn tell_own(state: &mut State, now: Time) {
     let asked = tell(state, now);
     told(state, now, &asked);
 }
 
-/// Answers a question for a repeat.
+/// Answers a call for a retry permit.
 pub(crate) fn give(state: &mut State, now: Time, ask: Ask) -> Permit {
     let leads = state.lease.holds(now).is_some();
     let wait = pause(&state.settings).mul_f64(frame::many(state));
@@ -161,44 +169,45 @@
     if pool.give(now, ask, settings) { Permit::Given } else { Permit::Short(wait) }
 }
 
-/// The row of the lease is about to be written.
+/// Must be called when the lease row is about to be written.
 pub(crate) fn propose(state: &mut State) {
     if let Some(pool) = &mut state.budget.pool {
         pool.propose();
     }
 }
 
-/// What the row of the lease is to say, after [`propose`].
+/// Counts for the lease row, to be called after [`propose`].
 pub(crate) fn spent(state: &State, now: Time) -> Option<Box<Spent>> {
     let Budget { pool, inherited, .. } = &state.budget;
     pool.as_ref().map(|pool| pool.spent(now, &state.settings)).or_else(|| inherited.clone()).map(Box::new)
 }
 
-/// The row that was proposed last was written.
+/// Must be called when the lease row that was composed last has been written.
 pub(crate) fn written(state: &mut State) {
     if let Some(pool) = &mut state.budget.pool {
         pool.written();
     }
 }
 
-/// This process is about to take over a lease whose row says this. Whoever has given it back has given no repeats since.
+/// Takes over the counts of the lease row before this process takes the lease. If the previous holder
+/// released the lease, it has granted nothing since it wrote the row; otherwise the reserve is added.
 pub(crate) fn inherit(state: &mut State, spent: Option<&Spent>, released: bool) {
     let beyond = if released { 0 } else { reserve(&state.settings) };
     state.budget.inherited = spent.map(|spent| spent.clone().plus(beyond));
 }
 
-/// The same where nobody has held the lease before.
+/// Same as [`inherit`] where nobody has held the lease before.
 pub(crate) fn inherit_nothing(state: &mut State) {
     state.budget.inherited = Some(Spent::default());
 }
 
-/// The lease was taken.
+/// This process has become the hub.
 pub(crate) fn begin(state: &mut State, now: Time) {
     let State { budget, settings, .. } = state;
     budget.pool = Some(Pool::new(now, budget.inherited.take(), settings));
 }
 
-/// The lease is over.
+/// This process is no longer the hub.
 pub(crate) fn end(state: &mut State) {
     state.budget.pool = None;
     state.budget.inherited = None;
--- a/fleet/src/budget/own.rs
+++ b/fleet/src/budget/own.rs
@@ -1,4 +1,4 @@
-//! Repeats that a process has earned with its own requests.
+//! Retries that a process earns with its own requests.
 
 use std::collections::VecDeque;
 
@@ -9,26 +9,26 @@
 use super::{OWN_KEPT, OWN_PART, PERMIT_KEPT};
 use crate::settings::Settings;
 
-/// What was earned with requests for one service.
+/// Retries earned with the requests for one service.
 #[derive(Debug)]
 pub(super) struct Own {
-    /// A part of a repeat; below 1.
+    /// Fraction of the next retry, below 1.
     part: f64,
-    /// When each whole one was earned.
+    /// When each available retry was earned.
     earned: VecDeque<Time>,
-    /// Until when each may be sent that was allowed and not sent.
+    /// Expiry of each permit that was granted and returned unused.
     returned: VecDeque<Time>,
 }
 
 impl Own {
-    /// Of a process that begins, by its number, with a part that differs from process to process: where each of many gets few requests, they earn in
-    /// sum what one alone would.
+    /// Starts with a fraction derived from the process number. It differs between processes so that many
+    /// processes with few requests each earn in sum as much as a single one would.
     pub(super) fn new(process: u64, service: &Name) -> Self {
         let drawn = xxh3_64_with_seed(service.as_bytes(), process);
         Self { part: drawn as f64 / u64::MAX as f64, earned: VecDeque::new(), returned: VecDeque::new() }
     }
 
-    /// A request came.
+    /// Counts a request.
     pub(super) fn earn(&mut self, now: Time, settings: &Settings) {
         self.part += settings.repeat_ratio * OWN_PART;
         while self.part >= 1.0 {
@@ -38,18 +38,18 @@
         self.tidy(now, settings);
     }
 
-    /// One was allowed, and its request has ended without it: another may be sent instead, until the same time.
+    /// Returns the unused permit of an ended request; another request may use it until the same expiry.
     pub(super) fn put_back(&mut self, until: Time) {
         self.returned.push_back(until);
     }
 
-    /// Uses a repeat, the one that lapses first. Returns until when it may be sent, if there is one.
+    /// Uses the retry that expires first and returns its expiry, if any is available.
     pub(super) fn take(&mut self, now: Time, settings: &Settings) -> Option<Time> {
         self.tidy(now, settings);
         self.returned.pop_front().or_else(|| self.earned.pop_front().map(|_earned| now + PERMIT_KEPT))
     }
 
-    /// Repeats that may be used.
+    /// Number of retries available.
     pub(super) fn left(&self) -> usize {
         self.earned.len() + self.returned.len()
     }
--- a/fleet/src/budget/permit.rs
+++ b/fleet/src/budget/permit.rs
@@ -1,4 +1,4 @@
-//! The permits with which requests are sent once more.
+//! Permits that requests need in order to be retried.
 
 use std::time::Duration;
 
@@ -15,24 +15,24 @@
 use crate::request::Id;
 use crate::state::State;
 
-/// Added to the rank of a request whose answer can only be late.
+/// Rank of requests whose answer can no longer begin in time; it comes after all priorities.
 const LATE: u8 = 128;
 
-/// What a request needs to be sent.
+/// Whether a request needs a permit before it can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Repeat {
-    /// Nothing: it has reached no engine.
+    /// No permit needed: the request has reached no engine yet.
     First,
-    /// A permit.
+    /// A permit is needed.
     Needed,
-    /// It has one, to be sent until then.
+    /// A permit was granted and is valid until this time.
     Permitted(Time),
-    /// It was sent with one.
+    /// The request was sent with a permit that was valid until this time.
     Sent(Time),
 }
 
 impl Repeat {
-    /// Until when it may be sent; none if at any time.
+    /// Expiry of the permit; `None` without a permit.
     pub(crate) const fn until(self) -> Option<Time> {
         match self {
             Self::First | Self::Needed => None,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The request is sent.
+    /// State after the request has been sent.
     pub(crate) const fn sent(self) -> Self {
         match self {
             Self::Permitted(until) => Self::Sent(until),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// It was not sent after all.
+    /// State after a send that did not take place: the permit can be used again.
     pub(crate) const fn withdrawn(self) -> Self {
         match self {
             Self::Sent(until) => Self::Permitted(until),
@@ -68,18 +68,18 @@
 /// Whether a request may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Obtained {
-    /// It may.
+    /// It may be sent.
     Yes,
-    /// The leader is asked; [`answered`] follows.
+    /// The hub has been asked; [`answered`] follows.
     Asked,
-    /// It may not.
+    /// It may not be sent.
     No,
 }
 
-/// What came of drawing a permit.
+/// Result of drawing a permit.
 #[derive(Clone, Copy, Debug)]
 enum Drawn {
-    /// There is one, until then.
+    /// A permit that is valid until this time.
     Until(Time),
     Asked,
     Nothing,
@@ -95,18 +95,18 @@
     }
 }
 
-/// Whether a repeat is allowed, by whom or why not.
+/// Decision on a retry, with the grantor or the reason for denial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Decision {
-    /// It was earned here.
+    /// Granted: earned by this process.
     Own,
-    /// The leader gave it.
+    /// Granted by the hub.
     Leader,
-    /// The leader has none left.
+    /// Denied: the hub has none left.
     Spent,
-    /// Nobody is known to lead.
+    /// Denied: no hub is known.
     Unled,
-    /// The leader did not answer in time.
+    /// Denied: the hub did not answer in time.
     Silent,
 }
 
@@ -115,7 +115,7 @@
         matches!(self, Self::Own | Self::Leader)
     }
 
-    /// Its name in logs and metrics.
+    /// Value of the field `by` in logs and label in metrics.
     const fn label(self) -> &'static str {
         match self {
             Self::Own => "own",
@@ -127,7 +127,7 @@
     }
 }
 
-/// Sees to it that a request has a permit if it needs one.
+/// Obtains a permit for a request if it needs one.
 pub(crate) fn obtain(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> Obtained {
     let Some(flow) = state.flows.get(&id) else {
         return Obtained::No;
@@ -142,7 +142,8 @@
     drawn.obtained()
 }
 
-/// The same for a request that is at an engine, and is to be taken from it only if it may be sent to another.
+/// Obtains a permit for a request that is still at an engine. The attempt there is ended only if the
+/// request may be sent to another engine.
 pub(crate) fn ahead(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> Obtained {
     let Some(flow) = state.flows.get(&id) else {
         return Obtained::No;
@@ -157,7 +158,7 @@
     drawn.obtained()
 }
 
-/// Draws a permit, from what was earned here or from the leader.
+/// Draws a permit from those earned by this process, or asks the hub.
 fn draw(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> Drawn {
     let Some(flow) = state.flows.get(&id) else {
         return Drawn::Nothing;
@@ -195,7 +196,7 @@
     Drawn::Asked
 }
 
-/// A request ends: what it was allowed and has not used is there for the next one.
+/// Returns the unused permits of a request that ends.
 pub(crate) fn put_back(state: &mut State, flow: &Flow) {
     let Some(own) = state.budget.own.get_mut(&flow.service) else {
         return;
@@ -208,12 +209,12 @@
     }
 }
 
-/// The rank of a request among those that ask for repeats; 0 goes first.
+/// Rank of a request among those that ask for permits; 0 is served first.
 fn rank(flow: &Flow, now: Time) -> u8 {
     if now < flow.begin_by { flow.priority().min(LATE - 1) } else { LATE }
 }
 
-/// The leader answered a question of then, or did not.
+/// Handles the hub's answer to a call made at `asked`; `permit` is `None` if the call failed.
 pub(crate) fn answered(
     state: &mut State,
     now: Time,
@@ -244,13 +245,13 @@
     }
 }
 
-/// The leader has given a repeat.
+/// Uses a permit granted by the hub.
 fn permitted(state: &mut State, now: Time, id: Id, until: Time, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
     if let Stage::Sent { .. } = flow.stage {
-        // The next look at its engine finds it.
+        // The permit is used when the engine is next checked for silence.
         flow.ahead = Some(until);
         return;
     }
--- a/fleet/src/budget/pool.rs
+++ b/fleet/src/budget/pool.rs
@@ -1,4 +1,4 @@
-//! The repeats that the leader gives, and what the row of the lease says of them.
+//! Retries granted by the hub, and their record in the lease row.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,33 +10,34 @@
 use super::{Ask, Asked, POOL_PART, SLACK_PART, counted, reserve, slice};
 use crate::settings::Settings;
 
-/// Part of a service's allowance that the less urgent may use while more urgent requests ask too.
+/// Part of a service's allowance that is open to less urgent requests while more urgent ones also ask.
 const LESS_URGENT_PART: f64 = 0.75;
-/// Parts of the window by which the row of the lease tells when something was counted.
+/// Number of parts of the window by which the lease row stores the age of counts.
 const AGES: u32 = 4;
 
-/// What the row of the lease says of repeats, for the next leader.
+/// Record of retries in the lease row, for the next hub.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Spent {
-    /// The services that it has counted anything of.
+    /// Services for which anything was counted.
     pub services: Vec<Account>,
-    /// Repeats that may have been given of each other service.
+    /// Number of retries that may have been granted for each service not listed.
     pub others: u32,
 }
 
-/// What was counted of a service in the window, by how many quarters of it ago that was.
+/// Counts of one service within the window; index `i` holds what was counted `i` quarters of the window
+/// ago.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// A hash of the service's name.
+    /// Hash of the service's name.
     pub service: u32,
-    /// Requests.
+    /// Number of requests.
     pub requests: Vec<u32>,
-    /// Repeats that may have been given.
+    /// Number of retries that may have been granted.
     pub given: Vec<u32>,
 }
 
 impl Spent {
-    /// The same with so many more repeats of each service.
+    /// Adds `beyond` granted retries to each service.
     pub(super) fn plus(mut self, beyond: u32) -> Self {
         self.others = self.others.saturating_add(beyond);
         for account in &mut self.services {
@@ -49,18 +50,18 @@
     }
 }
 
-/// One of the ages that the row tells.
+/// Length of one age step in the lease row.
 fn age(settings: &Settings) -> Duration {
     counted(settings) / AGES
 }
 
-/// The leader's counts, by service.
+/// The hub's counts, by service.
 #[derive(Debug)]
 pub(super) struct Pool {
     services: BTreeMap<u32, Service>,
-    /// When the lease was taken.
+    /// When this process became the hub.
     began: Time,
-    /// What leaders before may have given of each service that is not counted yet.
+    /// Retries that earlier hubs may have granted for each service that is not in `services`.
     others: u32,
 }
 
@@ -68,22 +69,25 @@
 struct Service {
     requests: Window,
     given: Window,
-    /// Repeats that were given since the row in the store was composed, and since one was composed last.
+    /// Retries granted since the row in the store was composed (`unwritten`), and since the last row was
+    /// composed, written or not (`unproposed`).
     unwritten: u32,
     unproposed: u32,
-    /// The most urgent rank that asked, and when it did last.
+    /// The most urgent rank that asked lately, and when it last asked.
     urgent: Option<(u8, Time)>,
 }
 
 impl Pool {
-    /// Of a leader that begins; nothing is known of those before where no row says it.
+    /// Starts with the counts of the lease row. Without a row, all services count as exhausted, because
+    /// earlier grants are unknown.
     pub(super) fn new(now: Time, before: Option<Spent>, settings: &Settings) -> Self {
         let before = before.unwrap_or(Spent { services: Vec::new(), others: u32::MAX });
         let mut pool = Self { services: BTreeMap::new(), began: now, others: before.others };
         for account in before.services {
             let age = age(settings);
             let service = Service {
-                // Each is as old as its age may be, and the row may have been written as long ago as a lease lasts.
+                // The row stores ages in steps and may have been written one lease length ago. Requests
+                // count as the oldest and grants as the youngest that this allows.
                 requests: Window::aged(now, &account.requests, age, age + settings.lease_length),
                 given: Window::aged(now, &account.given, age, Duration::ZERO),
                 ..Service::default()
@@ -102,14 +106,14 @@
         })
     }
 
-    /// An entry VM tells of its requests.
+    /// Adds request counts reported by an entry VM.
     pub(super) fn told(&mut self, now: Time, asked: &[Asked], settings: &Settings) {
         for asked in asked {
             self.service(asked.service, settings).requests.add(now, asked.requests, settings);
         }
     }
 
-    /// Gives a repeat if there is one. Returns whether there was.
+    /// Grants a retry if one is available, and returns whether it did.
     pub(super) fn give(&mut self, now: Time, ask: Ask, settings: &Settings) -> bool {
         let service = self.service(ask.service, settings);
         let allowed = service.allowed(now, settings) * service.part(now, ask.rank, settings);
@@ -123,12 +127,12 @@
         true
     }
 
-    /// A row is composed.
+    /// A lease row is being composed.
     pub(super) fn propose(&mut self) {
         self.services.values_mut().for_each(|service| service.unproposed = 0);
     }
 
-    /// What a row is to say.
+    /// Counts for a lease row.
     pub(super) fn spent(&self, now: Time, settings: &Settings) -> Spent {
         let age = age(settings);
         let account = |(service, counts): (&u32, &Service)| Account {
@@ -138,7 +142,8 @@
         };
         let services = self.services.iter().map(account);
         let lapsed = now.since(self.began) > counted(settings);
-        // One of which nothing is counted is one of the others, unless more may have been given of those.
+        // A service without counts is covered by `others` and can be left out, once no grant of an earlier
+        // hub counts any more.
         let is_blank = |account: &Account| account.requests.is_empty() && account.given.is_empty();
         Spent {
             services: services.filter(|account| !lapsed || !is_blank(account)).collect(),
@@ -153,19 +158,20 @@
 }
 
 impl Service {
-    /// Repeats that may be given in the window.
+    /// Number of retries that may be granted within the window.
     fn allowed(&self, now: Time, settings: &Settings) -> f64 {
         let requests = f64::from(self.requests.sum(now, settings.repeat_window));
         (settings.repeat_ratio * POOL_PART).mul_add(requests, settings.repeat_slack * SLACK_PART)
     }
 
-    /// Repeats that may arrive in the window that begins now, or have in the one that ends now.
+    /// Number of retries that can arrive within the window starting now, or have arrived within the one
+    /// ending now.
     fn given(&self, now: Time, settings: &Settings) -> u32 {
-        // A slice counts whole as long as any of it does.
+        // A slice counts in full while any part of it lies in the window.
         self.given.sum(now, counted(settings) + slice(settings))
     }
 
-    /// The part of the allowance that a request of this rank may use.
+    /// Part of the allowance that a request of this rank may use.
     fn part(&mut self, now: Time, rank: u8, settings: &Settings) -> f64 {
         let lapsed = |at: Time| now.since(at) > settings.repeat_window;
         match self.urgent {
--- a/fleet/src/budget/window.rs
+++ b/fleet/src/budget/window.rs
@@ -1,4 +1,4 @@
-//! Counts over a window that slides, in slices.
+//! Sliding-window counter with time slices.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 use super::{counted, slice};
 use crate::settings::Settings;
 
-/// What was counted lately.
+/// Recent counts.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Window {
-    /// When each slice began, and its count.
+    /// Start and count of each slice.
     slices: VecDeque<(Time, u32)>,
 }
 
 impl Window {
-    /// Counts so many now.
+    /// Adds `count` at `now`.
     pub(super) fn add(&mut self, now: Time, count: u32, settings: &Settings) {
         let length = slice(settings);
         let kept = counted(settings) + length;
@@ -29,7 +29,8 @@
         }
     }
 
-    /// What was counted, by how many times `length` ago its slice began, rounded down; without zeros at the end.
+    /// Counts by age: index `i` holds the slices that began `i` whole `length`s ago. Trailing zeros are
+    /// left out.
     pub(super) fn by_age(&self, now: Time, length: Duration) -> Vec<u32> {
         let mut ages = Vec::new();
         for (from, count) in self.slices.iter().rev().filter(|(_, count)| *count > 0) {
@@ -40,13 +41,14 @@
         ages
     }
 
-    /// The counterpart of `by_age`, where the youngest of each age was counted so long before now.
+    /// Inverse of `by_age`. The youngest counts of each age are taken to be `before` older than their index
+    /// says.
     pub(super) fn aged(now: Time, ages: &[u32], length: Duration, before: Duration) -> Self {
         let parts = ages.iter().enumerate().rev();
         Self { slices: parts.map(|(age, count)| (now - (length * age as u32 + before), *count)).collect() }
     }
 
-    /// What was counted in slices that began within this time.
+    /// Sum of the slices that began within this time.
     pub(super) fn sum(&self, now: Time, within: Duration) -> u32 {
         let within = self.slices.iter().filter(|(from, _)| now.since(*from) <= within);
         within.fold(0, |sum, (_, count)| sum.saturating_add(*count))
--- a/fleet/src/intake.rs
+++ b/fleet/src/intake.rs
@@ -1,10 +1,11 @@
-//! How many requests a second engines in need take from all entry VMs together, as they say in their answers for as long as it
-//! holds.
+//! Rate limits that engines report in their answers: requests per second from all entry VMs together, valid
+//! for as long as the engine keeps reporting them.
 //!
-//! One entry VM lets requests to such an engine: the owner of its schedule, which all others ask for a place for each request
-//! anyway, spaces the places by the limit. Who owns it alone is known in time ([`crate::ownership`]); one that cannot be certain
-//! gives places for a part of the limit. A limit that is heard goes along with questions for places, and to all by way of the
-//! leader. What waits for a place that was given before goes back.
+//! The limit is enforced by the owner of the engine's schedule. All other entry VMs ask it for a
+//! reservation for each request anyway, and it spaces the reservations by the limit. [`crate::ownership`]
+//! tells when an owner is certainly the only one; an owner that cannot be certain uses a part of the limit.
+//! A reported limit travels with requests for reservations to the owner, and through the hub to all entry
+//! VMs. When a limit is set or lowered, requests that wait for an earlier reservation ask again.
 
 mod brittle;
 mod start;
@@ -30,92 +31,93 @@
 pub(crate) use start::{cold, keeps_schedule, started, surge_of};
 pub(crate) use table::Table;
 
-/// Part of a limit for which an owner gives places that is not certain to be the only one: two of them beside a certain one keep within
-/// the users' rule, and an engine is not left without work when the leader is lost.
+/// Part of the limit that an owner uses while it may not be the only one. Two such owners beside a certain
+/// one stay within the platform's bound, and the engine still gets work when the hub is lost.
 const UNCERTAIN_PART: f64 = 0.25;
-/// One request in this time goes to an engine in any case, if one is there: its answer tells whether the limit still holds.
+/// Longest time between two requests to a limited engine, whatever its limit: only an answer tells whether
+/// the limit still applies.
 const TRIAL_EVERY: Duration = Duration::from_secs(4);
-/// Age of a word from which an engine in need is less and less left to those that need it, and time in which it comes to be used like any
-/// other.
+/// After `AGEING` without a new report, the penalty of a rate-limited engine begins to fall; it reaches
+/// zero after a further `AGED`.
 const AGEING: Duration = Duration::from_secs(2);
 const AGED: Duration = Duration::from_secs(2);
-/// What speaks against an engine in need at most, in ms of waiting.
+/// Largest penalty of a rate-limited engine in the choice of engines, in ms of waiting.
 const RESERVE_MS: f64 = 500.0;
 
-/// What an answer says of the requests that its engine takes.
+/// Rate limit that an answer reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Intake {
-    /// It names no limit.
+    /// No limit reported.
     #[default]
     Open,
-    /// It takes so many a second from all entry VMs together; finite, and not below 0.
+    /// Requests per second from all entry VMs together; finite and not negative.
     Limited(f64),
-    /// It names something that is no number of requests, which is no word either way.
+    /// The reported value is not a valid number. It neither sets nor clears a limit.
     Unreadable,
 }
 
-/// What an entry VM tells another of an engine's limit.
+/// Limits of an engine as one entry VM reports them to another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Advert {
-    /// Which start of which engine.
+    /// The start of the engine that reported them.
     pub from: Start,
-    /// Requests a second; none if there is no limit any more.
+    /// Rate limit in requests per second; `None` if it was lifted.
     pub per_s: Option<f64>,
-    /// Time since the engine said so.
+    /// Time since the engine reported the rate limit or its end.
     pub age: Duration,
-    /// What the engine bears, if it is brittle.
+    /// The rejection limit, if the engine is brittle.
     pub brittle: Option<brittle::Told>,
-    /// Time since it said so, or nothing of it any more; none if it never did.
+    /// Time since the engine reported the rejection limit or its end; `None` if it never reported one.
     pub brittle_age: Option<Duration>,
 }
 
 impl Advert {
-    /// Whether there is a limit, or the engine is brittle.
+    /// Whether the report contains a limit of either kind.
     #[must_use]
     pub const fn names_limit(&self) -> bool {
         self.per_s.is_some() || self.brittle.is_some()
     }
 }
 
-/// How an engine may be used now, as far as is known here.
+/// Whether and when this entry VM can use an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Access {
-    /// It named no limit.
+    /// No limit known.
     Open,
-    /// The next place is free after this time, and so much speaks against taking it, in ms of waiting.
+    /// The next reservation is free after this time; the number is the engine's penalty in ms of waiting.
     After(Duration, f64),
-    /// Nobody can be asked for a place for this time.
+    /// No owner can be asked for a reservation for this time.
     Closed(Duration),
 }
 
-/// How far apart places at an engine are to be.
+/// Spacing of the reservations that this entry VM grants at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Spacing {
-    /// As close as they may be.
+    /// No spacing required.
     Open,
-    /// At least so far.
+    /// At least this time between two reservations.
     Apart(Duration),
-    /// Another entry VM gives them.
+    /// This entry VM does not own the engine's schedule.
     Elsewhere,
 }
 
-/// A limit that holds now.
+/// A limit in force.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Limit {
-    /// Requests a second.
+    /// Requests per second.
     pub(crate) per_s: f64,
-    /// When the engine named it.
+    /// When the engine reported it.
     pub(crate) heard: Time,
 }
 
 impl Limit {
-    /// Time from one request to the next, for a part of it.
+    /// Time between two requests at this part of the limit.
     fn interval(self, part: f64) -> Duration {
         interval(self.per_s * part)
     }
 
-    /// What speaks against its engine beside the wait for a place, in ms: it is left to those that have no other, unless nothing was
-    /// heard of it for a while.
+    /// Penalty of the engine in ms, in addition to the wait for a reservation. It leaves the engine to
+    /// requests that have no other one, and ends when the report has grown old.
     fn reserve_ms(self, now: Time) -> f64 {
         let age = now.since(self.heard);
         let fresh = 1.0 - age.saturating_sub(AGEING).div_duration_f64(AGED);
@@ -124,14 +126,14 @@
     }
 }
 
-/// Time from one request to the next, for so many a second.
+/// Time between two requests at this rate.
 fn interval(per_s: f64) -> Duration {
     let interval = Duration::try_from_secs_f64(1.0 / per_s);
     interval.map_or(TRIAL_EVERY, |interval| interval.min(TRIAL_EVERY))
 }
 
-/// An answer of an engine came. One to a request that was sent before the limit was heard may have been made before there was
-/// one, and ends none.
+/// Handles the rate limit in an engine's answer. An answer without a limit clears the known one only if its
+/// request was sent after that limit was reported; an earlier request may have been answered before.
 pub(crate) fn noticed(
     state: &mut State,
     now: Time,
@@ -150,7 +152,7 @@
             }
             None
         }
-        Intake::Unreadable => return unreadable(state, from, "the limit", out),
+        Intake::Unreadable => return unreadable(state, from, "rate limit", out),
     };
     let before = before.map(|limit| limit.per_s);
     if per_s != before {
@@ -164,16 +166,17 @@
     keep(state, now, from, per_s, now, true);
 }
 
-/// Logs once that a word of an engine is no number of requests.
+/// Logs once per engine that a value it reports is not a valid number.
 fn unreadable(state: &mut State, from: &Start, what: &str, out: &mut Vec<Effect>) {
     if !state.intakes.is_new_unreadable(&from.engine) {
         return;
     }
-    let error = format!("{what} that {} names is no number of requests", from.engine);
+    let error = format!("engine {} reported an invalid {what}", from.engine);
     out.push(Effect::Record(Record::Unusable { what: "engine_limit", error }));
 }
 
-/// Another entry VM told of engines' limits in a frame: the first word that a service's engines are brittle goes on to all at once.
+/// Handles limit reports in a frame of another entry VM. The first report that a service has brittle
+/// engines is pushed to all entry VMs at once.
 pub(crate) fn told_by_frame(state: &mut State, now: Time, limits: &[Advert], out: &mut Vec<Effect>) {
     let limits: Vec<Advert> = limits.iter().filter(|limit| told(state, now, limit)).cloned().collect();
     if !limits.is_empty() {
@@ -181,8 +184,8 @@
     }
 }
 
-/// Another entry VM told of an engine's limit. What an engine said last counts. Returns whether it is the first word that the engines of
-/// its service are brittle.
+/// Handles a limit report of another entry VM; the engine's latest statement wins. Returns whether this is
+/// the first report that the engine's service has brittle engines.
 pub(crate) fn told(state: &mut State, now: Time, told: &Advert) -> bool {
     let Advert { from, per_s, age, .. } = told;
     let heard = now - *age;
@@ -198,20 +201,20 @@
     first
 }
 
-/// Keeps what an engine said.
+/// Stores the rate limit that an engine reported, or its end.
 fn keep(state: &mut State, now: Time, from: &Start, per_s: Option<f64>, heard: Time, own: bool) {
     let Start { engine, incarnation } = from;
     if incarnation.0.is_none() && !state.engines.contains_key(engine) {
-        // Whoever comes under that id may be another.
+        // Without an incarnation, this report cannot be told from one of a later engine with the same id.
         return;
     }
     let said = state.intakes.set(now, from, per_s, heard, own);
     let apart = state.intakes.limit(engine, *incarnation).map(|limit| limit.interval(1.0));
     if let Some(known) = state.engines.get_mut(engine) {
         match apart {
-            // It has got what was sent before.
+            // The engine has just received requests without spacing.
             Some(apart) if said.is_none() => known.schedule.keep_away(now + apart),
-            // It takes more than it did when the next place was set.
+            // The limit has risen since the next reservation time was set.
             Some(apart) if said < per_s => known.schedule.bring_forward(now + apart),
             None if said.is_some() => known.schedule.bring_forward(now),
             Some(_) | None => {}
@@ -222,24 +225,26 @@
     }
 }
 
-/// An engine has named a limit, or a lower one: what waits for a place that was given before is to ask anew.
+/// Cancels the reservations at an engine after its limit was set or lowered, so that their requests ask
+/// again.
 pub(crate) fn recall(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     flow::withdraw(state, now, engine, out);
 }
 
-/// What an engine may be given by all entry VMs together: what it has named, what it bears while it is cold, or what it runs while it is brittle.
+/// The lowest limit in force for an engine over all entry VMs: its reported rate limit, its cold-start
+/// rate, or the throughput of a brittle engine.
 pub(crate) fn bound_of(state: &State, now: Time, engine: &Engine) -> Option<Limit> {
     let limits = state.intakes.limit_of(engine, now).into_iter().chain(brittle::limit(state, now, engine));
     limits.min_by(|one, other| one.per_s.total_cmp(&other.per_s))
 }
 
-/// How an engine may be used now.
+/// Whether and when this entry VM can use an engine now.
 pub(crate) fn access(state: &State, now: Time, engine: &Engine) -> Access {
     let Some(limit) = bound_of(state, now, engine) else {
         return start::access(state, now, engine);
     };
     let place = Access::After(engine.schedule.wait(now), limit.reserve_ms(now));
-    // Most of the time all answer, and who the owner is need not be found for each request and engine.
+    // Usually no entry VM is silent. This check avoids finding the owner for every request and engine.
     if !state.members.list().is_empty() && !state.members.is_any_silent(now) {
         return place;
     }
@@ -250,13 +255,13 @@
     silence.map_or(place, Access::Closed)
 }
 
-/// How far apart places at an engine are to be that this entry VM gives.
+/// Spacing of the reservations that this entry VM grants at an engine.
 pub(crate) fn spacing(state: &State, now: Time, engine: &Engine) -> Spacing {
     let Some(limit) = bound_of(state, now, engine) else {
         return start::spacing(state, now, engine);
     };
     match state.members.claim(&state.me.vm, &engine.entry.id, &engine.entry.zone, now) {
-        // Places that this entry VM gave before it started anew are still to be used.
+        // Reservations that the previous process of this entry VM granted may still be used.
         Claim::Sole if !start::has_run(state, now) => Spacing::Apart(limit.interval(UNCERTAIN_PART)),
         Claim::Sole => Spacing::Apart(limit.interval(1.0)),
         Claim::Uncertain => Spacing::Apart(limit.interval(UNCERTAIN_PART)),
@@ -264,7 +269,7 @@
     }
 }
 
-/// How far apart places at an engine are that its owner gives, as far as is known here.
+/// Spacing that the owner of the engine's schedule is expected to use.
 pub(crate) fn apart(state: &State, now: Time, engine: &Engine) -> Duration {
     match bound_of(state, now, engine) {
         Some(limit) => limit.interval(1.0),
--- a/fleet/src/intake/brittle.rs
+++ b/fleet/src/intake/brittle.rs
@@ -1,9 +1,11 @@
-//! Engines that fall over if they have to turn away too many requests in a second, whoever sent those, as they say in their answers while that
-//! holds.
+//! Brittle engines: they crash when they have to reject too many requests within one second, from whatever
+//! senders, and report so in their answers.
 //!
-//! They may let fewer wait later on without saying so: that is seen by a rejection alone. So each request asks the one owner of the
-//! engine's places, which gives no more than the engine runs, and nobody sends one that would have to wait there. Each rejection is told the owner
-//! at once; it halves what the owner gives, and half of the rejections that the engine bears stop it until the second is over.
+//! Such an engine may shrink its queue without reporting it; only a rejection shows that. Each request
+//! therefore needs a reservation from the owner of the engine's schedule, which grants no more than the
+//! engine can run at once, and nobody sends a request that would have to queue at the engine. Each
+//! rejection is reported to the owner at once and halves the rate of reservations. When half of the
+//! tolerated rejections have occurred, reservations stop until that second is over.
 
 use std::time::Duration;
 
@@ -24,37 +26,40 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Part of an engine's slots that places are given for: runs take longer or shorter than the mean, and none may have to wait.
+/// Part of an engine's slots for which reservations are granted. Run times vary around the mean, and no
+/// request may have to queue.
 const SLOTS_PART: f64 = 0.8;
-/// The time in which engines count what they turn away.
+/// Time over which engines count their rejections.
 const WINDOW: Duration = Duration::from_secs(1);
-/// Time after the last rejection in which an engine is given all that it runs again.
+/// Time after the last rejection in which the rate of reservations returns to the engine's full throughput.
 const RECOVERED: Duration = Duration::from_secs(4);
-/// Rejections that are remembered of one engine, at most: far fewer stop its places.
+/// Number of rejections remembered per engine; far fewer already stop its reservations.
 const REMEMBERED_MAX: usize = 16;
-/// Rejections that were heard of twice are no further apart: each entry VM tells how long ago one was.
+/// Rejections closer together than this are taken to be the same one, reported by different entry VMs:
+/// reports give a rejection's age, not its time.
 const SAME: Duration = Duration::from_millis(2);
-/// How long a service counts as brittle after one of its engines has said so: one that falls over is back within seconds, and
-/// says nothing before its first answer.
+/// How long a service counts as brittle after one of its engines reported a rejection limit. An engine that
+/// crashes is back within seconds, but reports nothing before its first answer.
 const SERVICE_KEPT: Duration = Duration::from_secs(10);
-/// The longest wait for a place at a brittle engine: what was given before a rejection arrives after it.
+/// Longest wait for a reservation at a brittle engine. Requests whose reservation was granted before a
+/// rejection still arrive after it, so few may be waiting.
 pub(crate) const WAIT_MAX: Duration = Duration::from_millis(50);
 
-/// What is known of a brittle engine.
+/// State of a brittle engine.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Brittle {
-    /// Rejections in a second that it bears.
+    /// Rejections per second that it tolerates.
     pub(super) most: f64,
-    /// When it turned requests away lately, in order.
+    /// Times of its recent rejections, in order.
     pub(super) rejections: Vec<Time>,
 }
 
-/// The same, as an entry VM tells another.
+/// State of a brittle engine as one entry VM reports it to another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Told {
-    /// Rejections in a second that it bears.
+    /// Rejections per second that it tolerates.
     pub most: f64,
-    /// How long ago it turned requests away lately.
+    /// Ages of its recent rejections.
     pub rejections: Vec<Duration>,
 }
 
@@ -67,7 +72,7 @@
         Self { most: told.most, rejections: told.rejections.iter().map(|age| now - *age).collect() }
     }
 
-    /// Takes over rejections that were not known. Returns whether there were any.
+    /// Adds rejections that are not stored yet. Returns whether there were any.
     pub(super) fn merge(&mut self, rejections: &[Time]) -> bool {
         let before = self.rejections.len();
         for at in rejections {
@@ -83,7 +88,7 @@
         new
     }
 
-    /// Requests a second that it may be given, of those that it runs.
+    /// Requests per second that the engine may get, out of the `runs_per_s` that it can run.
     fn per_s(&self, now: Time, runs_per_s: f64) -> f64 {
         let lately = self.rejections.iter().filter(|at| now.since(**at) < WINDOW).count();
         if lately >= ((self.most / 2.0) as usize).max(1) {
@@ -112,12 +117,14 @@
     Some(Limit { per_s, heard })
 }
 
-/// Whether an engine is brittle, or may be, and runs as much as it can: one more would wait there.
+/// Whether the engine is brittle, or may be, and has no free slot: another request would have to queue
+/// there.
 pub(crate) fn would_wait(state: &State, now: Time, engine: &Engine) -> bool {
     engine.load().open >= engine.entry.slots && limit(state, now, engine).is_some()
 }
 
-/// An answer of an engine says whether it is brittle. If not, that is over if the request was sent after it was said.
+/// Handles the rejection limit in an engine's answer. An answer without one clears it only if its request
+/// was sent after the limit was reported.
 pub(crate) fn noticed(
     state: &mut State,
     now: Time,
@@ -135,7 +142,7 @@
             }
             (None, "sound")
         }
-        Bearing::Unreadable => return unreadable(state, from, "the number of rejections", out),
+        Bearing::Unreadable => return unreadable(state, from, "rejection limit", out),
     };
     let most = word.as_ref().map(|word| word.most);
     let service = service_of(state, from).filter(|_| most.is_some());
@@ -153,8 +160,8 @@
     state.engines.get(&from.engine).map(|engine| engine.entry.service.clone())
 }
 
-/// All are told that a service's engines are brittle, since hundreds of entry VMs would go on sending for as long as it takes until each has an
-/// answer or a frame's: the leader tells them, and anybody else the leader.
+/// Reports to all entry VMs that a service has brittle engines, through the hub. Otherwise hundreds of them
+/// would keep sending without reservations until each has received an answer or a frame that says so.
 fn tell(state: &mut State, now: Time, from: &Start, out: &mut Vec<Effect>) {
     let advert = state.engines.get(&from.engine).and_then(|known| state.intakes.told(now, known));
     let message = Message { limits: advert.into_iter().collect(), ..Message::default() };
@@ -162,7 +169,8 @@
     frame::send(state, now, out);
 }
 
-/// A brittle engine turned a request away: the owner of its places hears of it at once, and what waits for a place asks anew.
+/// Handles a rejection by a brittle engine: reports it to the owner of its schedule at once and cancels the
+/// reservations granted here.
 pub(crate) fn rejected(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get(engine) else {
         return;
@@ -185,7 +193,8 @@
     }
 }
 
-/// Another entry VM told what it knows. Returns whether it is the first word that the engines of the service are brittle.
+/// Handles the rejection limit in another entry VM's report. Returns whether this is the first report that
+/// the engine's service has brittle engines.
 pub(super) fn told(state: &mut State, now: Time, advert: &Advert) -> bool {
     let Some(told) = &advert.brittle else {
         if state.intakes.brittle_word(&advert.from).is_some() && advert.brittle_age.is_some() {
@@ -206,7 +215,7 @@
     news && first
 }
 
-/// Places that were given go back, and the next one is as far away as it is now.
+/// Cancels the reservations at an engine and delays the next one by the current spacing.
 fn hold(state: &mut State, now: Time, engine: &Name) {
     let Some(known) = state.engines.get(engine) else {
         return;
@@ -229,23 +238,24 @@
 }
 
 impl Table {
-    /// What is known of a brittle engine in the list.
+    /// State of a listed engine that is brittle.
     pub(super) fn brittle(&self, engine: &Engine) -> Option<&Brittle> {
         let word = self.word(&engine.entry.id, engine.entry.incarnation)?;
         word.brittle.as_ref()
     }
 
-    /// Whether an engine in the list has said that it is brittle.
+    /// Whether a listed engine has reported a rejection limit.
     pub(crate) fn is_brittle(&self, engine: &Engine) -> bool {
         self.brittle(engine).is_some()
     }
 
-    /// Whether an engine of a service has said lately that it is brittle.
+    /// Whether an engine of the service has recently reported a rejection limit.
     pub(super) fn is_service_brittle(&self, service: &Name, now: Time) -> bool {
         self.services.get(service).is_some_and(|at| now.since(*at) < SERVICE_KEPT)
     }
 
-    /// An engine of a service said then that it is brittle. Returns whether none had lately.
+    /// Records that an engine of a service reported a rejection limit. Returns whether it is the first such
+    /// report for `SERVICE_KEPT`.
     fn note_service(&mut self, service: Name, heard: Time) -> bool {
         let before = self.services.get(&service).copied();
         self.services.insert(service, before.max(Some(heard)).unwrap_or(heard));
--- a/fleet/src/intake/start.rs
+++ b/fleet/src/intake/start.rs
@@ -1,7 +1,8 @@
-//! Engines that have just started: they are cold, and bear few requests a second for a while.
+//! Cold starts: for some time after a start, an engine can take only a few requests per second.
 //!
-//! One that is known to be cold has a limit, as an engine in need has. One may turn cold before it says so: engines of such a service are
-//! never given more than a cold one bears, by the one owner of their places.
+//! An engine known to be cold is treated as rate-limited. An engine may also be cold before anyone knows.
+//! Where a service has a cold-start rate, the owner of an engine's schedule therefore never grants more in
+//! any second than a cold engine can take.
 
 use std::time::Duration;
 
@@ -14,13 +15,15 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Part of the requests that a cold engine bears in any second which an engine is given that may be cold: some arrive closer together than
-/// they were sent.
+/// Part of the cold-start rate that an engine gets while it is not known to be cold. Some requests arrive
+/// closer together than they were sent.
 const SURGE_PART: f64 = 0.8;
-/// The same where no entry VM is known that may give places.
+/// Same as `SURGE_PART` while this entry VM knows of no others: several may then grant reservations at the
+/// same time.
 const SURGE_ALONE: f64 = 0.15;
 
-/// An engine has just started, or is used again after a time in which it may have been: it is cold.
+/// Marks an engine as cold that has just started, or that is used again after a time in which it may have
+/// been restarted.
 pub(crate) fn started(state: &mut State, now: Time, engine: &Name) {
     let service = state.engines.get(engine).map(|engine| engine.entry.service.clone());
     if let Some(start) = service.and_then(|service| start_of(state, &service)) {
@@ -28,7 +31,7 @@
     }
 }
 
-/// An engine is cold for so long: what waits for a place that was given before goes back.
+/// Marks an engine as cold for the time `left`, and cancels earlier reservations at it.
 pub(crate) fn cold(state: &mut State, now: Time, engine: &Name, left: Duration) {
     let service = state.engines.get(engine).map(|engine| engine.entry.service.clone());
     let Some(start) = service.and_then(|service| start_of(state, &service)) else {
@@ -48,19 +51,20 @@
     }
 }
 
-/// What engines of a service bear after a start.
+/// Cold-start rate of a service's engines, from the configuration.
 fn start_of(state: &State, service: &Name) -> Option<Start> {
     state.config.as_ref()?.service(service)?.start
 }
 
-/// Requests that an engine of a service may be given in any second, whatever is known of it: it may have started, or have become
-/// cold, and nobody knows yet. None where engines bear as much after a start as later.
+/// Requests that an engine of the service may get in any second even if it is not known to be cold: it may
+/// have restarted unnoticed. `None` if the service has no cold-start rate.
 pub(crate) fn surge_of(state: &State, service: &Name) -> Option<f64> {
     let start = start_of(state, service)?;
     Some(start.per_s * state.settings.cold_overage + state.settings.cold_slack)
 }
 
-/// Whether what another says of an engine's schedule is not to be taken over: the engine may be cold, and this entry VM gives its places.
+/// Whether another entry VM's statement on an engine's schedule must be ignored, because the engine may be
+/// cold and this entry VM owns its schedule.
 pub(crate) fn keeps_schedule(state: &State, now: Time, engine: &Name) -> bool {
     let known = state.engines.get(engine).map(|engine| &engine.entry);
     known.is_some_and(|entry| {
@@ -69,12 +73,13 @@
     })
 }
 
-/// Whether this process has run for so long that no second holds places which its earlier start gave.
+/// Whether this process has run long enough that all reservations granted by its predecessor are used and a
+/// second old.
 pub(super) fn has_run(state: &State, now: Time) -> bool {
     now.since(state.started) > state.settings.schedule_wait + Duration::from_secs(1)
 }
 
-/// How far apart places are that this entry VM gives at an engine which has no limit, as far as is known here.
+/// Spacing of the reservations that this entry VM grants at an engine without a known limit.
 pub(super) fn spacing(state: &State, now: Time, engine: &Engine) -> Spacing {
     let Some(surge) = surge_of(state, &engine.entry.service) else {
         return Spacing::Open;
@@ -87,10 +92,11 @@
     if alone { Spacing::Apart(interval(surge * SURGE_ALONE)) } else { Spacing::Elsewhere }
 }
 
-/// How an engine may be used that has no limit, as far as is known here. One that may be cold is left to those that have no other while the
-/// owner of its places does not answer: another owner knows nothing of the places that were given just before.
+/// Whether and when this entry VM can use an engine without a known limit. If the engine may be cold and
+/// the owner of its schedule does not answer, it is left to requests that have no other engine: the next
+/// owner does not know which reservations the silent one granted last.
 pub(super) fn access(state: &State, now: Time, engine: &Engine) -> Access {
-    // Most of the time all answer.
+    // Usually no entry VM is silent.
     if !state.members.is_any_silent(now) || surge_of(state, &engine.entry.service).is_none() {
         return Access::Open;
     }
@@ -99,7 +105,7 @@
     if silent { Access::After(Duration::ZERO, RESERVE_MS) } else { Access::Open }
 }
 
-/// How far apart places at an engine are that its owner gives, which has no limit as far as is known here.
+/// Spacing that the owner is expected to use at an engine without a known limit.
 pub(super) fn apart(state: &State, engine: &Engine) -> Duration {
     surge_of(state, &engine.entry.service).map_or(Duration::ZERO, |surge| interval(surge * SURGE_PART))
 }
--- a/fleet/src/intake/table.rs
+++ b/fleet/src/intake/table.rs
@@ -1,4 +1,4 @@
-//! What is known of engines' limits, and what the leader and the others have been told of it.
+//! Limits that engines have reported, and which of them the hub and the other entry VMs have received.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,42 +14,42 @@
 use crate::notice::Start;
 use crate::schedule::{Ask, Grant};
 
-/// Engines whose word is remembered, at most; the earliest make way.
+/// Largest number of engines whose reports are stored; the earliest report is dropped first.
 const WORDS_MAX: usize = 1_000;
-/// How long it is remembered that an engine takes any number again: longer than any other word of it is on its way.
+/// How long a lifted limit is remembered: longer than any earlier report of the limit can be in transit.
 const LIFTED_KEPT: Duration = Duration::from_mins(1);
 
-/// What is known of an engine's limit.
+/// Limits of one start of an engine.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct Entry {
     incarnation: Incarnation,
-    /// Requests a second; none if there is no limit any more.
+    /// Rate limit in requests per second; `None` if it was lifted or never set.
     per_s: Option<f64>,
-    /// When the engine said so.
+    /// When the engine reported the rate limit or its end.
     heard: Time,
-    /// Which change it is of those that this process knows.
+    /// Number of the last change of this entry, in the order of this process's changes.
     number: u64,
-    /// Whether the leader is to be told.
+    /// Whether the hub must be told of it.
     own: bool,
-    /// What it bears, if it is brittle,
+    /// State of a brittle engine; `None` if it has no rejection limit.
     pub(super) brittle: Option<Brittle>,
-    /// and when it said so, or nothing of it any more.
+    /// When the engine reported the rejection limit or its end.
     brittle_heard: Option<Time>,
 }
 
-/// What engines have said of their limits.
+/// Limits that engines have reported.
 #[derive(Debug, Default)]
 pub(crate) struct Table {
     by_engine: BTreeMap<Name, Entry>,
-    /// When an engine of a service last said that it is brittle.
+    /// By service: when one of its engines last reported a rejection limit.
     pub(super) services: BTreeMap<Name, Time>,
-    /// Engines of which a line says that their word cannot be read.
+    /// Engines for which an invalid value has been logged.
     unreadable: BTreeSet<Name>,
-    /// Changes of all words.
+    /// Numbers the changes of all entries.
     exchange: Exchange,
-    /// Requests that were sent to engines that had named a limit.
+    /// Requests sent to engines with a rate or rejection limit.
     sent: u64,
-    /// Questions for places at such engines, by how they were answered.
+    /// Requests for reservations at such engines, by result.
     answers: BTreeMap<&'static str, u64>,
 }
 
@@ -67,18 +67,18 @@
 }
 
 impl Table {
-    /// The limit that this start of an engine has named, if it holds.
+    /// The rate limit that this start of an engine has reported, if any.
     pub(crate) fn limit(&self, engine: &Name, incarnation: Incarnation) -> Option<Limit> {
         let word = self.by_engine.get(engine).filter(|word| word.incarnation == incarnation)?;
         word.per_s.map(|per_s| Limit { per_s, heard: word.heard })
     }
 
-    /// The limit that an engine in the list has named.
+    /// The rate limit that a listed engine has reported, if any.
     pub(crate) fn named_by(&self, engine: &Engine) -> Option<Limit> {
         self.limit(&engine.entry.id, engine.entry.incarnation)
     }
 
-    /// The limit of an engine in the list: the one that it has named, or what it bears while it is cold.
+    /// The lower of a listed engine's reported rate limit and its cold-start rate.
     pub(crate) fn limit_of(&self, engine: &Engine, now: Time) -> Option<Limit> {
         let cold = engine.cold.filter(|cold| now < cold.until);
         let cold = cold.map(|cold| Limit { per_s: cold.per_s, heard: cold.since });
@@ -86,48 +86,49 @@
         limits.min_by(|one, other| one.per_s.total_cmp(&other.per_s))
     }
 
-    /// Engines that have named a limit which holds.
+    /// Number of engines with a rate limit.
     pub(crate) fn limited(&self) -> usize {
         self.by_engine.values().filter(|word| word.per_s.is_some()).count()
     }
 
-    /// Requests that were sent to engines that had named a limit.
+    /// Requests sent to engines with a rate or rejection limit.
     pub(crate) const fn sent(&self) -> u64 {
         self.sent
     }
 
-    /// Questions for places at engines that had named a limit, by how they were answered.
+    /// Requests for reservations at limited engines, by result.
     pub(crate) const fn answers(&self) -> &BTreeMap<&'static str, u64> {
         &self.answers
     }
 
-    /// A question for a place was answered, or was not.
+    /// Counts the result of a request for a reservation; `grant` is `None` if the call failed.
     pub(crate) fn count_answer(&mut self, ask: &Ask, grant: Option<Grant>) {
         if ask.is_limited() {
             *self.answers.entry(grant.map_or("silent", Grant::label)).or_default() += 1;
         }
     }
 
-    /// A request is sent to an engine that has named a limit.
+    /// Counts a request sent to a limited engine.
     pub(crate) const fn count(&mut self) {
         self.sent += 1;
     }
 
-    /// What a question for a place says of the engine.
+    /// The report on an engine that goes with a request for a reservation.
     pub(crate) fn told(&self, now: Time, engine: &Engine) -> Option<Advert> {
         let Engine { entry, .. } = engine;
         let word = self.by_engine.get(&entry.id).filter(|word| word.incarnation == entry.incarnation)?;
         Some(word.told(now, &entry.id))
     }
 
-    /// What the leader has not been told of, and up to which change that is.
+    /// Reports that the hub has not acknowledged, and the number of the last change they cover.
     pub(crate) fn untold(&self, now: Time) -> (Vec<Advert>, u64) {
         let untold =
             self.by_engine.iter().filter(|(_, word)| word.own && self.exchange.is_untold(word.number));
         (untold.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.changes())
     }
 
-    /// A leader of this term has answered a frame that told of changes up to this one. A new leader is told all that holds.
+    /// The hub of this term has acknowledged all changes up to this one. A new hub is sent all limits in
+    /// force.
     pub(crate) fn answered(&mut self, term: u64, changes: u64) {
         if !self.exchange.answered(term, changes) {
             return;
@@ -137,25 +138,25 @@
         }
     }
 
-    /// What is known of the leader's changes.
+    /// Which of the hub's changes are known here.
     pub(crate) const fn known(&self) -> View {
         self.exchange.known()
     }
 
-    /// As the leader of this term: what has changed since those changes, and up to which that is.
+    /// As the hub of this term: reports that changed after `known`, and the number of the last change.
     pub(crate) fn changed_since(&self, now: Time, term: u64, known: View) -> (Vec<Advert>, u64) {
         let since = Exchange::last_known(term, known);
         let changed = self.by_engine.iter().filter(|(_, word)| word.number > since);
         (changed.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.changes())
     }
 
-    /// The leader told all of its changes up to this one.
+    /// All changes of the hub up to this one are known.
     pub(crate) const fn learnt(&mut self, version: u64) {
         self.exchange.learn(version);
     }
 
-    /// Whether what is known of this start of an engine is as new as what was heard then. If it is another, whoever told that is to
-    /// hear it.
+    /// Whether the stored report on this start of an engine is at least as new as one made at `heard`. If
+    /// it also differs, it is sent again, because the other entry VM does not have it.
     pub(super) fn knows_later(&mut self, from: &Start, per_s: Option<f64>, heard: Time) -> bool {
         let known = self.by_engine.get_mut(&from.engine);
         let Some(known) = known.filter(|word| word.incarnation == from.incarnation && word.heard >= heard)
@@ -169,7 +170,7 @@
         true
     }
 
-    /// Keeps what this start of an engine said. Returns the limit that was known before.
+    /// Stores the rate limit that this start of an engine reported. Returns the limit stored before.
     pub(super) fn set(
         &mut self,
         now: Time,
@@ -197,18 +198,19 @@
         said
     }
 
-    /// What this start of an engine has said.
+    /// The entry of this start of an engine.
     pub(super) fn word(&self, engine: &Name, incarnation: Incarnation) -> Option<&Entry> {
         self.by_engine.get(engine).filter(|word| word.incarnation == incarnation)
     }
 
-    /// What this start of an engine has said of being brittle, and when.
+    /// The state of this start of an engine if it is brittle, and when it was reported.
     pub(super) fn brittle_word(&self, from: &Start) -> Option<(&Brittle, Time)> {
         let word = self.word(&from.engine, from.incarnation)?;
         word.brittle.as_ref().zip(word.brittle_heard)
     }
 
-    /// Keeps what this start of an engine said then of being brittle; rejections add up, whoever saw them. Returns whether that is news.
+    /// Stores the rejection limit that this start of an engine reported, or its end. Rejections are merged,
+    /// since each entry VM sees only its own. Returns whether anything changed.
     pub(super) fn set_brittle(
         &mut self,
         from: &Start,
@@ -267,12 +269,13 @@
         self.by_engine.insert(engine, word);
     }
 
-    /// Whether it is new that an engine's word cannot be read.
+    /// Whether this is the first invalid value of the engine.
     pub(super) fn is_new_unreadable(&mut self, engine: &Name) -> bool {
         self.unreadable.len() < WORDS_MAX && self.unreadable.insert(engine.clone())
     }
 
-    /// An engine is gone from the list. One that does not say when it started may come again under its id.
+    /// Handles the removal of an engine from the list. A later engine may come under the same id; without
+    /// an incarnation the two cannot be told apart, so the entry is dropped.
     pub(crate) fn gone(&mut self, engine: &Name) {
         self.unreadable.remove(engine);
         if self.by_engine.get(engine).is_some_and(|word| word.incarnation.0.is_none()) {
--- a/fleet/src/notice.rs
+++ b/fleet/src/notice.rs
@@ -1,5 +1,5 @@
-//! What engines say of themselves in their answers, whatever those are to. It is as good as their entries in the store, and
-//! comes at once, also while the store is away.
+//! Notices: state that engines report about themselves in any answer. They are as reliable as the engines'
+//! rows in the store, but arrive at once and also while the store is unreachable.
 
 use std::time::Duration;
 
@@ -18,53 +18,55 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// The longest pause that is kept; an engine that wants a longer one is asked anew after it.
+/// Longest pause that is honoured. An engine that asks for a longer one gets requests again after this
+/// time.
 const PAUSE_MAX: Duration = Duration::from_hours(1);
 
-/// What an answer says of its engine.
+/// State that an answer reports about its engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Notice {
-    /// Whether it leaves, and is to get no more work.
+    /// Whether the engine is leaving and must get no more work.
     pub leaving: bool,
-    /// How long it wants nothing from this process, if it turned the request away.
+    /// If the engine rejected the request: how long it wants no requests from this process.
     pub pause: Option<Duration>,
-    /// How many requests it takes.
+    /// The reported rate limit.
     pub intake: Intake,
-    /// Whether it is brittle.
+    /// The reported rejection limit. An engine that has one is called brittle.
     pub brittle: Bearing,
 }
 
-/// What an answer says of the requests that its engine can turn away.
+/// How many requests per second an engine can reject without crashing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Bearing {
-    /// Nothing: any number.
+    /// No limit reported.
     #[default]
     Sound,
-    /// With more than so many in a second it falls over; finite, and not below 0.
+    /// More rejections than this in one second crash the engine; finite and not negative.
     Brittle(f64),
-    /// It names something that is no number of requests, which is no word either way.
+    /// The reported value is not a valid number. It neither sets nor clears a limit.
     Unreadable,
 }
 
-/// The request of a caller that an answer is to.
+/// The caller's request that an answer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Asked {
-    /// Its number.
+    /// The request's number.
     pub request: Id,
     /// When it was sent.
     pub at: Time,
 }
 
-/// A start of an engine.
+/// One start of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Start {
     /// The engine's id.
     pub engine: Name,
-    /// Which start: what one says does not hold for a later one.
+    /// Identifies the start: a report of one start does not apply to a later one.
     pub incarnation: Incarnation,
 }
 
-/// An answer of an engine came, to a caller's request if one is named, that says something of the engine.
+/// Handles the notice of an engine's answer. `asked` is the caller's request that it answered; `None` for
+/// an answer to a request of this process.
 pub(crate) fn noticed(
     state: &mut State,
     now: Time,
@@ -74,7 +76,7 @@
     out: &mut Vec<Effect>,
 ) {
     let listed = state.engines.get(&from.engine);
-    // What an earlier start said is over.
+    // The report comes from an earlier start of the engine.
     if listed.is_some_and(|known| known.entry.incarnation != from.incarnation) {
         return;
     }
@@ -89,7 +91,7 @@
     intake::noticed_brittle(state, now, from, notice.brittle, asked, out);
 }
 
-/// The others hear of it by the hub, or by this process where no hub answers.
+/// Reports departures to the other entry VMs, through the hub, or directly where no hub answers.
 fn tell_departure(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     departure::tell(state, now, out);
     if state.lease.holds(now).is_some() || !state.departures.is_any_untold() {
@@ -102,7 +104,7 @@
     }
 }
 
-/// Sends an engine nothing for as long as it wants.
+/// Sends the engine nothing for the time that it asked for.
 fn keep_pause(state: &mut State, now: Time, engine: &Name, pause: Duration, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
@@ -111,7 +113,7 @@
     known.health.paused_until = until;
     let (service, version) = (known.entry.service.clone(), known.version.version);
     out.push(Effect::Record(Record::Engine { engine: engine.clone(), service, state: "paused", version }));
-    // Orders and questions that are due meanwhile follow then.
+    // Orders and health checks that become due in the meantime are sent at the end of the pause.
     state.timers.set(until.unwrap_or(now), Timer::Check(engine.clone()));
     flow::withdraw(state, now, engine, out);
 }
--- a/fleet/src/path.rs
+++ b/fleet/src/path.rs
@@ -1,11 +1,15 @@
-//! How requests get to an engine from here: directly, or by another entry VM that reaches it.
+//! Paths from this entry VM to engines: direct, or relayed by another entry VM that reaches the engine.
 //!
-//! An engine that no connection can be opened to from here is not down for that: another entry VM is asked whether it reaches it, and passes
-//! requests on if it does (an indirect probe, and a relay of one hop). All that is decided of a request is decided here, and counts here: its
-//! engine, its place and permits, its deadline, its repeats. The relay opens the connection, and knows whether the engine leaves.
+//! An engine that accepts no connection from here is not necessarily down. Another entry VM is asked
+//! whether it reaches the engine (an indirect probe), and if so it relays requests (one hop). All decisions
+//! on a request are made and counted here: its engine, reservation, permits, deadline and retries. The
+//! relay opens the connection, and knows whether the engine is leaving.
 //!
-//! Each engine has a path of its own, since a partition may take any part of them away. Where most that are used are reached by others
-//! alone, this process is cut off: it leads nobody then, vouches for nobody's end, and has requests relayed also to engines that it has not tried.
+//! Each engine has its own path, since a partition may cut off any subset of engines. While more engines in
+//! use are relayed than are reached directly, this process counts as cut off. It then gives up or avoids
+//! the role of the hub, and uses relays also for engines that it has not tried directly. About a relayed
+//! engine it makes no statements to other entry VMs, because what it sees may be its own loss of
+//! connectivity.
 
 mod pass;
 
@@ -29,88 +33,92 @@
 pub use pass::{Denial, Look};
 pub(crate) use pass::{is_passing, look, pass, passed};
 
-/// Other entry VMs that are asked one after the other whether they reach an engine, at most, until it is tried from here again.
+/// Number of other entry VMs asked in turn whether they reach an engine, until the engine is tried from
+/// here again.
 const ASKED_MAX: usize = 4;
-/// Relays that are remembered, at most.
+/// Number of relays remembered.
 const RELAYS_MAX: usize = 8;
-/// Questions of this kind in one second, of all entry VMs together, unless there are so many that each may ask the least: each costs another entry VM
-/// two connections.
+/// Probe requests per second of all entry VMs together, each of which costs another entry VM two
+/// connections. With very many entry VMs the sum is higher, because each may send at least the minimum in
+/// `OWN_ASKS_PER_S`.
 const ASKS_PER_S: u32 = 8_000;
-/// The same of each entry VM, at most and at least.
+/// Least and greatest number of probe requests per second of one entry VM.
 const OWN_ASKS_PER_S: (u32, u32) = (8, 64);
-/// How long an entry VM that did not reach an engine is asked about others only after those that are not known to be like that.
+/// How long an entry VM that did not reach an engine is asked about other engines only after those without
+/// such a failure.
 const BLIND: Duration = Duration::from_secs(2);
-/// How long an engine must answer here before it is used directly again: a way that comes and goes costs requests each time.
+/// How long an engine must accept connections from here before it is used directly again. A path that comes
+/// and goes costs requests each time.
 const SETTLED: Duration = Duration::from_secs(1);
-/// Time for which an engine counts that something was heard of directly.
+/// How long an engine counts as reached directly after the last direct contact.
 const HEARD_WITHIN: Duration = Duration::from_secs(2);
 
-/// The way to one engine.
+/// Path to one engine.
 #[derive(Clone, Debug, Default)]
 pub struct Path {
-    /// Since when no connection could be opened from here; none where one can.
+    /// Since when no connection could be opened from here; `None` if connections can be opened.
     pub(crate) lost: Option<Time>,
-    /// The entry VM that passes requests on meanwhile.
+    /// The entry VM that relays requests in the meantime.
     relay: Option<Relay>,
-    /// Since when its port answers here again.
+    /// Since when the port accepts connections from here again.
     open: Option<Time>,
-    /// Entry VMs that were asked since it was last tried from here.
+    /// Entry VMs asked since the engine was last tried from here.
     asked: Vec<Name>,
-    /// Whether one of them has not answered yet.
+    /// Whether an answer from one of them is pending.
     asking: bool,
-    /// When something last came from the engine without a relay.
+    /// When anything last arrived from the engine without a relay.
     pub(crate) heard: Option<Time>,
 }
 
-/// An entry VM that passes requests on.
+/// An entry VM that relays requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Relay {
     /// Its name.
     pub vm: Name,
-    /// Where it listens for other entry VMs.
+    /// Its address for other entry VMs.
     pub address: SocketAddr,
 }
 
-/// What this process knows of all its paths, and of those that it passes requests on for.
+/// State that is common to all paths of this process.
 #[derive(Debug, Default)]
 pub(crate) struct Paths {
-    /// Entry VMs that did not reach an engine, and until when that counts.
+    /// Entry VMs that did not reach an engine, with the expiry of that finding.
     blind: Vec<(Name, Time)>,
-    /// Since when questions are counted, and how many there were.
+    /// Start of the current second of probe requests, and their number.
     counted: (Time, u32),
-    /// Since when most engines in use are reached by others alone; none where they are not.
+    /// Since when this process is cut off; `None` if it is not.
     cut_off: Option<Time>,
-    /// Entry VMs that have reached engines which are not reached from here, the latest last.
+    /// Entry VMs that recently reached engines which are not reachable from here, latest last.
     relays: Vec<Relay>,
-    /// Requests of others that are passed on now.
+    /// Requests currently relayed for other entry VMs.
     pub(crate) passing: u32,
-    /// Requests that were sent by a relay,
+    /// Requests sent through a relay.
     pub(crate) sent: u64,
-    /// that were passed on for others,
+    /// Requests relayed for other entry VMs.
     pub(crate) passed: u64,
-    /// and that were not, by why.
+    /// Requests of other entry VMs that were not relayed, by reason.
     pub(crate) denied: BTreeMap<&'static str, u64>,
 }
 
 impl Path {
-    /// The entry VM that passes requests on; none where the engine is reached from here, or by nobody.
+    /// The relay for the engine; `None` if the engine is reached directly or not at all.
     #[must_use]
     pub const fn relay(&self) -> Option<&Relay> {
         self.relay.as_ref()
     }
 
-    /// Whether requests for the engine are passed on by another entry VM.
+    /// Whether another entry VM relays requests for the engine.
     #[must_use]
     pub const fn is_relayed(&self) -> bool {
         self.relay.is_some()
     }
 
-    /// Whether requests are passed on by this entry VM.
+    /// Whether this entry VM relays requests for the engine.
     pub(crate) fn is_relayed_by(&self, vm: &Name) -> bool {
         self.relay.as_ref().is_some_and(|relay| relay.vm == *vm)
     }
 
-    /// Whether another entry VM is asked whether it reaches the engine.
+    /// Whether another entry VM is being asked whether it reaches the engine.
     pub(crate) const fn is_asking(&self) -> bool {
         self.asking
     }
@@ -122,7 +130,7 @@
     }
 }
 
-/// The entry VM that passes requests for an engine on; none if they are sent from here.
+/// The relay to use for an engine; `None` if requests are sent directly.
 pub(crate) fn relay_of<'a>(state: &'a State, engine: &'a Engine) -> Option<&'a Relay> {
     let path = &engine.path;
     if path.relay.is_some() {
@@ -133,17 +141,18 @@
     if denied || path.heard.is_some_and(|at| at >= since) || state.paths.relays.is_empty() {
         return None;
     }
-    // Most others are lost, and nobody has said that it cannot be reached.
+    // This process is cut off, and no entry VM has reported that it does not reach the engine.
     let index = xxh3_64(engine.entry.id.as_bytes()) as usize % state.paths.relays.len();
     state.paths.relays.get(index)
 }
 
-/// Whether a request can get to an engine now, by whatever way. `unsent`: no connection could be opened for it from here.
+/// Whether a request can reach the engine now, directly or through a relay. `unsent`: connecting directly
+/// has already failed for this request.
 pub(crate) fn is_reachable(state: &State, now: Time, engine: &Engine, unsent: bool) -> bool {
     !(unsent || engine.health.suspected(now)) || relay_of(state, engine).is_some()
 }
 
-/// No connection to an engine could be opened from here: others are asked whether they reach it.
+/// Handles a failure to connect to an engine: other entry VMs are asked whether they reach it.
 pub(crate) fn lost(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
@@ -157,7 +166,7 @@
     ask(state, now, engine, out);
 }
 
-/// Asks the next entry VM whether it reaches an engine, unless that is known, or being asked.
+/// Asks the next entry VM whether it reaches the engine, unless a relay is known or a question is pending.
 fn ask(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     if !state.settings.uses(Mechanism::Relays) {
         return;
@@ -187,7 +196,7 @@
 }
 
 impl Paths {
-    /// An entry VM reaches what is not reached from here.
+    /// Remembers an entry VM that reaches an engine which this one does not reach.
     fn note_relay(&mut self, relay: Relay) {
         self.relays.retain(|known| known.vm != relay.vm);
         if self.relays.len() >= RELAYS_MAX {
@@ -196,7 +205,7 @@
         self.relays.push(relay);
     }
 
-    /// Whether one more question may be asked, where there are so many entry VMs.
+    /// Counts a probe request and returns whether the rate allows it, given the number of entry VMs.
     fn take_ask(&mut self, now: Time, nodes: u32) -> bool {
         if now.since(self.counted.0) >= Duration::from_secs(1) {
             self.counted = (now, 0);
@@ -207,7 +216,7 @@
     }
 }
 
-/// Another entry VM said how an engine's port answers there; none if it did not answer, or cannot tell.
+/// Handles another entry VM's finding on an engine's port; `None` if it did not answer or cannot tell.
 pub(crate) fn seen(
     state: &mut State,
     now: Time,
@@ -240,13 +249,14 @@
     note(state, now, engine, "relayed", out);
     flow::stir_later(state);
     if state.engines.values().filter(|engine| engine.path.is_relayed()).count() == 1 {
-        // Others may be lost with it.
+        // Other engines may have become unreachable at the same time.
         trust::look_at_used(state, now, out);
     }
     judge(state, now, out);
 }
 
-/// Nothing has come for a while of a request that a relay passed on: it is asked whether it still reaches the engine.
+/// Asks a relay whether it still reaches the engine, after nothing has arrived for a relayed request for
+/// some time.
 pub(crate) fn doubt_relay(state: &mut State, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
@@ -258,7 +268,7 @@
     out.push(Effect::AskPath { vm, address, engine: engine.clone() });
 }
 
-/// A request could not be passed on by a relay: another is looked for.
+/// Handles a relay's failure to pass on a request: another relay is looked for.
 pub(crate) fn relay_failed(state: &mut State, now: Time, engine: &Name, relay: &Name, out: &mut Vec<Effect>) {
     state.paths.blind.push((relay.clone(), now + BLIND));
     state.paths.relays.retain(|known| known.vm != *relay);
@@ -266,7 +276,7 @@
         return;
     };
     if known.path.relay.is_none() {
-        // It was relayed without having been tried from here.
+        // The request was relayed only because this process is cut off; the engine was not tried directly.
         return trust::unreached(state, now, engine, out);
     }
     if !known.path.is_relayed_by(relay) {
@@ -277,8 +287,8 @@
     ask(state, now, engine, out);
 }
 
-/// The port of an engine answers here. Returns whether it is to be used directly from now on: one that others pass requests on to is, once it
-/// has answered for a while.
+/// Handles a successful connection to the engine's port. Returns whether the engine can be used directly
+/// from now on. A relayed engine must first accept connections for `SETTLED`.
 pub(crate) fn opened(state: &mut State, now: Time, engine: &Name) -> bool {
     let Some(known) = state.engines.get_mut(engine) else {
         return false;
@@ -296,8 +306,9 @@
     false
 }
 
-/// Something came from an engine, by a relay if one is named. What was sent from here before the way was lost says nothing of new
-/// connections. Returns whether it shows that the engine can be reached from here.
+/// Records data from an engine. Returns whether it shows that the engine can be reached directly. A
+/// response to a request that was sent before connections began to fail does not show that new connections
+/// succeed.
 pub(crate) fn heard(state: &mut State, now: Time, engine: &Name, relayed: bool, sent: Option<Time>) -> bool {
     let Some(known) = state.engines.get_mut(engine) else {
         return false;
@@ -311,7 +322,7 @@
     !(known.path.relay.is_some() && earlier)
 }
 
-/// An engine is used directly again.
+/// Uses an engine directly again.
 pub(crate) fn regained(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
@@ -326,12 +337,12 @@
     }
 }
 
-/// Whether this process is cut off from most engines that it uses, and others are not.
+/// Whether this process is cut off from most engines that it uses while other entry VMs reach them.
 pub(crate) const fn is_cut_off(state: &State) -> bool {
     state.paths.cut_off.is_some()
 }
 
-/// Finds out anew whether this process is cut off.
+/// Recomputes whether this process is cut off.
 pub(crate) fn judge(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let relayed = state.engines.values().filter(|engine| engine.path.relay.is_some()).count();
     let direct = |engine: &&Engine| {
--- a/fleet/src/path/pass.rs
+++ b/fleet/src/path/pass.rs
@@ -1,4 +1,5 @@
-//! What an entry VM does for another that does not reach an engine: says whether it does, and passes requests on.
+//! Service for other entry VMs that do not reach an engine: probes of the engine's port, and relaying of
+//! requests.
 
 use std::net::SocketAddr;
 
@@ -10,24 +11,24 @@
 use crate::freshness;
 use crate::state::State;
 
-/// Requests that are passed on at once, at most.
+/// Largest number of requests relayed at the same time.
 const PASSING_MAX: u32 = 512;
 
-/// Why a request of another entry VM is not passed on.
+/// Why a request of another entry VM is not relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Denial {
-    /// No such start of the engine is known, or one of another build, or it takes no work.
+    /// This start of the engine is not known, has another build, or takes no requests.
     Unknown,
-    /// It cannot be reached from here either.
+    /// The engine cannot be reached from here either.
     Unreached,
-    /// What is known here may be out of date, or the process stops.
+    /// The state known here may be out of date, or the process is stopping.
     Unready,
-    /// Too many are passed on already.
+    /// Too many requests are being relayed already.
     Full,
 }
 
 impl Denial {
-    /// Its name in logs and metrics.
+    /// Value in logs and label in metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -39,12 +40,13 @@
     }
 }
 
-/// Another entry VM wants a request passed on to this start of an engine, which runs this build as far as that one knows. Returns where that listens. The end of it is told by
-/// [`crate::event::Event::Relayed`].
+/// Accepts a request of another entry VM to be relayed to this start of an engine, which runs `build`
+/// according to that entry VM. Returns the engine's address. [`crate::event::Event::Relayed`] must follow
+/// when the request has ended.
 ///
 /// # Errors
 ///
-/// Why it is not passed on; nothing was sent then.
+/// Returns the reason if the request is not relayed; nothing has been sent then.
 pub(crate) fn pass(
     state: &mut State,
     now: Time,
@@ -70,12 +72,14 @@
     incarnation: Incarnation,
     build: Option<&Name>,
 ) -> Result<SocketAddr, Denial> {
-    // What has come to its socket may be read before it knows that it stood still.
+    // After a suspension, the process may read waiting requests before it has noticed that it was
+    // suspended.
     if state.stopping || state.freshness.in_doubt() || freshness::is_waking(state, now) {
         return Err(Denial::Unready);
     }
     let known = state.engines.get(engine).filter(|known| known.entry.incarnation == incarnation);
-    // One of the two goes by an older row, and whoever asks may go on with a stream.
+    // The two entry VMs have different versions of the engine's row, and the request may resume a stream
+    // that only this build can continue.
     let known = known.filter(|known| known.entry.build.as_ref() == build);
     let known = known.filter(|known| known.takes_work()).ok_or(Denial::Unknown)?;
     if known.path.relay.is_some() || known.health.suspected(now) {
@@ -87,30 +91,31 @@
     Ok(known.entry.address)
 }
 
-/// A request of another entry VM that was passed on has ended.
+/// A relayed request has ended.
 pub(crate) const fn passed(state: &mut State) {
     state.paths.passing = state.paths.passing.saturating_sub(1);
 }
 
-/// Whether requests of others are passed on now.
+/// Whether requests of other entry VMs are being relayed.
 pub(crate) const fn is_passing(state: &State) -> bool {
     state.paths.passing > 0
 }
 
-/// What is to be tried to tell another entry VM how an engine's port answers here.
+/// Ports to connect to in order to tell another entry VM whether an engine is reachable from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Look {
     /// The engine's port.
     pub address: SocketAddr,
-    /// Another engine's. Where that does not answer either, nothing can be told: it may be this process that reaches nobody.
+    /// The port of another engine. If that one does not answer either, no statement is possible: this entry
+    /// VM may be the one without connectivity.
     pub control: Option<SocketAddr>,
 }
 
-/// What is to be tried to tell how an engine's port answers here; none where nothing can be told.
+/// Ports to probe for another entry VM; `None` if this entry VM cannot tell.
 pub(crate) fn look(state: &State, now: Time, engine: &Name) -> Option<Look> {
     let known = state.engines.get(engine)?;
     if known.path.relay.is_some() {
-        // Others reach it: whatever comes of a try from here says nothing of the engine.
+        // The engine is relayed, so a probe from here says nothing about the engine itself.
         return None;
     }
     let trusted =
--- a/fleet/src/quota.rs
+++ b/fleet/src/quota.rs
@@ -1,10 +1,11 @@
-//! Limits of workspaces, as sums over all entry VMs.
+//! Rate limits of workspaces, enforced as sums over all entry VMs.
 //!
-//! The leader gives shares of each limit to a few entry VMs, one in each availability zone (`lead`, `allocator`). A share fills a bucket there
-//! (`bucket`), from which the entry VMs of the zone draw credit: for one request, or for a moment's requests where they get
-//! many (`charge`). So the leader's work grows with workspaces and zones, not with entry VMs; shares outlast a leader that is lost and a
-//! zone that is cut off, until [`LEASE`] is over; and whatever fails, what is spent in a time is what the buckets let through,
-//! and the little that was drawn ahead before.
+//! The hub gives shares of each limit to a few entry VMs, one in each availability zone (`lead`,
+//! `allocator`). Each share fills a token bucket there (`bucket`). The entry VMs of the zone draw credit
+//! from it, for a single request, or in advance for many requests if they receive many (`charge`). The
+//! hub's work thus grows with the number of workspaces and zones, not of entry VMs. Shares stay valid while
+//! the hub is lost or a zone is cut off, until [`LEASE`] is over. Whatever fails, the units spent in any
+//! time are bounded by what the buckets release, plus the little credit drawn before.
 
 mod allocator;
 mod bucket;
@@ -32,38 +33,39 @@
 pub(crate) use lead::{allot, begin, end, inherit, inherit_unknown, named, outstanding, propose, renew_own};
 pub use message::{Allotment, Credit, Draw, Held, Report, WHOLE};
 
-/// How long a share is held without word of a leader: longer than it takes to find another leader, and no longer, since the share of
-/// an entry VM that is gone for good is nobody's meanwhile.
+/// How long a share stays valid without an answer from the hub. It covers the time to elect another hub; it
+/// is no longer than that because the share of a lost entry VM is unused until it expires.
 pub const LEASE: Duration = Duration::from_secs(6);
-/// Part of the overage that may come at once; the rest is for what is drawn ahead.
+/// Part of the overage that may be used in a burst; the rest covers credit drawn in advance.
 const BURST_PART: f64 = 0.4;
-/// Part of the bound's slack that buckets may be in debt for; as much again while a share changes hands.
+/// Part of the bound's slack that the buckets may go into debt. As much again may occur while a share moves
+/// between entry VMs.
 const DEBT_PART: f64 = 0.5;
-/// Requests that may come at once, of those that say nothing of their tokens, where the bounds leave room for fewer.
+/// Least burst, in requests of the default token count, where the bounds leave room for fewer.
 const AT_ONCE_MIN: f64 = 4.0;
 
-/// What a process keeps of limits.
+/// State of workspace limits in a process.
 #[derive(Debug)]
 pub(crate) struct Quota {
-    /// Drawn anew at each start.
+    /// Random number drawn at each start of the process.
     process: u64,
-    /// As the leader: who holds what.
+    /// The holders of all shares; set only while this process is the hub.
     allocator: Option<Allocator>,
-    /// What the row of the lease that is taken over says.
+    /// Shares recorded in the lease row that this process takes over.
     inherited: Outstanding,
-    /// Shares held here.
+    /// Shares held by this entry VM, by workspace.
     holdings: BTreeMap<Name, Holding>,
-    /// Credit to be spent here.
+    /// Credit available to this entry VM, by workspace.
     balances: FxHashMap<Name, Balance>,
-    /// As the leader: who owns what, by the lease's row as it was written last.
+    /// As the hub: owners according to the lease row last written.
     written: Owners,
-    /// The same by the row that is written next.
+    /// As the hub: owners according to the lease row written next.
     proposed: Owners,
-    /// Questions for credit, by how they were answered.
+    /// Number of draws, by result.
     draws: BTreeMap<&'static str, u64>,
 }
 
-/// A share that is held here.
+/// A share held by this entry VM.
 #[derive(Debug)]
 struct Holding {
     parts: u32,
@@ -73,10 +75,10 @@
 }
 
 impl Quota {
-    /// Of a process that begins.
+    /// State of a process that starts; `process` is a random number.
     pub(crate) fn new(process: u64) -> Self {
         Self {
-            // 0 stands for none.
+            // 0 means no process.
             process: process.max(1),
             allocator: None,
             inherited: Outstanding::default(),
@@ -88,22 +90,22 @@
         }
     }
 
-    /// A number that no other start of a process has.
+    /// Number that identifies this run of the process.
     pub(crate) const fn process(&self) -> u64 {
         self.process
     }
 
-    /// Questions for credit, by how they were answered.
+    /// Number of draws, by result.
     pub(crate) const fn draws(&self) -> &BTreeMap<&'static str, u64> {
         &self.draws
     }
 
-    /// Workspaces of whose limits shares are held here.
+    /// Number of workspaces of which a share is held.
     pub(crate) fn held(&self, now: Time) -> usize {
         self.holdings.values().filter(|holding| holding.until > now).count()
     }
 
-    /// What this process tells the leader.
+    /// Shares held by this entry VM, to be reported to the hub.
     pub(crate) fn report(&mut self, now: Time) -> Report {
         self.holdings.retain(|_, holding| holding.until > now);
         let held = self.holdings.iter().map(|(workspace, holding)| Held {
@@ -114,7 +116,7 @@
         Report { process: self.process, shares: held.collect() }
     }
 
-    /// Parts of a workspace's limit that are held here.
+    /// The held share of a workspace's limit, in parts of [`WHOLE`].
     pub(crate) fn parts(&self, now: Time, workspace: &str) -> u32 {
         self.holdings.get(workspace).filter(|holding| holding.until > now).map_or(0, |holding| holding.parts)
     }
@@ -126,15 +128,15 @@
         Self { bucket: Bucket::new(now, empty.size(limit, settings)), ..empty }
     }
 
-    /// How fast its bucket fills.
+    /// Bucket size for the held share.
     fn size(&self, limit: &Limit, settings: &Settings) -> Size {
         size(limit, settings).part(f64::from(self.parts) / f64::from(WHOLE))
     }
 }
 
-/// The bucket of a whole limit. Where the platform counts in windows, a burst is there anew in each of them: it is spread over the
-/// window, so that whoever asks steadily gets all that a window may hold, and what may come at once is a part of the
-/// overage.
+/// Bucket size for a whole limit. If the platform counts in windows, a full burst is available again in
+/// each window. The burst is then spread over the window as additional rate, so that steady callers get all
+/// that a window may hold; what may come at once is a part of the overage.
 fn size(limit: &Limit, settings: &Settings) -> Size {
     let debt = settings.quota_slack * DEBT_PART;
     let one = match limit.unit {
@@ -146,7 +148,7 @@
         return Size { per_s: limit.per_s, burst: limit.burst.max(one), debt };
     }
     let over = (limit.per_s * window_s + limit.burst) * settings.quota_overage * BURST_PART;
-    // Where that and the debt are less than some requests, a part of the burst is not spread.
+    // Where overage and debt allow less than the least burst, part of the limit's burst is not spread.
     let kept = (one * AT_ONCE_MIN - over - debt).clamp(0.0, limit.burst);
     let per_s = limit.per_s + (limit.burst - kept) / window_s;
     Size { per_s, burst: over + kept, debt }
@@ -156,13 +158,13 @@
     state.routes.workspace(workspace)?.limit
 }
 
-/// Other routes and workspaces are in force: what is kept of workspaces that are gone goes too.
+/// Drops balances of workspaces that the configuration in force no longer contains.
 pub(crate) fn configured(state: &mut State) {
     let State { quota, routes, .. } = state;
     quota.balances.retain(|workspace, _| routes.workspace(workspace).is_some());
 }
 
-/// The leader has answered a frame that was sent then: these shares are held, and no others.
+/// Replaces all held shares by those in the hub's answer to the frame sent at `sent`.
 pub(crate) fn hold(state: &mut State, now: Time, sent: Time, allotments: Vec<Allotment>) {
     let mut before = std::mem::take(&mut state.quota.holdings);
     for Allotment { workspace, parts } in allotments {
@@ -181,7 +183,7 @@
     }
 }
 
-/// Answers a question for credit.
+/// Answers another entry VM's draw of credit.
 pub(crate) fn draw(state: &mut State, now: Time, draw: &Draw) -> Credit {
     let Some(limit) = limit_of(state, &draw.workspace) else {
         return Credit::NotHere;
@@ -194,7 +196,7 @@
     if holding.until <= now {
         return Credit::NotHere;
     }
-    // Nothing that is asked for fills a bucket, whatever it says.
+    // A negative amount in a draw must not fill the bucket.
     let wanted = |units: f64| units.max(0.0);
     holding.asked.add(now, wanted(draw.asked));
     match holding.bucket.take(wanted(draw.cost), wanted(draw.ahead), size) {
--- a/fleet/src/quota/allocator.rs
+++ b/fleet/src/quota/allocator.rs
@@ -1,7 +1,8 @@
-//! Who holds which share of which limit, as the leader keeps it.
+//! Allocation of shares, kept by the hub.
 //!
-//! What is given out of one limit is never more than the whole of it, whatever is lost, late, cut off or suspended: a share counts as
-//! held until its holder has said that it holds another, has started anew, or until its time is over.
+//! The shares of a limit never add up to more than the whole limit, even if messages are lost or late, or
+//! entry VMs are cut off or suspended. A share counts as held until its holder reports a different one, has
+//! restarted, or the share has expired.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,28 +17,31 @@
 use super::message::{Allotment, Held, Report, WHOLE};
 use crate::members;
 
-/// Part of a limit that is spread evenly over its holders, so that one that is not asked now has some for the first callers.
+/// Part of a limit that is spread evenly over its owners, so that an owner without demand has credit for
+/// its first callers.
 const EVEN_PART: f64 = 0.2;
-/// The least share that is given out: a smaller one lets in nobody, and whoever asks there goes to another holder instead.
+/// Least share that is given out. A smaller one admits no request, and the credit is better used by another
+/// owner.
 const PARTS_MIN: u32 = WHOLE / 100;
 
-/// The least change of a share that is made.
+/// Least change of a share that is made.
 const CHANGE_MIN: u32 = WHOLE / 16;
 
-/// A number for an entry VM or a workspace, short enough for the lease's row.
+/// Hash of an entry VM's or workspace's name, short enough for the lease row.
 #[must_use]
 pub(crate) fn hash(name: &Name) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// What the lease's row says of shares, for the next leader.
+/// Record of shares in the lease row, for the next hub.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outstanding {
-    /// Entry VMs that the leader may give shares to while it holds the lease: each those of which it is the owner among them.
+    /// Entry VMs that the hub may give shares to while it holds the lease. Each may get shares of the
+    /// limits that it owns among these entry VMs.
     pub holders: Vec<Holder>,
-    /// Entry VMs that may hold shares by the word of leaders before, and that this one has not heard.
+    /// Entry VMs that may hold shares given by earlier hubs, and that have not reported to this one.
     pub unheard: Vec<Unheard>,
-    /// Shares of entry VMs that the leader hears no more, by workspace.
+    /// Shares of entry VMs that the hub no longer hears from, by workspace.
     pub lapsed: Vec<Lapsed>,
 }
 
@@ -53,24 +57,24 @@
 /// An entry VM that may hold shares of any limit.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Unheard {
-    /// Its name; empty where any may.
+    /// Its name; empty for any entry VM.
     pub vm: Name,
-    /// Until when, by the store's clock, in ms.
+    /// Expiry of its shares by the store's clock, in ms.
     pub until_ms: u64,
 }
 
-/// A part of a workspace's limit that may be held by entry VMs that no leader hears.
+/// Part of a workspace's limit that entry VMs may hold from which the hub hears nothing.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lapsed {
-    /// A hash of the workspace's name.
+    /// Hash of the workspace's name.
     pub workspace: u32,
-    /// The part, of [`WHOLE`].
+    /// The share, in parts of [`WHOLE`].
     pub parts: u32,
-    /// Until when, by the store's clock, in ms.
+    /// Expiry by the store's clock, in ms.
     pub until_ms: u64,
 }
 
-/// A share that may be held.
+/// A share that an entry VM may hold.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     parts: u32,
@@ -78,40 +82,42 @@
     asked_per_s: f64,
 }
 
-/// What is known of an entry VM.
+/// State of an entry VM.
 #[derive(Debug, Default)]
 struct Account {
     process: u64,
-    /// The process before, whose frames may still be on their way.
+    /// The previous process, whose frames may still be in transit.
     former: Option<u64>,
-    /// The number of its last frame.
+    /// Number of its latest frame.
     number: u64,
-    /// The workspaces of which it may hold shares.
+    /// Workspaces of which it may hold a share.
     workspaces: BTreeSet<Name>,
 }
 
-/// The leader's book of shares.
+/// The hub's allocation of shares.
 #[derive(Debug)]
 pub(crate) struct Allocator {
     accounts: BTreeMap<Name, Account>,
-    /// By workspace, by entry VM.
+    /// By workspace, then by entry VM.
     shares: FxHashMap<Name, BTreeMap<Name, Share>>,
-    /// Entry VMs that may hold shares of any limit by the word of leaders before, and have not said so or otherwise; until when.
+    /// Entry VMs that may hold any shares given by earlier hubs and have not reported yet, with the expiry.
     unheard: BTreeMap<Name, Time>,
-    /// Entry VMs to which the leader before may have given shares of which they were the owners among all of these.
+    /// Entry VMs to which the previous hub may have given shares of the limits that they own among these
+    /// entry VMs.
     before: Vec<Holder>,
-    /// Those of them that have not said what they hold, and until when they may hold anything.
+    /// Those in `before` that have not reported their shares, and the expiry of anything they hold.
     silent: BTreeSet<Name>,
     silent_until: Time,
-    /// The owners among `before`, by workspace, as far as they were looked for.
+    /// Cache: owners among `before`, by workspace.
     owners_before: FxHashMap<Name, Vec<Name>>,
-    /// Parts that entry VMs may hold that the leader before did not hear any more, and until when, by the hash of the workspace.
+    /// By workspace hash: parts that may be held by entry VMs from which the previous hub no longer heard,
+    /// with the expiry.
     lapsed: BTreeMap<u32, (u32, Time)>,
 }
 
 impl Allocator {
-    /// Begins a term after another whose row said this, where the lease was over at `over`. `at` turns the store's times into
-    /// the process's own, and never into earlier ones.
+    /// Starts a term from the previous hub's record. `over` is when its lease ended. `at` converts store
+    /// time to process time, rounding up.
     pub(crate) fn new(before: &Outstanding, over: Time, at: impl Fn(u64) -> Time) -> Self {
         let lapsed =
             before.lapsed.iter().map(|lapsed| (lapsed.workspace, (lapsed.parts, at(lapsed.until_ms))));
@@ -127,8 +133,8 @@
         }
     }
 
-    /// What the lease's row is to say, where `holders` are given shares from now on. `ms` turns the process's times into the
-    /// store's, and never into earlier ones.
+    /// Record of shares for a lease row with the owners `proposed`. `ms` converts process time to store
+    /// time, rounding up.
     pub(crate) fn outstanding(&self, now: Time, proposed: &Owners, ms: impl Fn(Time) -> u64) -> Outstanding {
         let silent = self.silent.iter().map(|vm| (vm, self.silent_until));
         let unheard = self.unheard.iter().map(|(vm, until)| (vm, *until)).chain(silent);
@@ -140,7 +146,7 @@
         Outstanding { holders: proposed.holders.clone(), unheard, lapsed: lapsed.collect() }
     }
 
-    /// Forgets shares whose time is over, and entry VMs that hold none and are not among `known`.
+    /// Drops expired shares, and entry VMs without shares that are not in `known`.
     pub(crate) fn tidy(&mut self, now: Time, known: &FxHashSet<Name>) {
         let Self { accounts, shares, .. } = self;
         shares.retain(|_, held| {
@@ -151,7 +157,7 @@
         accounts.retain(|vm, _| known.contains(vm) || holds(vm));
     }
 
-    /// Parts that may be held by others than those that are to own them, and until when, by the hash of the workspace.
+    /// By workspace hash: parts that entry VMs other than the proposed owners may hold, with the expiry.
     fn lapsed(&self, now: Time, proposed: &Owners) -> BTreeMap<u32, (u32, Time)> {
         let mut lapsed = self.lapsed.clone();
         for (workspace, out) in &self.shares {
@@ -165,7 +171,7 @@
         lapsed
     }
 
-    /// Whether somebody may hold a part of a workspace's limit that is not known.
+    /// Whether an entry VM that has not reported may hold a share of the workspace's limit.
     fn is_doubtful(&mut self, now: Time, workspace: &Name) -> bool {
         self.unheard.retain(|_, until| *until > now);
         if !self.unheard.is_empty() {
@@ -179,9 +185,9 @@
         known.iter().any(|vm| self.silent.contains(vm))
     }
 
-    /// An entry VM says what it holds, in the frame of that number, and is told what it may hold from now on: of `owned`, each with
-    /// the number of entry VMs that own a part of it. None where that cannot be said yet, and for word that is older than what is
-    /// known.
+    /// Handles the share report in frame `number` of an entry VM. Returns the shares that it may hold from
+    /// now on: of the workspaces in `owned`, each with its number of owners. `None` if `owned` is unknown,
+    /// or if the report is outdated.
     pub(crate) fn renew(
         &mut self,
         now: Time,
@@ -200,7 +206,7 @@
         Some(allotments.collect())
     }
 
-    /// Takes over what an entry VM says that it holds. False for word that is older than what is known.
+    /// Stores a share report. Returns false if it is outdated.
     fn hear(&mut self, now: Time, vm: &Name, number: u64, report: &Report) -> bool {
         let account = self.accounts.entry(vm.clone()).or_default();
         if account.former == Some(report.process) {
@@ -242,16 +248,17 @@
         let lapsed = lapsed.map_or(0, |(parts, _)| *parts);
         let others: u32 = out.iter().filter(|(of, _)| *of != vm).map(|(_, held)| held.parts).sum();
         let room = WHOLE.saturating_sub(others).saturating_sub(lapsed);
-        // Whoever has not been heard may hold what seems to be free.
+        // Entry VMs that have not reported may hold what appears to be free.
         let room = if doubtful { room.min(held) } else { room };
         let asked: f64 = out.values().map(|held| held.asked_per_s).sum();
         let asked_here = mine.map_or(0.0, |held| held.asked_per_s);
         let wanted = target(asked_here, asked, owners);
-        // What one gives up comes to another a frame later: small changes would cost more than they bring.
+        // Parts that one owner gives up reach another one a frame later, so small changes cost more than
+        // they gain.
         let steady = wanted.abs_diff(held) < CHANGE_MIN && held > 0;
         let parts = if steady { held } else { wanted }.min(room);
         let parts = if parts < PARTS_MIN { 0 } else { parts };
-        // Until it says that it holds less, it may hold what it held.
+        // It may keep the larger share until it reports a smaller one.
         let kept = parts.max(held);
         if kept > 0 {
             let until = now + LEASE;
@@ -264,13 +271,13 @@
     }
 }
 
-/// The owners of parts of a workspace's limit, one in each availability zone.
+/// Owners of parts of a workspace's limit, one in each availability zone.
 pub(crate) fn owners(workspace: &Name, holders: &[Holder]) -> Vec<Name> {
     let all = holders.iter().map(|holder| (&holder.zone, &holder.vm));
     members::owners(workspace, all).into_iter().cloned().collect()
 }
 
-/// The share of an entry VM that is asked for so much of what all owners are asked for.
+/// Share of an owner with the demand `asked_here`, out of the total demand `asked` of all owners.
 fn target(asked_here: f64, asked: f64, owners: usize) -> u32 {
     let even = 1.0 / owners.max(1) as f64;
     let part = if asked > 0.0 { EVEN_PART * even + (1.0 - EVEN_PART) * asked_here / asked } else { even };
--- a/fleet/src/quota/charge.rs
+++ b/fleet/src/quota/charge.rs
@@ -1,4 +1,4 @@
-//! What requests count is taken from credit, which an entry VM draws from the holders of shares.
+//! Charging requests to the credit of their workspace, which is drawn from the holders of shares.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,71 +17,73 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Credit is drawn ahead for this time of a workspace's requests.
+/// Credit is drawn in advance for this time of a workspace's requests.
 const AHEAD: Duration = Duration::from_millis(250);
-/// Time after which credit that was not spent is void.
+/// Unspent credit expires after this time.
 const KEEP: Duration = Duration::from_secs(1);
-/// How long an entry VM asks no more for a workspace that has none left, at most.
+/// Longest time for which no holder is asked after a workspace ran out of credit.
 const SHORT_MAX: Duration = Duration::from_millis(150);
-/// Holders that are asked for one request before it is refused for want of credit,
+/// Number of holders with insufficient credit after which a request is refused.
 const SHORT_ASKS: usize = 2;
-/// and all of them where less than so many like it may come at once: what is left lies with one of them, and callers are few.
+/// If the workspace can get fewer than this many requests of the same cost at once, all holders are asked
+/// instead: the remaining credit may be with any one of them, and such callers are few.
 const FEW: f64 = 10.0;
-/// Time until holders are asked once more, where none could be.
+/// Pause before holders are asked again if none could be reached.
 const ASK_AGAIN: Duration = Duration::from_millis(100);
-/// How long a request waits for a holder that can be asked.
+/// How long a request waits for a holder that can be reached.
 const HOLDER_WAIT: Duration = Duration::from_millis(400);
-/// How long a holder that did not answer is not asked.
+/// How long a holder that did not answer is not asked again.
 const SILENT: Duration = Duration::from_secs(1);
 
-/// Credit of a workspace that is to be spent here, and who is asked for more.
+/// Credit of a workspace at this entry VM, and the holders that it is drawn from.
 #[derive(Debug, Default)]
 pub(super) struct Balance {
     credit: f64,
     until: Time,
-    /// What requests are let in here: as much is drawn ahead for.
+    /// Rate of units spent here; it determines how much credit is drawn in advance.
     spent: Rate,
-    /// Units asked for since the last question.
+    /// Units requested by callers since the last draw.
     unsaid: f64,
-    /// Until when nobody is asked, and what callers are told.
+    /// After a refusal: until when no holder is asked, and when callers are told to retry.
     short: Option<(Time, Time)>,
-    /// Who owns a part, the own availability zone's first.
+    /// Owners of shares of the limit, beginning with the one in the local availability zone.
     holders: Vec<(Name, SocketAddr)>,
-    /// For which list of entry VMs that is so.
+    /// Version of the list of entry VMs that `holders` was computed from.
     members: u64,
 }
 
-/// A question on its way for a request.
+/// Progress of drawing credit for a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Asking {
-    /// Who is asked; none while nobody can be.
+    /// The holder being asked; `None` while none can be reached.
     holder: Option<Name>,
-    /// How many holders were asked before.
+    /// Number of holders asked before.
     tried: usize,
-    /// The shortest wait that any of them told, and how many told one.
+    /// Shortest retry-after reported by a holder, and the number of holders that reported one.
     wait: Option<Duration>,
     waits: usize,
 }
 
-/// What came of a question.
+/// Result of a draw.
 pub(crate) struct Answer {
     pub(crate) workspace: Name,
-    /// None if the holder could not be reached.
+    /// `None` if the holder could not be reached.
     pub(crate) credit: Option<Credit>,
 }
 
 impl Balance {
-    /// Credit that is there.
+    /// Unspent credit at `now`.
     fn left(&self, now: Time) -> f64 {
         if self.until > now { self.credit } else { 0.0 }
     }
 
-    /// Credit that is kept for the requests to come: all entry VMs together keep no more than is let in in that time.
+    /// Credit to keep for later requests. It is bounded so that all entry VMs together keep no more than is
+    /// admitted in `AHEAD`.
     fn ahead(&self, now: Time) -> f64 {
         self.spent.per_s(now) * AHEAD.as_secs_f64()
     }
 
-    /// Takes credit for a request, if there is enough.
+    /// Spends credit for a request, if there is enough.
     fn spend(&mut self, now: Time, cost: f64) -> bool {
         if self.left(now) < cost {
             return false;
@@ -92,26 +94,26 @@
         true
     }
 
-    /// Takes in credit that was given.
+    /// Adds drawn credit.
     fn put(&mut self, now: Time, units: f64) {
         self.credit = self.left(now) + units;
         self.until = now + KEEP;
     }
 
-    /// Leaves no more credit than is kept for the requests to come.
+    /// Drops credit beyond what is kept for later requests.
     fn trim(&mut self, now: Time) {
         self.credit = self.left(now).min(self.ahead(now));
     }
 }
 
-/// Takes what a request counts from its workspace's credit, or asks for some. True if it may go on now; else what becomes of
-/// it follows.
+/// Charges a request to its workspace, or starts drawing credit for it. Returns true if the request may
+/// proceed now; otherwise its fate is decided later.
 pub(crate) fn charge(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> bool {
     let Some((workspace, cost)) = cost(state, id) else {
         return true;
     };
     if at_once(state, &workspace).is_some_and(|most| cost > most) {
-        // It will never be let in.
+        // The request costs more than the limit ever admits at once.
         flow::give_up(state, now, id, Code::OverQuota, None, out);
         return false;
     }
@@ -129,14 +131,14 @@
     ask(state, now, id, &Asking::default(), out)
 }
 
-/// The workspace whose limit a request counts for, and what it counts.
+/// The workspace that a request is charged to, and its cost.
 fn cost(state: &State, id: Id) -> Option<(Name, f64)> {
     let flow = state.flows.get(&id)?;
     let workspace = flow.workspace.as_ref().filter(|_| flow.cost > 0.0)?;
     Some((workspace.name.clone(), flow.cost))
 }
 
-/// What a request counts, and for whose limit, to be logged.
+/// Charge of a request, for the log.
 pub(crate) fn account(state: &State, now: Time, id: Id) -> Option<Charge> {
     let flow = state.flows.get(&id)?;
     let workspace = flow.workspace.as_ref()?;
@@ -149,12 +151,13 @@
     })
 }
 
-/// Asks the next holder for credit. True if this process is one, and had it.
+/// Asks the next holder for credit. Returns true if the request may proceed now, as when this process is
+/// the holder and has credit.
 fn ask(state: &mut State, now: Time, id: Id, asking: &Asking, out: &mut Vec<Effect>) -> bool {
     let Some((workspace, cost)) = cost(state, id) else {
         return true;
     };
-    // Something may have come in for another request meanwhile.
+    // Credit may have arrived for another request in the meantime.
     if spend(state, now, id, &workspace) {
         return true;
     }
@@ -183,7 +186,7 @@
     false
 }
 
-/// The holder of a part to be asked after `tried` others.
+/// The reachable holder to ask after `tried` others.
 fn next_holder(state: &mut State, now: Time, workspace: &Name, tried: usize) -> Option<(Name, SocketAddr)> {
     let version = state.members.version();
     let balance = state.quota.balances.entry(workspace.clone()).or_default();
@@ -199,7 +202,7 @@
     answering.nth(tried).cloned()
 }
 
-/// Nobody else can be asked for a request's credit.
+/// Handles the case that no further holder can be asked.
 fn nobody(state: &mut State, now: Time, id: Id, asking: &Asking, out: &mut Vec<Effect>) {
     if let Some(wait) = asking.wait {
         refuse(state, now, id, wait, out);
@@ -216,19 +219,19 @@
     }
 }
 
-/// A workspace has no credit left for a request.
+/// Refuses a request because its workspace has no credit left.
 fn refuse(state: &mut State, now: Time, id: Id, wait: Duration, out: &mut Vec<Effect>) {
     if let Some((workspace, _)) = cost(state, id)
         && let Some(balance) = state.quota.balances.get_mut(&workspace)
     {
-        // What others gave for it is no more than they had left for now, and others may want it there.
+        // Partial credit collected for this request must not be withheld from other entry VMs.
         balance.trim(now);
         balance.short = Some((now + wait.min(SHORT_MAX), now + wait));
     }
     flow::give_up(state, now, id, Code::OverQuota, Some(wait), out);
 }
 
-/// Holders are to be asked once more.
+/// Asks the holders again after a pause.
 pub(crate) fn again(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some(Stage::Charging(asking)) = state.flows.get(&id).map(|flow| flow.stage.clone()) else {
         return;
@@ -238,25 +241,25 @@
     }
 }
 
-/// A holder answered, or did not.
+/// Handles a holder's answer or its absence.
 pub(crate) fn answered(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) {
     if drawn(state, now, id, answer, out) {
         flow::dispatch(state, now, id, true, out);
     }
 }
 
-/// Units of a workspace's limit that can come at once, over all holders; none where there is no limit.
+/// Most units of a workspace's limit that can be spent at once over all holders; `None` without a limit.
 fn at_once(state: &State, workspace: &Name) -> Option<f64> {
     Some(size(&limit_of(state, workspace)?, &state.settings).at_once())
 }
 
-/// Whether a request is a large part of what its workspace may ask for at once.
+/// Whether the request costs a large part of what its workspace can spend at once.
 fn is_large_part(state: &State, id: Id) -> bool {
     let most = cost(state, id).and_then(|(workspace, cost)| Some((at_once(state, &workspace)?, cost)));
     most.is_some_and(|(most, cost)| most < cost * FEW)
 }
 
-/// Takes over what a holder said. True if the request may go on.
+/// Applies a holder's answer. Returns true if the request may proceed.
 fn drawn(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) -> bool {
     let Answer { workspace, credit } = answer;
     *state.quota.draws.entry(credit.map_or("silent", Credit::label)).or_default() += 1;
@@ -269,7 +272,7 @@
     };
     match credit {
         Some(Credit::Given(_)) if spend(state, now, id, &workspace) => return true,
-        // It counts more than one holder ever has.
+        // The request costs more than one holder ever has at once.
         Some(Credit::Given(_)) => {
             asking.wait.get_or_insert_with(|| time_for_the_rest(state, now, id));
             asking.tried += 1;
@@ -284,7 +287,7 @@
             asking.tried += 1;
         }
         Some(Credit::NotHere) => asking.tried += 1,
-        // It is left out from now on, so that the next one stands in its place.
+        // The silent holder is skipped from now on, so the same index leads to the next one.
         None => {
             if let Some(holder) = &asking.holder {
                 state.members.suspect(holder, now + SILENT);
@@ -294,7 +297,7 @@
     ask(state, now, id, &asking, out)
 }
 
-/// Time in which all holders together get what a request lacks.
+/// Time in which all holders together gain the credit that the request lacks.
 fn time_for_the_rest(state: &State, now: Time, id: Id) -> Duration {
     let Some((workspace, cost)) = cost(state, id) else {
         return SHORT_MAX;
@@ -304,21 +307,22 @@
     limit.map_or(SHORT_MAX, |limit| size(&limit, &state.settings).time_for(cost - left))
 }
 
-/// A request that credit was asked for is no more: what came of that is kept for others, within bounds.
+/// The request that credit was drawn for has ended; its credit is kept for later requests within the usual
+/// bound.
 fn trim(state: &mut State, now: Time, workspace: &Name) {
     if let Some(balance) = state.quota.balances.get_mut(workspace) {
         balance.trim(now);
     }
 }
 
-/// Credit is there to be spent.
+/// Adds drawn credit to the workspace's balance.
 fn keep(state: &mut State, now: Time, workspace: &Name, units: f64) {
     let balance = state.quota.balances.entry(workspace.clone()).or_default();
     balance.put(now, units);
     balance.short = None;
 }
 
-/// Spends a request's credit, if there is enough.
+/// Spends credit for a request, if there is enough.
 fn spend(state: &mut State, now: Time, id: Id, workspace: &Name) -> bool {
     let cost = state.flows.get(&id).map_or(0.0, |flow| flow.cost);
     let spent = state.quota.balances.get_mut(workspace).is_some_and(|balance| balance.spend(now, cost));
@@ -328,7 +332,7 @@
     spent
 }
 
-/// A request's credit was spent.
+/// Marks a request as charged.
 fn charged(state: &mut State, id: Id) {
     if let Some(flow) = state.flows.get_mut(&id) {
         flow.stage = Stage::Waiting;
@@ -336,7 +340,7 @@
     }
 }
 
-/// A request ends that no engine has had: its credit is there for the next one.
+/// Returns the credit of a request that ends without having reached an engine.
 pub(crate) fn refund(state: &mut State, now: Time, id: Id) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
--- a/fleet/src/quota/lead.rs
+++ b/fleet/src/quota/lead.rs
@@ -1,4 +1,4 @@
-//! The leader's side: who owns parts of which limits, what the lease's row says of it, and what is allotted.
+//! The hub's side of workspace limits: owners of shares, their record in the lease row, and allotments.
 
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
@@ -10,22 +10,23 @@
 use crate::record::ms;
 use crate::state::{Identity, State};
 
-/// Who owns parts of which limits: of each limit one entry VM in each availability zone.
+/// Owners of the limits: for each limit, one entry VM in each availability zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Owners {
-    /// Entry VMs that own any. The others do not change who owns what, so that the lease's row does not name them.
+    /// Entry VMs that own any share. Other entry VMs do not influence who owns what, so the lease row
+    /// leaves them out.
     pub(super) holders: Vec<Holder>,
-    /// The workspaces that an entry VM owns a part of, each with the number of its owners.
+    /// By entry VM: workspaces that it owns a share of, each with its number of owners.
     by_vm: FxHashMap<Name, Vec<(Name, usize)>>,
-    /// All entry VMs that were looked at.
+    /// All entry VMs that were considered.
     known: FxHashSet<Name>,
-    /// The configuration, and the list of entry VMs, for which that is so.
+    /// Versions of the configuration and of the list of entry VMs that this was computed from.
     config: u64,
     members: u64,
 }
 
 impl Owners {
-    /// Among `vms`, by the configuration in force.
+    /// The owners among `vms` in the configuration in force.
     fn among(state: &State, vms: &[Holder]) -> Self {
         let mut by_vm: FxHashMap<Name, Vec<(Name, usize)>> = FxHashMap::default();
         for workspace in state.routes.limited() {
@@ -43,19 +44,19 @@
         }
     }
 
-    /// Whether an entry VM owns a part of a workspace's limit.
+    /// Whether an entry VM owns a share of a workspace's limit.
     pub(super) fn owns(&self, vm: &Name, workspace: &Name) -> bool {
         self.by_vm.get(vm).is_some_and(|owned| owned.iter().any(|(of, _)| of == workspace))
     }
 }
 
-/// The configuration's version in force; 0 for none.
+/// Version of the configuration in force; 0 for none.
 fn version(state: &State) -> u64 {
     state.config.as_ref().map_or(0, |config| config.version)
 }
 
-/// The lease's row is about to be written: what it is to say of owners. From now on only those are given anything that own it by
-/// this row and by the one before, since either may be what the next leader reads.
+/// Computes the owners for the lease row about to be written. From now on, shares are given only to owners
+/// by both this row and the one before, because the next hub may read either.
 pub(crate) fn propose(state: &mut State, now: Time) {
     let (config, members) = (version(state), state.members.version());
     let known = &state.quota.proposed;
@@ -72,7 +73,7 @@
     }
 }
 
-/// The lease's row was seen to name these.
+/// Handles the holders found in the lease row.
 pub(crate) fn named(state: &mut State, holders: &[Holder]) {
     let config = version(state);
     let Quota { written, proposed, .. } = &mut state.quota;
@@ -84,24 +85,26 @@
     }
 }
 
-/// This process is about to take over the lease: its row has to name whom the leaders before may have given shares.
+/// Takes over the record of shares before this process takes the lease: its own row must also name the
+/// holders of earlier hubs.
 pub(crate) fn inherit(state: &mut State, outstanding: &Outstanding) {
     state.quota.inherited = outstanding.clone();
 }
 
-/// The same after the store came back from an older copy: no row names all that the leaders before may have given shares.
+/// Same as [`inherit`] after the store was restored from an older copy: no row names all entry VMs to which
+/// earlier hubs may have given shares.
 pub(crate) fn inherit_unknown(state: &mut State, store_ms: u64) {
     let anyone = Unheard { vm: Name::default(), until_ms: store_ms + ms(LEASE) };
     state.quota.inherited = Outstanding { unheard: vec![anyone], ..Outstanding::default() };
 }
 
-/// What the lease's row is to say of shares, after [`propose`].
+/// Record of shares for the lease row, to be called after [`propose`].
 pub(crate) fn outstanding(state: &State, now: Time, ms: impl Fn(Time) -> u64) -> Outstanding {
     let Quota { allocator, proposed, inherited, .. } = &state.quota;
     if let Some(allocator) = allocator {
         return allocator.outstanding(now, proposed, ms);
     }
-    // What the leader before said has to be heard by the next one too, should this one be lost at once.
+    // If this process loses the lease at once, the next hub still needs the record of the hub before it.
     let until_ms = ms(now + LEASE);
     let before = inherited.holders.iter().map(|holder| Unheard { vm: holder.vm.clone(), until_ms });
     Outstanding {
@@ -111,8 +114,8 @@
     }
 }
 
-/// The lease was taken with a row that names these. The one before was over at `over`; `at` turns the store's times into the
-/// process's own.
+/// Starts a term as the hub with a row that names `holders`. The previous lease ended at `over`; `at`
+/// converts store time to process time.
 pub(crate) fn begin(state: &mut State, now: Time, holders: &[Holder], over: Time, at: impl Fn(u64) -> Time) {
     let before = std::mem::take(&mut state.quota.inherited);
     state.quota.allocator = Some(Allocator::new(&before, over, at));
@@ -120,12 +123,13 @@
     renew_own(state, now);
 }
 
-/// The lease is over.
+/// This process is no longer the hub.
 pub(crate) fn end(state: &mut State) {
     state.quota.allocator = None;
 }
 
-/// As the leader: what an entry VM may hold from now on. None if this is no leader, or if it cannot be said yet.
+/// As the hub: shares that an entry VM may hold from now on. `None` if this process is not the hub, or
+/// cannot tell yet.
 pub(crate) fn allot(
     state: &mut State,
     now: Time,
@@ -135,7 +139,7 @@
 ) -> Option<Vec<Allotment>> {
     state.lease.holds(now)?;
     let Quota { allocator, written, proposed, .. } = &mut state.quota;
-    // One that no row could name yet keeps what it holds.
+    // An entry VM that no written row could name yet keeps its shares.
     let owned = written.known.contains(vm).then(|| {
         let owned = written.by_vm.get(vm).into_iter().flatten();
         owned.filter(|(workspace, _)| proposed.owns(vm, workspace)).cloned().collect()
@@ -143,7 +147,7 @@
     allocator.as_mut()?.renew(now, vm, number, report, owned)
 }
 
-/// The leader allots to itself.
+/// The hub allots shares to itself.
 pub(crate) fn renew_own(state: &mut State, now: Time) {
     let report = state.quota.report(now);
     let (vm, number) = (state.me.vm.clone(), state.hub.next_number());
--- a/fleet/src/quota/message.rs
+++ b/fleet/src/quota/message.rs
@@ -1,19 +1,19 @@
-//! What entry VMs say to each other of limits.
+//! Messages between entry VMs about workspace limits.
 
 use std::time::Duration;
 
 use boragecove_core::name::Name;
 use serde::{Deserialize, Serialize};
 
-/// All of a limit, in parts of it.
+/// A whole limit, in the unit in which shares are counted.
 pub const WHOLE: u32 = 1_000_000;
 
-/// What an entry VM tells the leader: which shares it holds.
+/// Shares that an entry VM holds, as reported to the hub.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// Drawn anew at each start: a share that an earlier process held is void.
+    /// Random number drawn at each start: shares of an earlier process are void.
     pub process: u64,
-    /// The shares.
+    /// One entry per workspace.
     pub shares: Vec<Held>,
 }
 
@@ -22,47 +22,47 @@
 pub struct Held {
     /// The workspace.
     pub workspace: Name,
-    /// Parts of the limit, of [`WHOLE`].
+    /// The share, in parts of [`WHOLE`].
     pub parts: u32,
-    /// Units a second that it is asked for.
+    /// Demand at this holder, in units per second.
     pub asked_per_s: f64,
 }
 
-/// A share that the leader lets an entry VM hold, until [`super::LEASE`] after it sent the frame that asked for it.
+/// A share that an entry VM may hold until [`super::LEASE`] after it sent the frame that this answers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allotment {
     /// The workspace.
     pub workspace: Name,
-    /// Parts of the limit, of [`WHOLE`].
+    /// The share, in parts of [`WHOLE`].
     pub parts: u32,
 }
 
-/// A question for credit, to an entry VM that holds a share.
+/// Draw of credit from an entry VM that holds a share.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Draw {
     /// The workspace.
     pub workspace: Name,
-    /// Units that the request counts.
+    /// Units needed for the request.
     pub cost: f64,
-    /// Units that are wanted beyond that, for the requests to come.
+    /// Additional units wanted for later requests.
     pub ahead: f64,
-    /// Units that callers have asked for here since the last question.
+    /// Units requested by callers since the last draw.
     pub asked: f64,
 }
 
-/// The answer. One that does not arrive was spent.
+/// Answer to a [`Draw`]. The holder counts granted credit as spent even if this answer is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Credit {
-    /// So many units may be spent: the request's, and some beyond.
+    /// Units that may be spent: those for the request, and possibly more for later ones.
     Given(f64),
-    /// There is none now, and some for this request after this time.
+    /// Not enough credit now; enough for this request after this time.
     Short(Duration),
-    /// No share is held there.
+    /// The receiver holds no share of the limit.
     NotHere,
 }
 
 impl Credit {
-    /// Its name in metrics.
+    /// Label in metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
--- a/fleet/tests/brittle_engines.rs
+++ b/fleet/tests/brittle_engines.rs
@@ -1,5 +1,6 @@
-//! Brittle engines, by the users' rule: one that turns away more requests in a second than it bears falls over, whoever sent them. They let fewer
-//! wait all at once and say nothing of it, under load, with many entry VMs, after a lost leader and a start of all.
+//! Brittle engines in whole deployments: an engine that rejects more requests in a second than it tolerates
+//! crashes, whoever sent them. Covers engines that shrink their queues at the same time without reporting
+//! it: under load, with many entry VMs, after the loss of the hub and after restarts of all entry VMs.
 
 mod node;
 mod world;
@@ -17,7 +18,8 @@
 const SLOTS: u32 = 8;
 const SIZES: [usize; 4] = [6, 65, 300, 984];
 
-/// What operators state at a size: how long after their first word engines may let fewer wait.
+/// Time after engines first report a rejection limit before they may shrink their queues, as stated by the
+/// operators for each size of deployment.
 fn contact(vms: usize) -> Duration {
     Duration::from_secs(match vms {
         ..30 => 3,
@@ -44,7 +46,7 @@
     world
 }
 
-/// The users' rule: falls in one time in which a service's engines are brittle.
+/// The platform's bound: crashes during one period in which a service's engines are brittle.
 fn allowed() -> usize {
     2 + ENGINES / 10
 }
@@ -54,12 +56,12 @@
     tries.values().fold((0, 0), |(served, all), (one, of)| (served + one, all + of))
 }
 
-/// Engines that run 53 requests a second each are brittle, and let none wait any more, while callers ask for half, most and more than
-/// all that they run together.
+/// Engines that can run 53 requests per second each become brittle and then stop queueing requests, while
+/// callers send half, most and more than all that the engines can run together.
 #[test]
 fn room_shrinks() {
     for vms in SIZES {
-        // The largest take long.
+        // The largest deployments take long to simulate.
         let loads: &[f64] = if vms < 300 { &[250.0, 450.0, 700.0] } else { &[700.0] };
         for per_s in loads.iter().copied() {
             let mut world = world(vms, per_s as u64);
@@ -74,21 +76,22 @@
             world.ask(Duration::from_secs(8), per_s);
             let (served, all) = served(&world);
             println!(
-                "{vms} entry VMs, {per_s} a second: {} fell over, {served} of {all} served",
+                "{vms} entry VMs, {per_s} requests/s: {} crashes, {served} of {all} served",
                 world.falls()
             );
             assert!(
                 world.falls() <= allowed(),
-                "{vms} entry VMs, {per_s} a second: {} fell over",
+                "{vms} entry VMs, {per_s} requests/s: {} crashes",
                 world.falls()
             );
-            assert!(served > 0, "{vms} entry VMs, {per_s} a second: nothing served");
+            assert!(served > 0, "{vms} entry VMs, {per_s} requests/s: nothing served");
         }
     }
 }
 
-/// Guards against engines that fall over before most entry VMs have heard that they are brittle: callers ask for more than they run from the first moment
-/// on. All are told at once, each by one message.
+/// Guards against engines that crash before most entry VMs know that they are brittle: from the first
+/// moment callers send more than the engines can run. All entry VMs are notified at once, with one message
+/// each.
 #[test]
 fn first_word() {
     for vms in [65, 300, 984] {
@@ -100,20 +103,20 @@
                 world.make_brittle(&engine(number), 5.0, SLOTS as usize, 8);
             }
             world.ask(contact(vms), 700.0);
-            assert!(world.falls() <= allowed(), "{vms} entry VMs, seed {seed}: {} fell over", world.falls());
+            assert!(world.falls() <= allowed(), "{vms} entry VMs, seed {seed}: {} crashes", world.falls());
             let pushes = world.pushes - pushes;
             assert!(pushes < 2 * vms, "{vms} entry VMs, seed {seed}: {pushes} messages");
         }
     }
 }
 
-/// The same with a lost leader, all entry VMs started anew, or an engine that comes back after a fall, all at random.
+/// Plays a random sequence of lost hubs, restarted entry VMs and shrinking queues.
 fn play(u: &mut Unstructured<'_>) -> arbitrary::Result<(Vec<String>, usize)> {
     let vms = *u.choose(&[6, 9, 65])?;
     let mut world = world(vms, u.arbitrary()?);
     let per_s = *u.choose(&[200.0, 350.0, 500.0])?;
     let most = f64::from(u.int_in_range(3..=12)?);
-    let mut steps = vec![format!("{vms} entry VMs, {per_s} a second, {most} rejections")];
+    let mut steps = vec![format!("{vms} entry VMs, {per_s} requests/s, {most} rejections")];
     world.ask(Duration::from_secs(1), per_s);
     for number in 0..ENGINES {
         world.make_brittle(&engine(number), most, SLOTS as usize, 6);
@@ -144,7 +147,7 @@
 fn random_days() {
     arbtest(|u| {
         let (steps, falls) = play(u)?;
-        assert!(falls <= allowed(), "{falls} fell over after {steps:#?}");
+        assert!(falls <= allowed(), "{falls} crashes after {steps:#?}");
         Ok(())
     })
     .budget_ms(world::budget_ms(6_000));
--- a/fleet/tests/brittle_words.rs
+++ b/fleet/tests/brittle_words.rs
@@ -1,4 +1,4 @@
-//! What engines' words that they are brittle are taken for.
+//! How the rejection limits that engines report in their answers are read.
 
 mod node;
 
@@ -15,14 +15,14 @@
     Start { engine: engine.into(), ..Start::default() }
 }
 
-/// An engine's answer to a request that was sent just now.
+/// Feeds an engine's answer to a request that was sent just now.
 fn says(node: &mut Node, engine: &str, brittle: Bearing) -> Vec<Effect> {
     let asked = Some(Asked { request: Id(1), at: node.now });
     let notice = Notice { brittle, ..Notice::default() };
     node.feed(Event::Noticed { from: start(engine), notice, asked }).to_vec()
 }
 
-/// One that follows a leader, which has answered it.
+/// A node that follows a hub, which has answered it.
 fn follower() -> Node {
     let mut node = Node::ready("a");
     node.pass(millis(10));
@@ -31,13 +31,14 @@
     node
 }
 
-/// The leader answers the frame that is under way.
+/// Feeds the hub's reply to the pending frame.
 fn replied(node: &mut Node) {
     let reply = Reply { leads: true, nodes: 3, listed: 4.into(), ..Reply::default() };
     node.feed(Event::Replied(Some(Box::new(reply))));
 }
 
-/// Guards against an engine that is taken for sound since its word cannot be read: that is logged once, and what it said before holds.
+/// Guards against a brittle engine being treated as unlimited because it reports an invalid value. Such a
+/// value is logged once, and the limit reported before stays in force.
 #[test]
 fn unreadable_ends_nothing() {
     let mut node = follower();
--- a/fleet/tests/engine_intake.rs
+++ b/fleet/tests/engine_intake.rs
@@ -1,4 +1,5 @@
-//! What one entry VM does with the word of an engine that names a limit: whose word counts, for how long, and for whom.
+//! How one entry VM treats reported rate limits: which report wins, how long it applies, and to which start
+//! of the engine.
 
 mod node;
 
@@ -27,13 +28,13 @@
     node.feed(Event::Noticed { from, notice, asked });
 }
 
-/// An engine's answer to a request that was sent just now.
+/// Feeds an engine's answer with this rate limit to a request that was sent just now.
 fn names(node: &mut Node, engine: &str, per_s: f64) {
     let asked = Asked { request: Id(1), at: node.now };
     says(node, start(engine, None), Intake::Limited(per_s), Some(asked));
 }
 
-/// The only entry VM, which is certain of that.
+/// An entry VM that is the only one, and is certain of that.
 fn alone() -> Node {
     let mut node = Node::ready("a");
     node.lead();
@@ -56,25 +57,25 @@
     }
 }
 
-/// The sole engine with a model, and of the plain service.
+/// Leaves one engine of the plain service and one with each model.
 fn only(node: &mut Node) {
     node.feed(listing(vec![removed(10, "g2"), removed(11, "w2")], 11, false));
 }
 
-/// What becomes of a call: the attempt, or when its caller may come back.
+/// Result of a call: the attempt, or the retry-after told to the caller.
 fn call(node: &mut Node) -> Result<(Id, Attempt), Duration> {
     let id = node.arrive(plain("/ack/1"));
     match node.step(id) {
         Some(Step::Send(attempt)) => Ok((id, attempt)),
         Some(Step::Refuse(refusal)) => {
-            assert_eq!(refusal.code.status(), 503, "it has not run");
-            Err(refusal.retry_after.expect("when to come back"))
+            assert_eq!(refusal.code.status(), 503, "the request has not run");
+            Err(refusal.retry_after.expect("a retry-after"))
         }
         other => panic!("{other:?}"),
     }
 }
 
-/// Calls that are sent there in a second.
+/// Number of calls sent within a second.
 fn sent_in_a_second(node: &mut Node) -> usize {
     let mut sent = 0;
     for _ in 0..50 {
@@ -96,11 +97,11 @@
     for _ in 0..5 {
         waits.push(call(&mut node).map(|(_, attempt)| attempt.at.since(node.now)));
     }
-    assert_eq!(waits[0], Ok(millis(500)), "it has got what was sent before");
+    assert_eq!(waits[0], Ok(millis(500)), "it has just received requests without spacing");
     assert!(waits[1..].iter().all(|wait| *wait == Err(millis(1_000))), "{waits:?}");
 }
 
-/// The few places go to the more urgent requests: others find the queue full sooner.
+/// Scarce reservations go to urgent requests: less urgent ones find the schedule full sooner.
 #[test]
 fn urgent_first() {
     let mut node = alone();
@@ -126,7 +127,7 @@
     assert!(sent[0] > 2 * sent[1], "{sent:?}");
 }
 
-/// Requests that have a place from before the word give it back.
+/// Requests with a reservation from before the limit was reported lose it.
 #[test]
 fn places_given_before() {
     let mut node = alone();
@@ -141,7 +142,7 @@
     assert!(later.len() <= 2 && later.iter().all(|wait| *wait >= millis(500)), "{later:?}");
 }
 
-/// A place is void a moment after its time, as where a machine was suspended.
+/// A reservation expires shortly after its time, as when the machine was suspended.
 #[test]
 fn place_is_void_later() {
     let mut node = alone();
@@ -151,10 +152,10 @@
     let late = attempt.at.since(node.now) + millis(350);
     renew(&mut node, late);
     let step = node.ended(id, attempt.number, End::Withheld);
-    let Some(Step::Send(again)) = step else { panic!("it asks for another place: {step:?}") };
+    let Some(Step::Send(again)) = step else { panic!("no second reservation: {step:?}") };
     assert!(again.at >= node.now);
     let (_, free) = node.sent(brief("m2"));
-    assert_eq!(free.send_by, None, "the other engine has named none");
+    assert_eq!(free.send_by, None, "the other engine has no limit");
 }
 
 #[test]
@@ -168,7 +169,7 @@
     says(&mut node, start("g1", None), Intake::Open, None);
     let later = Asked { at: node.now + millis(5), ..before };
     says(&mut node, start("g1", None), Intake::Unreadable, Some(later));
-    assert!(sent_in_a_second(&mut node) <= 2, "it holds: nothing said otherwise since");
+    assert!(sent_in_a_second(&mut node) <= 2, "no later answer has lifted the limit");
     let asked = Asked { request: Id(2), at: node.now };
     node.pass(millis(10));
     says(&mut node, start("g1", None), Intake::Open, Some(asked));
@@ -198,17 +199,17 @@
     only(&mut node);
     node.feed(listing(vec![row(12, born("g1", 1_000))], 12, false));
     says(&mut node, start("g1", Some(500)), Intake::Limited(1.0), None);
-    assert!(sent_in_a_second(&mut node) > 40, "an earlier start's");
+    assert!(sent_in_a_second(&mut node) > 40, "reported by an earlier start");
     says(&mut node, start("g1", Some(1_000)), Intake::Limited(1.0), None);
     assert!(sent_in_a_second(&mut node) <= 2);
     node.feed(listing(vec![removed(13, "g1")], 13, false));
     node.feed(listing(vec![row(14, born("g1", 1_000))], 14, false));
-    assert!(sent_in_a_second(&mut node) <= 2, "it lapsed and came back");
+    assert!(sent_in_a_second(&mut node) <= 2, "the same start was removed and listed again");
     node.feed(listing(vec![row(15, born("g1", 2_000))], 15, false));
-    assert!(sent_in_a_second(&mut node) > 40, "a later start's is over");
+    assert!(sent_in_a_second(&mut node) > 40, "a later start has not reported a limit");
 }
 
-/// It also says that it leaves, or that it wants nothing for a while: both count more.
+/// An answer that also reports that the engine leaves or pauses: both take precedence over the rate limit.
 #[test]
 fn with_other_words() {
     let mut node = alone();
@@ -218,17 +219,18 @@
     node.feed(Event::Noticed { from: start("g1", None), notice, asked: None });
     assert_eq!(call(&mut node).map(|_| ()), Err(Duration::from_secs(2)));
     renew(&mut node, Duration::from_secs(2));
-    // Five in that second, and those that have a place in the half second after it.
+    // Five in that second, and those with a reservation in the half second after it.
     let sent = sent_in_a_second(&mut node);
     assert!((1..=8).contains(&sent), "{sent}");
     let notice = Notice { leaving: true, intake: Intake::Limited(5.0), ..Notice::default() };
     node.feed(Event::Noticed { from: start("w1", None), notice, asked: None });
     let id = node.arrive(brief("m1"));
     let sent = matches!(node.step(id), Some(Step::Send(_)));
-    assert!(!sent, "the only one with its model leaves");
+    assert!(!sent, "the only engine with its model is leaving");
 }
 
-/// An entry VM that nobody leads knows no owner, and sends nothing there.
+/// Without a hub, an entry VM does not know the owner of a schedule, and sends nothing to a rate-limited
+/// engine.
 #[test]
 fn nobody_to_ask() {
     let mut node = Node::ready("a");
@@ -239,7 +241,7 @@
     node.sent(brief("m2"));
 }
 
-/// The leader takes in what frames tell, and tells it to each of the others once.
+/// The hub accepts reports from frames, and sends each change once to every other entry VM.
 #[test]
 fn told_by_frames() {
     let mut hub = Node::ready("hub");
@@ -256,7 +258,7 @@
     assert!(again.limits.is_empty());
 }
 
-/// Each change has one line, with the request whose answer said so.
+/// Each change is logged once, with the request whose answer reported it.
 #[test]
 fn changes_have_lines() {
     let mut node = alone();
@@ -271,7 +273,8 @@
     assert_eq!(lines, [(Some(1), Some(2.0)), (Some(1), Some(3.0))]);
 }
 
-/// A place that was asked for before the word, also one that followed the end of an earlier limit, is not used.
+/// A reservation requested before the limit was reported is not used, even if an earlier limit had ended
+/// before.
 #[test]
 fn asked_for_before() {
     for earlier in [false, true] {
@@ -304,14 +307,18 @@
             says(&mut node, start("w1", None), Intake::Open, asked);
         }
         let id = node.arrive(brief("m1"));
-        assert!(node.effects.iter().any(|effect| matches!(effect, Effect::Ask { .. })), "it asks");
+        assert!(
+            node.effects.iter().any(|effect| matches!(effect, Effect::Ask { .. })),
+            "no reservation was requested"
+        );
         names(&mut node, "w1", 1.0);
         node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
         assert!(!matches!(node.step(id), Some(Step::Send(_))), "earlier limit: {earlier}");
     }
 }
 
-/// The word of an engine that is not listed, and does not say which start it is, is nobody's.
+/// A report without an incarnation from an engine that is not listed is ignored: the next engine with this
+/// id may be another one.
 #[test]
 fn unlisted_without_start() {
     let mut node = alone();
--- a/fleet/tests/engine_limits.rs
+++ b/fleet/tests/engine_limits.rs
@@ -1,4 +1,5 @@
-//! Limits of engines in need, as sums over all entry VMs, by the users' rule and by what an engine gets from all together.
+//! Rate limits of engines, as sums over all entry VMs, checked against the platform's bound and against the
+//! requests that each engine receives.
 
 mod node;
 mod world;
@@ -13,10 +14,11 @@
 use node::{GATEWAY, WRITER, brief, entry, plain, row};
 use world::{Backends, World, ZONES};
 
-/// Time after the first word from which the limit is kept: the users' time for whoever is in touch.
+/// Time after the first report from which the limit must hold: the platform's bound for entry VMs in
+/// contact with the engine.
 const CONTACT: Duration = Duration::from_secs(3);
 
-/// Two engines with each of three models, one alone with `m3`, and three of the plain service.
+/// Two engines for each of three models, one engine alone with `m3`, and three of the plain service.
 fn engines() -> Vec<Row> {
     let held =
         [("w0", "m0"), ("w1", "m1"), ("w2", "m2"), ("w3", "m0"), ("w4", "m1"), ("w5", "m2"), ("w6", "m3")];
@@ -36,7 +38,7 @@
     world
 }
 
-/// Callers ask for so many streams and calls a second for a while, at entry VMs at random.
+/// Sends this many streams and calls per second for a while, to random entry VMs.
 fn run(world: &mut World, time: Duration, streams_per_s: f64, calls_per_s: f64) {
     let end = world.now + time;
     let step = Duration::from_millis(5);
@@ -55,13 +57,14 @@
     }
 }
 
-/// Requests a second that reach an engine from all entry VMs from `CONTACT` after `since`.
+/// Requests per second that reach an engine from all entry VMs, counted from `CONTACT` after `since`.
 fn per_s(world: &World, engine: &str, since: Time) -> f64 {
     let from = since + CONTACT;
     world.reached(engine, from) as f64 / world.now.since(from).as_secs_f64()
 }
 
-/// Guards against the incident: an engine that named 2.9 requests a second got 49 in 4 s from entry VMs that it had told.
+/// Guards against an incident: an engine that reported a limit of 2.9 requests per second got 49 in 4 s
+/// from entry VMs that had received the report.
 #[test]
 fn engine_limit_kept() {
     let mut world = world(6, 1);
@@ -73,23 +76,24 @@
     run(&mut world, Duration::from_secs(12), 60.0, 60.0);
     for (engine, limit) in [("w0", 2.9), ("w6", 1.4), ("g0", 3.0)] {
         let excess = world.limit_excess(engine, CONTACT);
-        assert!(excess <= 0.0, "{engine}: {excess} requests over the rule in 4 s");
+        assert!(excess <= 0.0, "{engine}: {excess} requests over the bound in 4 s");
         let got = per_s(&world, engine, since);
-        assert!(got <= limit * 1.05, "{engine}: {got} requests a second, limit {limit}");
+        assert!(got <= limit * 1.05, "{engine}: {got} requests/s, limit {limit}");
     }
 }
 
-/// What each of all engines in need got beyond the users' rule in the worst window, at most.
+/// The most that any of these engines got beyond the platform's bound in its worst window.
 fn worst_excess(world: &World, engines: &[&str], contact: Duration) -> f64 {
     engines.iter().map(|engine| world.limit_excess(engine, contact)).fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// The part of a limit that an engine got from all together, over a time.
+/// Requests that an engine got from all entry VMs since a time, as a part of its limit.
 fn part(world: &World, engine: &str, limit: f64, since: Time) -> f64 {
     world.reached(engine, since) as f64 / world.now.since(since).as_secs_f64() / limit
 }
 
-/// Those that no other engine can replace get what they take, not less: the only holder of a model, and all of a service.
+/// Engines that no other engine can replace get as many requests as their limits allow, not fewer: the only
+/// holder of a model, and all engines of a service.
 #[test]
 fn engines_get_their_limits() {
     let mut world = world(6, 2);
@@ -106,7 +110,8 @@
     }
 }
 
-/// The owner of its places, which is the leader too or not, is killed; another goes on after a while.
+/// The owner of the engine's schedule, which may also be the hub, is killed; another one takes over after a
+/// while.
 #[test]
 fn owner_killed() {
     for seed in 0..6 {
@@ -124,8 +129,8 @@
     }
 }
 
-/// The owner of its places hears nobody any more, and goes on with many callers of its own, as do the others: two owners for as long as
-/// that lasts.
+/// The owner of the engine's schedule loses contact with all others and keeps serving many callers, as do
+/// the others: there are two owners for as long as that lasts.
 #[test]
 fn owner_cut_off() {
     for seed in 0..4 {
@@ -147,13 +152,14 @@
     }
 }
 
-/// The leader is lost: places are given on, if for a part of the limit, until another leader has been there for a while.
+/// The hub is lost: reservations are still granted, for a part of the limit, until a new hub has been in
+/// place for a while.
 #[test]
 fn leader_lost() {
     let mut world = world(9, 4);
     world.need("w6", Some(4.0));
     run(&mut world, Duration::from_secs(5), 80.0, 0.0);
-    let leader = world.leader().expect("there is one");
+    let leader = world.leader().expect("a hub");
     world.kill(leader);
     let since = world.now;
     run(&mut world, Duration::from_secs(6), 80.0, 0.0);
@@ -163,7 +169,7 @@
     assert!(worst_excess(&world, &["w6"], CONTACT) <= 0.0);
 }
 
-/// The store is away for longer than any lease, so that nobody leads.
+/// The store is unreachable for longer than any lease, so that there is no hub.
 #[test]
 fn store_away() {
     let mut world = world(9, 5);
@@ -178,7 +184,8 @@
     assert!(worst_excess(&world, &["w6"], CONTACT) <= 0.0);
 }
 
-/// The zone of an engine is cut off, with the leader or without, and comes back: it goes on with what its own zone sends.
+/// The zone of an engine is cut off, with or without the hub, and comes back: the engine keeps working on
+/// what its own zone sends.
 #[test]
 fn zone_cut_off() {
     for zone in 0..ZONES.len() {
@@ -196,7 +203,7 @@
     }
 }
 
-/// Ten times the load from one moment on, and all entry VMs but one started anew in it.
+/// The load rises tenfold at once, and then all entry VMs but one restart.
 #[test]
 fn burst_and_restarts() {
     let mut world = world(9, 7);
@@ -211,7 +218,7 @@
     assert!(worst_excess(&world, &engines, CONTACT) <= 0.0);
 }
 
-/// All 300 entry VMs have something for the engine at one moment.
+/// All 300 entry VMs have requests for the engine at the same time.
 #[test]
 fn many_entry_vms() {
     let mut world = world(300, 8);
@@ -224,15 +231,16 @@
     run(&mut world, Duration::from_secs(9), 300.0, 300.0);
     for (engine, limit) in engines {
         let excess = world.limit_excess(engine, Duration::from_secs(5));
-        assert!(excess <= 0.0, "{engine}: {excess} requests over the rule in 4 s");
+        assert!(excess <= 0.0, "{engine}: {excess} requests over the bound in 4 s");
         let late = since + Duration::from_secs(5);
         let got = world.reached(engine, late) as f64;
-        assert!(got <= limit * 4.0 + 2.0, "{engine}: {got} in 4 s from all, told or not");
+        assert!(got <= limit * 4.0 + 2.0, "{engine}: {got} requests in 4 s from all entry VMs");
     }
 }
 
-/// Requests that have a place at an engine when it names a limit go back, and have not run there when another engine gets them: a
-/// request that may run once was seen to run twice, its answer put together from both.
+/// Guards against requests that run twice: a request with a reservation at an engine that then reports a
+/// limit was sent to another engine although it had also run at the first, and its answer was put together
+/// from both.
 #[test]
 fn withdrawn_runs_once() {
     for seed in 0..8 {
@@ -246,8 +254,8 @@
     }
 }
 
-/// 300 entry VMs lose their leader, some others and a zone, get new ones, and all callers ask five times as much: frames are 1.5 s
-/// apart, and a killed entry VM is missed after 3.7 s.
+/// 300 entry VMs lose their hub, the owners of three schedules and a zone, new ones are added, and callers
+/// send five times as much. Frames are 1.5 s apart, and a killed entry VM is detected after 3.7 s.
 #[test]
 fn many_with_faults() {
     let mut world = world(300, 11);
@@ -257,11 +265,11 @@
     }
     let contact = Duration::from_secs(5);
     run(&mut world, contact, 150.0, 150.0);
-    let leader = world.leader().expect("there is one");
+    let leader = world.leader().expect("a hub");
     world.kill(leader);
     run(&mut world, Duration::from_secs(4), 750.0, 750.0);
     for engine in ["w0", "w6", "g0"] {
-        // All three are in the first zone.
+        // All three engines are in the first zone.
         let owner = world.owner_of(engine, ZONES[0]);
         world.kill(owner);
     }
@@ -276,7 +284,7 @@
     assert!(worst_excess(&world, &engines, contact) <= 0.0);
 }
 
-/// It ends as soon as the engine stops to say so, also where it takes nothing at all.
+/// The limit ends as soon as the engine stops reporting it, even a limit of zero.
 #[test]
 fn limit_ends() {
     for limit in [0.0, 0.1, 3.0] {
@@ -294,12 +302,12 @@
         run(&mut world, Duration::from_secs(3), 40.0, 60.0);
         for (engine, usual) in [("w6", 10.0), ("g0", 15.0)] {
             let got = part(&world, engine, usual, since);
-            assert!(got > 0.5, "limit {limit}: {engine} gets {got} of its usual");
+            assert!(got > 0.5, "limit {limit}: {engine} gets {got} of its usual load");
         }
     }
 }
 
-/// It falls, and rises again.
+/// The limit falls and rises again.
 #[test]
 fn limit_changes() {
     let mut world = world(6, 10);
@@ -329,7 +337,8 @@
     }
 }
 
-/// Plays one day, and returns by how much any engine in need got more than the rule allows; below 0 if none did.
+/// Plays a random sequence of faults and limits. Returns the largest excess over the platform's bound at
+/// any engine; negative if there was none.
 fn play(u: &mut Unstructured<'_>) -> arbitrary::Result<(f64, &'static str)> {
     const NAMES: [&str; 10] = ["w0", "w1", "w2", "w3", "w4", "w5", "w6", "g0", "g1", "g2"];
     let mut world = world(u.int_in_range(4..=13)?, u.arbitrary()?);
@@ -363,19 +372,20 @@
     Ok(worst)
 }
 
-/// Whatever is lost, cut off, suspended, restarted or added, no entry VM excused: in any 4 s no engine in need gets more than the rule
-/// allows from those that it has told.
+/// Whatever is lost, cut off, suspended, restarted or added: in any 4 s, no rate-limited engine gets more
+/// than the platform's bound allows from entry VMs that received its report.
 #[test]
 fn limit_sum_holds() {
     arbtest(|u| {
         let (excess, engine) = play(u)?;
-        assert!(excess <= 0.0, "{engine}: {excess} over the rule");
+        assert!(excess <= 0.0, "{engine}: {excess} over the bound");
         Ok(())
     })
     .budget_ms(world::budget_ms(8_000));
 }
 
-/// A calm day with a broken copy, in which whoever is asked for a place gives one: the check has to find it.
+/// Proves that the check works: with every reservation granted at once, and without any fault, it must find
+/// an excess.
 #[test]
 fn check_bites() {
     let mut world = world(6, 1);
--- a/fleet/tests/engine_notices.rs
+++ b/fleet/tests/engine_notices.rs
@@ -1,4 +1,5 @@
-//! What engines say of themselves in their answers counts at once, and against older entries.
+//! Notices in engines' answers take effect at once and take precedence over older rows of the engines'
+//! table.
 
 mod node;
 
@@ -34,7 +35,7 @@
     Entry { incarnation: Incarnation(Some(at)), ..entry(id, GATEWAY, "zone-a", &[]) }
 }
 
-/// Engines that calls of the plain service are sent to, of 20.
+/// How many of 20 calls to the plain service are sent to this engine.
 fn reached(node: &mut Node, engine: &str) -> usize {
     let mut reached = 0;
     for _ in 0..20 {
@@ -52,7 +53,7 @@
     assert_eq!(reached(&mut node, "g1"), 0);
 }
 
-/// The entry from before the word is read again, lapses around an outage, is forgotten and comes back.
+/// The row from before the notice is read again, lapses around an outage, is forgotten and comes back.
 #[test]
 fn older_entries_change_nothing() {
     let mut node = Node::ready("a");
@@ -66,7 +67,7 @@
     assert_eq!(reached(&mut node, "g1"), 0);
 }
 
-/// The word comes while the engine is not listed, as around an outage of the store.
+/// The notice arrives while the engine is not listed, as around an outage of the store.
 #[test]
 fn word_of_an_unlisted_engine() {
     let mut node = Node::ready("a");
@@ -85,10 +86,10 @@
     node.feed(listing(vec![row(11, born("g1", 9_000))], 11, false));
     assert!(reached(&mut node, "g1") > 0);
     leaves(&mut node, "g1", Some(1_000));
-    assert!(reached(&mut node, "g1") > 0, "an answer of the earlier start comes late");
+    assert!(reached(&mut node, "g1") > 0, "a late answer of the earlier start is ignored");
 }
 
-/// An engine that does not say when it started is a new one once its entry was gone.
+/// An engine without an incarnation counts as a new one once its row was removed.
 #[test]
 fn unknown_start_comes_back() {
     let mut node = Node::ready("a");
@@ -100,7 +101,7 @@
     assert!(reached(&mut node, "g1") > 0);
 }
 
-/// Requests that have a place in the engine's schedule, and have not gone out, go elsewhere.
+/// Requests with a reservation in the engine's schedule that have not been sent yet go elsewhere.
 #[test]
 fn places_are_given_up() {
     let mut node = Node::ready("a");
@@ -111,18 +112,18 @@
             waiting.push(id);
         }
     }
-    assert!(!waiting.is_empty(), "some wait for their place");
+    assert!(!waiting.is_empty(), "no request waits for its reservation");
     leaves(&mut node, "w1", None);
     for id in waiting {
         match node.step(id) {
             Some(Step::Send(attempt)) => assert_eq!(*attempt.engine, *"w2"),
             Some(Step::Refuse(refusal)) => assert_eq!(refusal.code.status(), 502),
-            other => panic!("it still goes there: {other:?}"),
+            other => panic!("still sent there: {other:?}"),
         }
     }
 }
 
-/// The giver of orders counts no copy that the others do not use any more.
+/// The hub, which orders model loads, does not count copies that the other entry VMs no longer use.
 #[test]
 fn hub_is_told() {
     let mut node = Node::ready("a");
@@ -135,7 +136,7 @@
         Effect::Frame { frame, .. } => Some(frame.clone()),
         _ => None,
     });
-    let frame: Box<Frame> = frame.expect("a frame at once");
+    let frame: Box<Frame> = frame.expect("an immediate frame");
     assert_eq!(frame.departures, [start("w1", None)]);
     let mut hub = Node::ready("hub");
     hub.lead();
@@ -144,7 +145,8 @@
     assert!(leaving("w1") && !leaving("w2"), "engines of {WRITER}");
 }
 
-/// Another engine answered at its address: that is this process's own belief, and no word of the table to others, until the table says more.
+/// Another engine answered at the engine's address. Only this process acts on that; it does not report the
+/// engine as leaving to others until the table does.
 #[test]
 fn replaced_at_its_address() {
     let mut hub = Node::ready("hub");
@@ -156,17 +158,18 @@
     let asker = Frame { vm: "b".into(), zone: "zone-a".into(), ..Frame::default() };
     hub.feed(Event::Framed(Box::new(asker.clone())));
     let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
-    let row = reply.rows.iter().find(|row| row.id == gone).expect("it is told");
-    assert!(row.entry.as_ref().is_some_and(|entry| !entry.leaving), "its row does not say that it leaves");
+    let row = reply.rows.iter().find(|row| row.id == gone).expect("a row for the asker");
+    assert!(row.entry.as_ref().is_some_and(|entry| !entry.leaving), "the row must not be marked as leaving");
     hub.feed(listing(vec![row_of(10, &gone)], 10, false));
-    assert!(reached(&mut hub, &gone) > 0, "it has registered anew");
+    assert!(reached(&mut hub, &gone) > 0, "it has registered again");
 }
 
 fn row_of(version: u64, id: &str) -> Row {
     row(version, entry(id, GATEWAY, "zone-a", &[]))
 }
 
-/// Each answer of an engine that leaves says so: the leader is told once, and not of one whose row says it too.
+/// Every answer of a leaving engine says so. The hub is told once, and not at all if the engine's row
+/// already says so.
 #[test]
 fn told_once() {
     let mut node = Node::ready("a");
@@ -181,20 +184,21 @@
     };
     node.feed(Event::Replied(Some(Box::new(reply(1)))));
     leaves(&mut node, "w1", None);
-    let number = frame(&node.effects).expect("a frame at once");
+    let number = frame(&node.effects).expect("an immediate frame");
     node.feed(Event::Replied(Some(Box::new(reply(number)))));
     leaves(&mut node, "w1", None);
-    assert_eq!(frame(&node.effects), None, "it is known there");
+    assert_eq!(frame(&node.effects), None, "the hub knows already");
     node.feed(listing(
         vec![row(10, Entry { leaving: true, ..entry("g1", GATEWAY, "zone-a", &[]) })],
         10,
         false,
     ));
     leaves(&mut node, "g1", None);
-    assert_eq!(frame(&node.effects), None, "it is in the table");
+    assert_eq!(frame(&node.effects), None, "its row says so already");
 }
 
-/// Whoever answers frames does not lead any more, as after a restart: no leader can tell the others, and this process does.
+/// The VM that answers frames is no longer the hub, as after its restart. Without a hub to spread it, this
+/// process notifies the other entry VMs itself.
 #[test]
 fn told_without_a_leader() {
     for heard_before in [false, true] {
@@ -242,7 +246,7 @@
     assert!(reached(&mut node, "g1") > 0);
 }
 
-/// All engines that could run it pause: the caller is told at once, and truly, when to come back.
+/// All engines that could run the request pause: the caller is told at once the correct time to retry.
 #[test]
 fn caller_is_told_the_pause() {
     let mut node = Node::ready("a");
@@ -254,10 +258,10 @@
     let refusal = node.refused(plain("/list/1"));
     assert_eq!(refusal.code.status(), 503);
     pauses(&mut node, "w1", Duration::from_secs(3));
-    assert!(node.refused(brief("m1")).retry_after.is_some(), "the only engine with its model");
+    assert!(node.refused(brief("m1")).retry_after.is_some(), "the only engine with its model pauses");
 }
 
-/// The engine that turned the request away is the only one: its caller is not held until another is there.
+/// The only engine rejects the request: its caller is not made to wait for another engine.
 #[test]
 fn refused_by_the_only_engine() {
     let mut node = Node::ready("a");
@@ -270,7 +274,7 @@
     assert_eq!((refusal.code.status(), refusal.retry_after), (503, Some(Duration::from_secs(2))));
 }
 
-/// A pause ends with the engine's start, and one of no sensible length in an hour.
+/// A pause ends when the engine restarts, and an excessively long one after an hour.
 #[test]
 fn pause_has_an_end() {
     let mut node = Node::ready("a");
@@ -284,7 +288,7 @@
     node.sent(plain("/ack/1"));
 }
 
-/// The giver of orders leaves the engine alone too, and goes on after the pause.
+/// The hub sends no orders to a pausing engine, and continues after the pause.
 #[test]
 fn orders_wait() {
     let mut node = Node::ready("hub");
--- a/fleet/tests/engine_partitions.rs
+++ b/fleet/tests/engine_partitions.rs
@@ -1,5 +1,6 @@
-//! Entry VMs that lose the way to engines which others reach, at the sizes of all deployments: their callers are served, nobody is misled, and all
-//! goes back to what it was. Partitions overlap with departures, restarts, lost leaders and each other.
+//! Entry VMs that lose the path to engines which others reach, at the sizes of all deployments: their
+//! callers are served, no wrong conclusions are drawn about engines, and the direct paths are used again
+//! afterwards. Partitions overlap with departures, restarts, lost hubs and each other.
 
 mod node;
 mod world;
@@ -20,9 +21,10 @@
 const SIZES: [usize; 4] = [6, 65, 300, 984];
 /// How long a partition lasts in a test.
 const CUT: Duration = Duration::from_secs(8);
-/// Requests a second of all callers together.
+/// Requests per second of all callers together.
 const ASKED_PER_S: u64 = 160;
-/// After which time nothing of a partition is left: the longest pause between two tries, and the time for which an engine must answer.
+/// Time after which no effect of a partition is left: the longest pause between two tries, plus the time
+/// for which an engine must accept connections.
 const REJOINED: Duration = Duration::from_secs(7);
 
 fn gateway(number: usize) -> Entry {
@@ -43,7 +45,7 @@
     world_with(vms, seed, Settings::default())
 }
 
-/// Callers ask entry VMs at random for a while; half of them ask the first few.
+/// Sends requests to random entry VMs for a while; half of them go to the first few.
 fn ask(world: &mut World, time: Duration, some: usize) {
     let end = world.now + time;
     while world.now < end {
@@ -56,7 +58,7 @@
     }
 }
 
-/// First tries at the entry VMs that were cut off, and at the others, as the users' rule counts them: served, and all.
+/// First tries at the entry VMs that are cut off and at the others: number served and number of all.
 fn counted(world: &World, cut: &[usize], from: Time, until: Time) -> [(usize, usize); 2] {
     let mut sums = [(0, 0); 2];
     for (vm, (served, all)) in world.tries(from, until) {
@@ -66,16 +68,16 @@
     sums
 }
 
-/// What breaks the users' rule, if anything does.
+/// Describes how the platform's bound is broken, if it is.
 fn broken(world: &World, cut: &[usize], from: Time, until: Time) -> Option<String> {
     let [(served, all), (others_served, others)] = counted(world, cut, from, until);
     let part = |served: usize, all: usize| if all == 0 { 1.0 } else { served as f64 / all as f64 };
     let worse = part(served, all) < part(others_served, others) * 2.0 / 3.0;
     let failed = (all - served) > 10 + (all + others) / 50;
-    (worse && failed).then(|| format!("{served} of {all} served, {others_served} of {others} elsewhere"))
+    (worse && failed).then(|| format!("{served} of {all} served, {others_served} of {others} at the others"))
 }
 
-/// Entry VMs that hold against engines that they cannot be reached, or go by others.
+/// Number of entry VMs that consider some engine unreachable from there.
 fn apart(world: &World) -> usize {
     let apart =
         |at: &usize| world.is_running(*at) && world.state(*at).engines().any(|engine| engine.path.is_lost());
@@ -86,11 +88,12 @@
     (0..world.len()).filter(|at| at % ZONES.len() == zone).collect()
 }
 
-/// One entry VM, all of a zone, and most of all, each by connections that hang and that are refused, at each size.
+/// Cuts off one entry VM, all of a zone, or most of all, by connections that hang or are refused, at each
+/// size.
 #[test]
 fn callers_are_served() {
     for vms in SIZES {
-        // The largest take long.
+        // The largest deployments take long to simulate.
         let cases: &[u64] = if vms < 300 { &[0, 1, 2, 3] } else { &[1, 3] };
         for case in cases.iter().copied() {
             let refused = case % 2 == 0;
@@ -110,22 +113,26 @@
             let fault = broken(&world, &cut, began + CONTACT, until - Duration::from_secs(1));
             assert_eq!(fault, None, "{vms} entry VMs, case {case}");
             let asks_per_s = world.asks as f64 / CUT.as_secs_f64();
-            println!("{vms} entry VMs, case {case}: {asks_per_s} questions a second");
-            assert!(asks_per_s < 8_000.0, "{vms} entry VMs, case {case}: {asks_per_s} questions a second");
+            println!("{vms} entry VMs, case {case}: {asks_per_s} probe requests/s");
+            assert!(asks_per_s < 8_000.0, "{vms} entry VMs, case {case}: {asks_per_s} probe requests/s");
             let passed: usize = cut.iter().map(|at| world.passed_on_for(*at)).sum();
-            assert!(passed > 0, "{vms} entry VMs, case {case}: nothing was passed on");
+            assert!(passed > 0, "{vms} entry VMs, case {case}: nothing was relayed");
             let doubled = if refused { world.doubled() } else { world.repeated() };
             assert_eq!(doubled, 0, "{vms} entry VMs, case {case}: requests ran twice");
             for at in &cut {
                 world.part(*at, None);
             }
             ask(&mut world, REJOINED, 6);
-            assert_eq!(apart(&world), 0, "{vms} entry VMs, case {case}: some are still apart");
+            assert_eq!(
+                apart(&world),
+                0,
+                "{vms} entry VMs, case {case}: some engines still count as unreachable"
+            );
         }
     }
 }
 
-/// Bites: without relays, callers are refused.
+/// Proves that the check works: without relays, callers are refused.
 #[test]
 fn refused_without_relays() {
     let settings = Settings { without: vec![Mechanism::Relays], ..Settings::default() };
@@ -137,22 +144,22 @@
     assert!(broken(&world, &[1], began + CONTACT, until).is_some());
 }
 
-/// A leader that reaches no engine hands the lease on, and takes none while others reach them.
+/// A hub that reaches no engine gives up the lease, and does not take it again while others reach engines.
 #[test]
 fn leader_hands_on() {
     for vms in [6, 65] {
         let mut world = world(vms, 7);
-        let leader = world.leader().expect("there is one");
+        let leader = world.leader().expect("a hub");
         world.part(leader, Some(Partition { lost: Lost::All, refused: false }));
         ask(&mut world, Duration::from_secs(6), leader + 1);
         let after = world.leader();
-        assert!(after.is_some_and(|after| after != leader), "{vms} entry VMs: {after:?} leads");
+        assert!(after.is_some_and(|after| after != leader), "{vms} entry VMs: hub {after:?}");
         ask(&mut world, Duration::from_secs(6), leader + 1);
-        assert_ne!(world.leader(), Some(leader), "{vms} entry VMs: it leads again");
+        assert_ne!(world.leader(), Some(leader), "{vms} entry VMs: it is the hub again");
     }
 }
 
-/// Where nobody reaches an engine, somebody leads all the same.
+/// If nobody reaches an engine, there is still a hub.
 #[test]
 fn somebody_leads() {
     let mut world = world(6, 8);
@@ -163,7 +170,8 @@
     assert!(world.leader().is_some());
 }
 
-/// A way that comes and goes each second costs few requests: it is used again only once it has stayed.
+/// A path that comes and goes each second costs few requests: it is used again only after it has been
+/// stable.
 #[test]
 fn way_comes_and_goes() {
     let mut world = world(6, 9);
@@ -180,8 +188,9 @@
     assert!(served * 20 >= all * 19, "{served} of {all} served");
 }
 
-/// Guards against requests that are held to crash engines since those who lost the same engines, and no others, agree that they are down: connections are
-/// reset and refused again and again, for some of one zone, or of all zones, while the engines run.
+/// Guards against requests being quarantined as crashing engines because entry VMs that lost the same
+/// engines agree that these are down. Connections are reset and refused repeatedly, for some entry VMs of
+/// one zone or of all zones, while the engines run.
 #[test]
 fn resets_accuse_nobody() {
     for vms in [6, 65] {
@@ -201,14 +210,15 @@
             }
             let accused = (0..vms).filter(|at| world.state(*at).crashes().quarantined(world.now) > 0);
             assert_eq!(accused.count(), 0, "{vms} entry VMs, zone {zone:?}");
-            // Where most of all zones have lost the same, all who are asked may have.
+            // If most entry VMs of all zones have lost the same engines, everyone who is asked may be among
+            // them.
             let suspected = if zone.is_some() { world.accused } else { 0 };
             assert_eq!(suspected, 0, "{vms} entry VMs, zone {zone:?}: runs are suspected");
         }
     }
 }
 
-/// Plays one day. Returns what was wrong, with what had been done until then.
+/// Plays a random sequence of partitions and faults. Returns the steps and the violations found.
 fn play(
     u: &mut Unstructured<'_>,
     sizes: &[usize],
@@ -258,7 +268,8 @@
         }
         ask(&mut world, CUT, 6);
         let until = world.now;
-        // What was done besides lasts for as long as the users' rules allow an entry VM that was disturbed.
+        // A fault during the partition has effects for as long as the platform's bounds allow a disturbed
+        // entry VM.
         let from = if troubled { until - Duration::from_secs(3) } else { began + CONTACT };
         let running: Vec<usize> = cut.iter().copied().filter(|at| world.calm_since(*at).is_some()).collect();
         faults.extend(broken(&world, &running, from.max(began + CONTACT), until - Duration::from_secs(1)));
@@ -268,30 +279,31 @@
         world.heal();
         ask(&mut world, REJOINED, 6);
         if apart(&world) > 0 {
-            faults.push(format!("{} are still apart", apart(&world)));
+            faults.push(format!("{} entry VMs still count engines as unreachable", apart(&world)));
         }
         if !faults.is_empty() {
             break;
         }
     }
-    // Whose connection was reset may run again, if its kind may.
+    // A request whose connection was reset may run again if it is retryable.
     let doubled = if reset { world.doubled() } else { world.repeated() };
     if doubled > 0 {
         faults.push(format!("{doubled} requests ran twice"));
     }
     for (number, since) in left {
         let late = world.senders(&format!("g{number}"), since + Duration::from_secs(5), world.now);
-        faults
-            .extend(late.first().map(|late| format!("g{number} left at {since:?} and is sent to: {late:?}")));
+        faults.extend(
+            late.first().map(|late| format!("g{number} left at {since:?} but was sent a request: {late:?}")),
+        );
     }
     let accused = (0..vms).filter(|at| world.state(*at).crashes().quarantined(world.now) > 0).count();
     if accused > 0 {
-        faults.push(format!("{accused} hold requests to crash engines"));
+        faults.push(format!("{accused} entry VMs quarantine requests"));
     }
     Ok((steps, faults))
 }
 
-/// Random days: partitions of all kinds that overlap with departures, restarts, standstills and lost leaders.
+/// Random partitions of all kinds that overlap with departures, restarts, suspensions and lost hubs.
 #[test]
 fn random_days() {
     arbtest(|u| {
--- a/fleet/tests/links/mod.rs
+++ b/fleet/tests/links/mod.rs
@@ -1,7 +1,9 @@
-//! The reducers of a whole deployment in a test, joined by links that carry a bounded number of bytes a second.
+//! The reducers of a whole deployment in a test, connected by links with a bounded number of bytes per
+//! second.
 //!
-//! Every message is as large as its encoding. Transfers at one end of a link share it evenly, and an answer that has not
-//! come whole within its call's limit is lost, as in the process. Nothing here knows what messages hold.
+//! Each message is as large as its encoding. Transfers at one end of a link share it evenly, and an answer
+//! that is not complete within its call's timeout is lost, as in the process. The links do not depend on
+//! the contents of messages.
 
 #![allow(dead_code, reason = "each test uses what it needs")]
 
@@ -26,41 +28,41 @@
 use boragecove_fleet::state::Identity;
 use serde::Serialize;
 
-/// Bytes a second of the link of a small entry VM: 10 Mbit/s.
+/// Bytes per second of the link of a small entry VM: 10 Mbit/s.
 pub const SMALL: f64 = 1_250_000.0;
-/// Bytes a second of the link of a large one: 200 Mbit/s.
+/// Bytes per second of the link of a large entry VM: 200 Mbit/s.
 pub const LARGE: f64 = 25_000_000.0;
 
 const TICK: Duration = Duration::from_millis(2);
-/// One way between two entry VMs.
+/// One-way latency between two entry VMs.
 const LATENCY: Duration = Duration::from_millis(2);
-/// HTTP's head, and the packets' own bytes.
+/// Bytes of HTTP headers and packet headers.
 const OVERHEAD: usize = 300;
-/// Time for the hub's answer to a frame, as in the process's settings.
+/// Timeout for the hub's answer to a frame, as in the process's settings.
 const FRAME_LIMIT: Duration = Duration::from_millis(500);
-/// How long a push may stand still, as in the process.
+/// How long a push may stall, as in the process.
 const PUSH_STALL: Duration = Duration::from_millis(400);
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 const START_MS: u64 = 1_000_000;
 
-/// Entry VMs and what is on its way between them. The first is the hub.
+/// Entry VMs and the messages in transit between them. The first one is the hub.
 pub struct Links {
     pub now: Time,
     vms: Vec<Vm>,
     transfers: Vec<Transfer>,
     pushes: usize,
-    /// What entry VMs want for requests, and has not been taken.
+    /// Effects for requests that `wanted` has not returned yet, with their entry VMs.
     wanted: Vec<(usize, Effect)>,
-    /// What the lease's row keeps in quarantine.
+    /// The quarantine in the lease row.
     quarantine: Vec<Kept>,
 }
 
 struct Vm {
     state: State,
-    /// Bytes a second of its link, either way.
+    /// Bytes per second of its link in each direction.
     rate: f64,
     wake: Option<Time>,
-    /// It runs nothing, and its link carries nothing.
+    /// A suspended entry VM runs nothing, and its link carries nothing.
     suspended: bool,
 }
 
@@ -69,7 +71,7 @@
     to: usize,
     bytes: f64,
     begins: Time,
-    /// When its call is given up.
+    /// When its call times out.
     limit: Option<Time>,
     /// When a byte of it last moved.
     moved: Time,
@@ -83,7 +85,7 @@
 }
 
 impl Vm {
-    /// Bytes a second that its link carries now.
+    /// Bytes per second that its link carries now.
     fn carries(&self) -> f64 {
         if self.suspended { 0.0 } else { self.rate }
     }
@@ -105,7 +107,7 @@
 }
 
 impl Links {
-    /// Entry VMs with links of these rates, in three zones in turn, that all go by `config`.
+    /// Entry VMs with links of these rates, spread over three zones, that all use `config`.
     pub fn new(rates: &[f64], config: &Arc<Config>) -> Self {
         let now = Time::from_millis(START_MS);
         let vm = |(at, rate): (usize, &f64)| Vm {
@@ -127,12 +129,12 @@
         links
     }
 
-    /// An event at an entry VM.
+    /// Feeds an event to an entry VM.
     pub fn feed(&mut self, at: usize, event: Event) {
         self.apply(at, event);
     }
 
-    /// An event at an entry VM, and what came of it.
+    /// Feeds an event to an entry VM and returns its effects.
     pub fn apply(&mut self, at: usize, event: Event) -> Vec<Effect> {
         let effects = boragecove_fleet::apply(&mut self.vms[at].state, self.now, event);
         for effect in &effects {
@@ -149,7 +151,8 @@
         }
     }
 
-    /// Lets time pass until all entry VMs go by this version, for at most `limit`. Returns how long that took.
+    /// Lets time pass until all entry VMs use this configuration version, for at most `limit`. Returns how
+    /// long that took.
     pub fn in_force(&mut self, version: u64, limit: Duration) -> Option<Duration> {
         let begin = self.now;
         while self.behind(version) > 0 {
@@ -161,35 +164,35 @@
         Some(self.now.since(begin))
     }
 
-    /// Starts an entry VM's process anew; whatever was on its way to or from it is lost.
+    /// Restarts an entry VM's process; everything in transit to or from it is lost.
     pub fn restart(&mut self, at: usize) {
         self.transfers.retain(|transfer| transfer.from != at && transfer.to != at);
         self.vms[at].state = start(at, self.vms[at].rate, self.now);
         self.vms[at].wake = Some(self.now);
     }
 
-    /// Suspends an entry VM, or lets it run on.
+    /// Suspends or resumes an entry VM.
     pub fn suspend(&mut self, at: usize, suspended: bool) {
         self.vms[at].suspended = suspended;
     }
 
-    /// Entry VMs that run and go by an older version.
+    /// Number of running entry VMs with an older configuration.
     pub fn behind(&self, version: u64) -> usize {
         let lacks = |vm: &&Vm| vm.state.config().is_none_or(|config| config.version < version);
         self.vms.iter().filter(|vm| !vm.suspended).filter(lacks).count()
     }
 
-    /// What entry VMs wanted for requests since this was asked last, and which of them.
+    /// Effects for requests since the last call, with their entry VMs.
     pub fn wanted(&mut self) -> Vec<(usize, Effect)> {
         std::mem::take(&mut self.wanted)
     }
 
-    /// Messages that were pushed from one entry VM to another.
+    /// Number of messages pushed between entry VMs.
     pub fn pushes(&self) -> usize {
         self.pushes
     }
 
-    /// Entry VMs.
+    /// Number of entry VMs.
     pub fn len(&self) -> usize {
         self.vms.len()
     }
@@ -199,12 +202,12 @@
         !self.vms[at].suspended
     }
 
-    /// What an entry VM knows.
+    /// State of an entry VM.
     pub fn state(&self, at: usize) -> &State {
         &self.vms[at].state
     }
 
-    /// A request arrives at an entry VM, and the engine that it is sent to crashes under it.
+    /// A request arrives at an entry VM, and the engine that it is sent to crashes.
     pub fn crash_under(&mut self, at: usize, request: Id, arrival: Arrival) {
         let mut effects = self.apply(at, Event::Arrive { request, arrival: Box::new(arrival) });
         if effects.iter().any(|effect| matches!(effect, Effect::Ask { .. })) {
@@ -214,7 +217,7 @@
             Effect::Step { step: Step::Send(attempt), .. } => Some(attempt.clone()),
             _ => None,
         });
-        let Attempt { number, engine, .. } = attempt.expect("it is sent");
+        let Attempt { number, engine, .. } = attempt.expect("an attempt");
         self.feed(at, Event::Ended { request, attempt: number, end: End::Lost, events: Events::default() });
         self.feed(at, Event::Probed { engine: engine.clone(), reach: Reach::Closed });
         self.feed(at, Event::ProbedIndirectly { engine: engine.clone(), reach: Some(Reach::Closed) });
@@ -272,7 +275,7 @@
 
     fn at(&self, address: SocketAddr) -> usize {
         let of = |vm: usize| self::address(vm) == address;
-        (0..self.vms.len()).find(|vm| of(*vm)).expect("an entry VM listens there")
+        (0..self.vms.len()).find(|vm| of(*vm)).expect("address of an entry VM")
     }
 
     fn arrived(&mut self, transfer: Transfer) {
@@ -318,12 +321,12 @@
             | Effect::IndirectProbe { .. }
             | Effect::AskPath { .. } => self.wanted.push((at, effect)),
             Effect::WakeAt(wake) => self.vms[at].wake = Some(wake),
-            // The store is read by the hub alone here; the rest concerns requests and engines.
+            // Only the hub reads the store here; the other effects concern requests and engines.
             _ => {}
         }
     }
 
-    /// The first entry VM holds the lease for good.
+    /// The first entry VM holds the lease throughout.
     fn lease(&mut self, call: Call) -> Answer {
         if let Call::Write { row, .. } = &call
             && row.holder == *"vm-0"
