--- a/fleet/tests/repeat_budget.rs
+++ b/fleet/tests/repeat_budget.rs
@@ -1,5 +1,6 @@
-//! Repeats over all lives of all entry VMs, by the users' rule and by arrivals at engines: they stay within what is allowed whatever happens to
-//! entry VMs, and on calm days callers get most of it.
+//! Retries over all lives of all entry VMs, counted by arrivals at engines and checked against the
+//! platform's bound. They stay within the bound whatever happens to entry VMs, and without faults callers
+//! can use most of what it allows.
 
 mod node;
 mod world;
@@ -15,7 +16,7 @@
 use world::{Backends, World, ZONES};
 
 const ENGINES: usize = 12;
-/// Part of the requests that engines turn away.
+/// Part of the requests that engines reject.
 const SHED: f64 = 0.95;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -23,10 +24,10 @@
     Settings { repeat_slack: 58.0, ..Settings::default() }
 }
 
-/// Part of them on calm days: engines that turn away more are sent less.
+/// The same for runs without faults; engines that reject more are sent less.
 const SHED_CALM: f64 = 0.7;
 
-/// A deployment in which engines turn requests away from the first one on.
+/// A deployment in which engines reject requests from the start.
 fn world(vms: usize, seed: u64) -> World {
     world_with(vms, seed, settings())
 }
@@ -45,25 +46,25 @@
     world
 }
 
-/// What happens to the entry VMs while engines turn requests away.
+/// Faults of entry VMs while engines reject requests.
 #[derive(Clone, Copy, Debug)]
 enum Trouble {
     Calm,
-    /// This part of them is killed at once, each so many ms.
+    /// This part of the entry VMs is killed at once, every so many ms.
     Killed(f64, u64),
-    /// Each is restarted, one after the other, twice.
+    /// Each entry VM is restarted, one after the other, twice.
     InTurn,
-    /// The leader is killed each so many ms.
+    /// The hub is killed every so many ms.
     Leaders(u64),
-    /// Each zone is cut off for a while.
+    /// Each zone in turn is cut off for a while.
     CutByTurns,
-    /// All zones are cut off, and all entry VMs are restarted after that.
+    /// All zones are cut off, and all entry VMs are restarted during that and after it.
     CutThenRestarted,
-    /// Half of them stand still, again and again.
+    /// Alternating halves of the entry VMs are suspended.
     Frozen,
-    /// The store serves nobody, and all are killed meanwhile.
+    /// The store is unreachable, and all entry VMs are killed repeatedly in the meantime.
     StoreAway,
-    /// Each is replaced by a new one, and as many are added.
+    /// Entry VMs are added one by one, while every second one of the old is killed.
     Replaced,
 }
 
@@ -93,7 +94,7 @@
     }
 }
 
-/// Plays a trouble for two windows and a half, and the calm after it.
+/// Plays a fault for two and a half windows, then a window without faults.
 fn play(world: &mut World, trouble: Trouble, per_s: f64) {
     let length = settings().repeat_window;
     let steps = |world: &mut World, every: Duration, step: &mut dyn FnMut(&mut World, u32)| {
@@ -160,22 +161,23 @@
     world.ask(length, per_s);
 }
 
-/// Plays a trouble and returns the worst window.
+/// Plays a fault and returns the worst window.
 fn worst(vms: usize, trouble: Trouble, per_s: f64) -> Window {
     let mut world = world(vms, vms as u64 + per_s as u64);
     play(&mut world, trouble, per_s);
     let worst = world.repeats().worst(&settings());
-    println!("{vms} entry VMs, {per_s} a second, {trouble:?}: {:.2}, {worst:?}", worst.part());
+    println!("{vms} entry VMs, {per_s} requests/s, {trouble:?}: {:.2}, {worst:?}", worst.part());
     worst
 }
 
 fn assert_kept(vms: usize, trouble: Trouble, per_s: f64) {
     let worst = worst(vms, trouble, per_s);
-    assert!(worst.part() <= 1.0, "{vms} entry VMs, {per_s} a second, {trouble:?}: {worst:?}");
+    assert!(worst.part() <= 1.0, "{vms} entry VMs, {per_s} requests/s, {trouble:?}: {worst:?}");
 }
 
-/// Guards against repeats that each process takes of a share of its own, which the next one has anew: engines turn requests away, and entry VMs
-/// are killed in series, restarted in turn, replaced, frozen, cut off and left without a store.
+/// Guards against retries drawn from a fixed share of each process, which its successor has again. Engines
+/// reject requests while entry VMs are killed in series, restarted in turn, replaced, suspended, cut off or
+/// left without a store.
 #[test]
 fn kept_over_lives() {
     for vms in [6, 9] {
@@ -185,7 +187,7 @@
     }
 }
 
-/// The same with many entry VMs, which start without knowing how many they are.
+/// The same with many entry VMs, which at their start do not know how many there are.
 #[test]
 fn kept_by_many() {
     for (vms, per_s) in [(65, 100.0), (300, 300.0)] {
@@ -196,8 +198,9 @@
     assert_kept(984, Trouble::Killed(1.0, 5_000), 300.0);
 }
 
-/// The worst window where callers of a service that had been calm are turned away from one moment on, and leaders are killed one after the other.
-/// Whoever leads gives what it may at once, since nearly nobody has earned anything.
+/// The worst window in which engines of a previously healthy service begin to reject requests and one hub
+/// after the other is killed. Each hub grants its whole allowance at once, since hardly any process has
+/// earned retries.
 fn worst_of_leaders(forgetful: bool) -> Window {
     let mut world = world(9, 3);
     world.forgetful = forgetful;
@@ -213,51 +216,52 @@
     world.repeats().worst(&settings())
 }
 
-/// A broken copy: without what the row of the lease says each leader has the whole slack anew.
+/// Proves that the lease row is needed: without the counts in it, each hub has the whole slack again.
 #[test]
 fn rows_are_needed() {
     let (kept, broken) = (worst_of_leaders(false), worst_of_leaders(true));
-    println!("leaders killed: {:.2}; without a word in the row {:.2}", kept.part(), broken.part());
+    println!("hubs killed: {:.2}; without counts in the row: {:.2}", kept.part(), broken.part());
     assert!(kept.part() <= 1.0, "{kept:?}");
-    assert!(broken.part() > 1.0, "a row that says nothing is to be seen: {broken:?}");
+    assert!(broken.part() > 1.0, "the missing counts were not detected: {broken:?}");
 }
 
-/// A broken copy: a process that earns by a larger ratio than the users' one, as the leader does that gives by it.
+/// Proves that the check works: with twice the ratio and the slack of the platform's bound, it must find an
+/// excess.
 #[test]
 fn ratio_is_needed() {
     let loose = Settings { repeat_ratio: 0.4, repeat_slack: 116.0, ..settings() };
     let mut world = world_with(9, 3, loose);
     world.ask(settled(&settings()), 100.0);
     let worst = world.repeats().worst(&settings());
-    assert!(worst.part() > 1.0, "twice of what is allowed is to be seen: {worst:?}");
+    assert!(worst.part() > 1.0, "twice the allowed ratio was not detected: {worst:?}");
 }
 
-/// The part of the repeats that are allowed that is made when calm.
+/// The part of the allowed retries that is used without faults.
 fn used(vms: usize, per_s: f64) -> f64 {
     let mut world = world(vms, 5);
     world.shed(SHED_CALM);
     world.ask(settled(&settings()) * 2, per_s);
     let used = world.repeats().used(world.now, &settings());
-    println!("{vms} entry VMs, {per_s} a second: {used:.2} of the repeats that are allowed are made");
+    println!("{vms} entry VMs, {per_s} requests/s: {used:.2} of the allowed retries are used");
     used
 }
 
-/// A repeat that is allowed and not made is a caller that is not served: with many entry VMs each has few requests, and a share of its own
-/// would be less than one.
+/// An allowed retry that is not made is a caller that is not served. With many entry VMs each gets few
+/// requests, and a fixed share of each would be less than one retry.
 #[test]
 fn used_when_calm() {
     for (vms, per_s) in [(9, 100.0), (9, 300.0), (65, 100.0), (65, 300.0), (300, 100.0), (300, 300.0)] {
         let used = used(vms, per_s);
-        assert!(used >= 0.75, "{vms} entry VMs, {per_s} a second: {used:.2}");
+        assert!(used >= 0.75, "{vms} entry VMs, {per_s} requests/s: {used:.2}");
     }
 }
 
-/// Troubles of all kinds, one after the other and at once.
+/// Plays a random sequence of faults, one after the other and at the same time.
 fn any_day(u: &mut Unstructured<'_>) -> arbitrary::Result<(Vec<String>, Window)> {
     let vms = *u.choose(&[6, 9, 9, 65])?;
     let mut world = world(vms, u.arbitrary()?);
     let per_s = *u.choose(&[30.0, 100.0, 300.0])?;
-    let mut steps = vec![format!("{vms} entry VMs, {per_s} a second")];
+    let mut steps = vec![format!("{vms} entry VMs, {per_s} requests/s")];
     world.ask(millis(u.int_in_range(0..=10_000)?), per_s);
     for _ in 0..u.int_in_range(1..=24)? {
         let (kind, at) = (u.int_in_range(0..=13)?, u.int_in_range(0..=world.len() - 1)?);
@@ -287,9 +291,9 @@
     .budget_ms(world::budget_ms(8_000));
 }
 
-/// Prints the worst window of each trouble and what is used when calm, whatever they are.
+/// Prints the worst window of each fault and the part used without faults.
 #[test]
-#[ignore = "by hand, for figures"]
+#[ignore = "run by hand to print figures"]
 fn figures() {
     for vms in [9, 65, 300] {
         for per_s in [100.0, 300.0] {
--- a/fleet/tests/request_relays.rs
+++ b/fleet/tests/request_relays.rs
@@ -1,4 +1,5 @@
-//! Requests that one entry VM passes on to engines for another: what it refuses, whose word counts, and the way back.
+//! Requests that one entry VM relays to engines for another: reasons for refusal, evidence that counts, and
+//! the return to the direct path.
 
 mod node;
 
@@ -13,7 +14,7 @@
 use boragecove_fleet::request::{Attempt, End, Id, Step};
 use node::{BUILD, GATEWAY, Node, address, entry, listing, millis, plain, row};
 
-/// Requests that are passed on at once, at most.
+/// Largest number of requests relayed at the same time.
 const MOST: usize = 512;
 
 fn g1() -> Name {
@@ -29,7 +30,7 @@
     Relay { vm: "b".into(), address: address(7_002) }
 }
 
-/// An entry VM that knows another, and of one engine of the plain service only.
+/// An entry VM that knows another one, and only one engine of the plain service.
 fn knows_another() -> Node {
     let mut node = Node::ready("a");
     node.feed(listing(vec![node::removed(10, "g2")], 10, false));
@@ -43,7 +44,8 @@
     node
 }
 
-/// It loses the way to the engine while a request comes, and the other entry VM reaches it. Returns how the request goes on.
+/// The entry VM loses the path to the engine while a request arrives, and the other entry VM reaches the
+/// engine. Returns the relayed attempt.
 fn lose_way(node: &mut Node) -> (Id, Attempt) {
     let (id, attempt) = node.sent(plain("/ack/1"));
     assert_eq!(attempt.relay, None);
@@ -53,7 +55,7 @@
     node.feed(Event::PathSeen { engine: g1(), by: other(), reach: Some(Reach::Open) });
     match node.step(id) {
         Some(Step::Send(attempt)) => (id, attempt),
-        step => panic!("it is sent by the other: {step:?}"),
+        step => panic!("not relayed: {step:?}"),
     }
 }
 
@@ -79,7 +81,7 @@
     for build in [None, Some(Name::from("v1.1"))] {
         let denied =
             boragecove_fleet::pass(&mut node.state, node.now, &g1(), Incarnation::default(), build.as_ref());
-        assert_eq!(denied, Err(Denial::Unknown), "another build than is known here: {build:?}");
+        assert_eq!(denied, Err(Denial::Unknown), "a build other than the one known here: {build:?}");
     }
     let leaving = Entry { leaving: true, ..entry("g1", GATEWAY, "zone-a", &[]) };
     node.feed(listing(vec![row(9, leaving)], 9, false));
@@ -95,7 +97,7 @@
     assert_eq!(pass(&mut node), Ok(()));
 }
 
-/// One that has others' help passes nothing on: there is one hop.
+/// An entry VM that uses a relay for an engine does not relay to it: there is only one hop.
 #[test]
 fn one_hop() {
     let mut node = knows_another();
@@ -114,7 +116,7 @@
     assert_eq!(pass(&mut node), Ok(()));
 }
 
-/// A process that stops takes no more, and ends once the last is over.
+/// A stopping process accepts no more requests to relay, and exits when the last one has ended.
 #[test]
 fn stop_waits() {
     let mut node = Node::ready("a");
@@ -122,23 +124,24 @@
     node.feed(Event::Stop);
     assert_eq!(pass(&mut node), Err(Denial::Unready));
     let exits = |effects: &[Effect]| effects.iter().any(|effect| matches!(effect, Effect::Exit));
-    assert!(!exits(&node.pass(Duration::from_secs(3))), "one is passed on yet");
+    assert!(!exits(&node.pass(Duration::from_secs(3))), "one request is still being relayed");
     assert!(exits(node.feed(Event::Relayed)));
 }
 
-/// After a standstill nothing is passed on by what was known before.
+/// After a suspension nothing is relayed until the state has been refreshed.
 #[test]
 fn after_a_standstill() {
     let mut node = knows_another();
     node.feed(node::listed(node.now, Vec::new(), 10, false));
     assert_eq!(pass(&mut node), Ok(()));
     node.now = node.now + Duration::from_secs(3);
-    assert_eq!(pass(&mut node), Err(Denial::Unready), "its message may be read first");
+    assert_eq!(pass(&mut node), Err(Denial::Unready), "a message may be read before the wake-up");
     node.feed(Event::Wake);
-    assert_eq!(pass(&mut node), Err(Denial::Unready), "nobody has said what is new");
+    assert_eq!(pass(&mut node), Err(Denial::Unready), "the state has not been refreshed");
 }
 
-/// What a relay brings does not show that the engine can be reached from here; tries that it answers for a second do.
+/// Data that arrives through a relay does not show that the engine can be reached directly; accepting
+/// connections for a second does.
 #[test]
 fn way_back() {
     let mut node = knows_another();
@@ -147,13 +150,13 @@
     node.ended(id, attempt.number, End::Done);
     assert_eq!(node.sent(plain("/ack/1")).1.relay, Some(other()));
     probed(&mut node, Reach::Open);
-    assert_eq!(node.sent(plain("/ack/1")).1.relay, Some(other()), "it may be gone again");
+    assert_eq!(node.sent(plain("/ack/1")).1.relay, Some(other()), "the path may fail again");
     node.pass(Duration::from_secs(1));
     probed(&mut node, Reach::Open);
     assert_eq!(node.sent(plain("/ack/1")).1.relay, None);
 }
 
-/// A relay that cannot pass a request on is left, and the request waits for another way.
+/// A relay that fails to pass on a request is dropped, and the request waits for another path.
 #[test]
 fn relay_is_lost() {
     let mut node = knows_another();
@@ -165,7 +168,7 @@
     assert!(sent_directly(node.sent(plain("/ack/1")).1));
 }
 
-/// One that others reach is no reason for anybody to look.
+/// A relayed engine is not reported to other entry VMs as suspected.
 #[test]
 fn told_to_nobody() {
     let mut node = knows_another();
@@ -180,11 +183,12 @@
     assert!(!frames.is_empty() && frames.iter().all(|suspects| suspects.is_empty()), "{frames:?}");
 }
 
-/// Whoever is asked about a port tries another engine beside it, and says nothing of one that others reach for it.
+/// An entry VM that is asked about an engine's port also probes another engine as a control, and makes no
+/// statement about an engine that is relayed.
 #[test]
 fn vouches_for_nothing() {
     let mut node = knows_another();
-    let look = boragecove_fleet::look(&node.state, node.now, &g1()).expect("it is known");
+    let look = boragecove_fleet::look(&node.state, node.now, &g1()).expect("a known engine");
     assert!(look.control.is_some_and(|control| control != look.address));
     lose_way(&mut node);
     assert_eq!(boragecove_fleet::look(&node.state, node.now, &g1()), None);
--- a/fleet/tests/workspace_limits.rs
+++ b/fleet/tests/workspace_limits.rs
@@ -20,19 +20,20 @@
 use node::{GATEWAY, entry, plain, row};
 use world::{Done, World, ZONES};
 
-/// The users' bounds: over any such window,
+/// The platform's bound: window over which usage is counted.
 const WINDOW: Duration = Duration::from_secs(8);
-/// this part of the limit over it,
+/// The platform's bound: part of the limit that may be used beyond it in a window.
 const OVERAGE: f64 = 0.1;
-/// and so many tokens beyond that.
+/// The platform's bound: tokens that may be used beyond the limit and the overage in a window.
 const SLACK: f64 = 7_400.0;
 const WORKSPACES: usize = 20;
-/// Tokens that a request counts.
+/// Tokens that a request costs.
 const COSTS: std::ops::Range<f64> = 100.0..1_500.0;
 const COST_MEAN: f64 = 800.0;
-/// How many times the others' a large request counts: for the smallest workspace more than a window may hold.
+/// Cost of a large request as a multiple of the usual cost: for the smallest workspace it exceeds what a
+/// window may hold.
 const LARGE: f64 = 40.0;
-/// What a workspace asks for as a rule, as a part of its limit.
+/// Usual demand of a workspace, as a part of its limit.
 const USUAL: f64 = 0.55;
 
 fn digest(at: usize) -> Digest {
@@ -43,7 +44,7 @@
     format!("w{at}").into()
 }
 
-/// Limits from 1,900 tokens a second to 200 times that.
+/// Limits from 1,900 tokens per second to 200 times that.
 fn per_s(at: usize) -> f64 {
     1_900.0 * 200_f64.powf(at as f64 / (WORKSPACES - 1) as f64)
 }
@@ -62,7 +63,7 @@
     Config { access: Some(access), ..node::config(version) }
 }
 
-/// Plain engines that never are the bottleneck.
+/// Plain engines that are never the bottleneck.
 fn engines() -> Vec<Row> {
     let wide = |id: &str, zone: &str| Entry { slots: 100_000, ..entry(id, GATEWAY, zone, &[]) };
     vec![row(3, wide("g1", ZONES[0])), row(4, wide("g2", ZONES[1])), row(5, wide("g3", ZONES[2]))]
@@ -74,12 +75,12 @@
     World::new(vms, config(1, |_| 1.0), &engines(), settings, seed)
 }
 
-/// Lets time pass, in which each workspace asks for this part of its limit, at entry VMs that are drawn.
+/// Lets time pass while each workspace sends the part `asked` of its limit to random entry VMs.
 fn run(world: &mut World, time: Duration, asked: impl Fn(usize) -> f64) {
     run_sized(world, time, asked, 0.0);
 }
 
-/// The same, where this part of the requests counts many times what others do.
+/// Like `run`, with the part `large` of the requests being large.
 fn run_sized(world: &mut World, time: Duration, asked: impl Fn(usize) -> f64, large: f64) {
     let end = world.now + time;
     let mut due: Vec<f64> = vec![0.0; WORKSPACES];
@@ -91,7 +92,7 @@
             while *due > 0.0 {
                 let cost = COSTS.start + world.rng.f64() * (COSTS.end - COSTS.start);
                 let cost = if world.rng.f64() < large { cost * LARGE } else { cost };
-                // Requests come when they like, and not evenly.
+                // Requests arrive at random intervals.
                 *due -= -COST_MEAN * world.rng.f64().max(1e-9).ln() * cost / COST_MEAN;
                 let vm = world.rng.usize(..world.len());
                 let arrival = Arrival { key: Some(digest(at)), tokens: Some(cost as u64), ..plain("/ack/1") };
@@ -101,7 +102,8 @@
     }
 }
 
-/// The most that a workspace was let in over any window, beyond what the platform bears; negative if it bears it.
+/// The most that any workspace used in any window beyond the platform's bound; negative if none exceeded
+/// it.
 fn worst_excess(outcomes: &[Done], limits: &[(Time, Config)]) -> (f64, Name) {
     let mut worst = (f64::MIN, Name::default());
     for at in 0..WORKSPACES {
@@ -116,7 +118,7 @@
                 sum -= sent[first].cost;
                 first += 1;
             }
-            // The largest limit of the window, and of the one before a lower one binds.
+            // The largest limit of the window, and of the window before a lowered limit takes effect.
             let begin = sent[first].at - WINDOW - Duration::from_secs(3);
             let most = limits
                 .iter()
@@ -137,8 +139,9 @@
     worst
 }
 
-/// Units that were let in, as a part of what one bucket for all entry VMs would have let in, for all and by workspace. Requests
-/// are not compared one by one: one that was let in on credit takes the place of another.
+/// Units admitted, as a part of what a single bucket for all entry VMs would have admitted, in total and by
+/// workspace. Requests are not compared one by one: one that is admitted on credit takes the place of
+/// another.
 fn below_limit(outcomes: &[Done]) -> (f64, Vec<f64>) {
     let mut owed = [0.0; WORKSPACES];
     let mut sent = [0.0; WORKSPACES];
@@ -161,7 +164,7 @@
     (met / owed.iter().sum::<f64>(), shares)
 }
 
-/// The share of what was asked that was let in, counted by requests.
+/// Part of the requests that were admitted.
 fn let_in<'a>(outcomes: impl Iterator<Item = &'a Done>) -> f64 {
     let (mut all, mut sent) = (0_u32, 0_u32);
     for done in outcomes {
@@ -177,7 +180,8 @@
     world
 }
 
-/// The users' usual load: each workspace well below its limit, the smallest with two requests a second over 62 entry VMs.
+/// The usual load: each workspace well below its limit, the smallest with two requests per second over 62
+/// entry VMs.
 #[test]
 fn below_the_limit() {
     let mut world = started(62, 1);
@@ -189,8 +193,8 @@
     }
 }
 
-/// A request that counts more than any one holder ever has draws from several; one that counts more than may come at once at all is
-/// refused at once, and its caller is not told to come back.
+/// A request that costs more than any holder ever has draws from several. One that costs more than can ever
+/// be admitted at once is refused at once, without a retry-after.
 #[test]
 fn large_requests() {
     let mut world = started(62, 10);
@@ -200,13 +204,13 @@
         let begin = world.now;
         world.arrive(7, &name(0), cost as f64, arrival);
         world.pass(Duration::from_millis(400));
-        let done = world.outcomes.last().expect("it ended");
+        let done = world.outcomes.last().expect("an outcome");
         assert_eq!(done.refused, refused, "{cost}");
         assert!(refused.is_none() || done.at.since(begin) < Duration::from_millis(20));
     }
 }
 
-/// Whatever a question says, nothing comes of it that was not there.
+/// A draw with invalid amounts yields no credit beyond what the bucket holds.
 #[test]
 fn hostile_questions() {
     let mut world = started(3, 11);
@@ -225,7 +229,7 @@
     assert!(given <= limit * OVERAGE + SLACK, "{given}");
 }
 
-/// One workspace sends eight times its usual; it gets its limit, and the others lose nothing.
+/// One workspace sends eight times its usual demand: it gets its limit, and the others lose nothing.
 #[test]
 fn hot_workspace() {
     let mut world = started(62, 2);
@@ -246,17 +250,17 @@
     let unlimited: Vec<Done> =
         world.outcomes.iter().map(|done| Done { refused: None, ..done.clone() }).collect();
     let (excess, found) = worst_excess(&unlimited, &[(Time(0), config(1, |_| 1.0))]);
-    assert!(excess > 0.0 && found == name(hot), "the check finds it if nobody is refused");
+    assert!(excess > 0.0 && found == name(hot), "the check must find an excess if nothing is refused");
     let refused = during.iter().filter_map(|done| done.refused);
     assert!(refused.into_iter().all(|code| code == Code::OverQuota));
 }
 
-/// The leader is lost: shares outlast it.
+/// The hub is lost: shares stay valid.
 #[test]
 fn leader_lost() {
     let mut world = started(62, 3);
     run(&mut world, Duration::from_secs(3), |_| USUAL);
-    let leader = world.leader().expect("there is one");
+    let leader = world.leader().expect("a hub");
     let begin = world.outcomes.len();
     world.kill(leader);
     run(&mut world, Duration::from_secs(8), |_| USUAL);
@@ -264,12 +268,12 @@
     assert!(share >= 0.99, "{share}");
 }
 
-/// The same among 300 entry VMs, whose frames are 1.5 s apart, and which find the next leader later.
+/// The same with 300 entry VMs, whose frames are 1.5 s apart and which find the next hub later.
 #[test]
 fn leader_lost_among_many() {
     let mut world = started(300, 3);
     run(&mut world, Duration::from_secs(2), |_| USUAL);
-    let leader = world.leader().expect("there is one");
+    let leader = world.leader().expect("a hub");
     let begin = world.outcomes.len();
     world.kill(leader);
     run(&mut world, Duration::from_secs(12), |_| USUAL);
@@ -277,7 +281,7 @@
     assert!(share >= 0.99, "{share}");
 }
 
-/// A zone that is cut off goes on with what it holds.
+/// A zone that is cut off keeps using the shares it holds.
 #[test]
 fn zone_cut_off() {
     let mut world = started(62, 4);
@@ -292,7 +296,8 @@
     assert!(others >= 0.99, "{others}");
 }
 
-/// Kills all entry VMs and starts them anew after a second, but for one. Returns the share that is let in once they serve again.
+/// Kills all entry VMs and restarts all but one of them after a second. Returns the part of the requests
+/// admitted once they serve again.
 fn restart_all(world: &mut World, but: Option<usize>) -> f64 {
     for at in 0..world.len() {
         world.kill(at);
@@ -307,7 +312,7 @@
     let_in(world.outcomes[begin..].iter())
 }
 
-/// All are killed at once and back after a second: nobody waits for shares of processes that are gone.
+/// All entry VMs are killed at once and restart after a second: nobody waits for shares of ended processes.
 #[test]
 fn all_restarted() {
     let mut world = started(62, 5);
@@ -316,8 +321,8 @@
     assert!(share >= 0.95, "{share}");
 }
 
-/// The same while one entry VM is gone for good since some seconds: nobody waits for word of it, but what it held. Seen: all keys
-/// refused for ten seconds.
+/// The same with one entry VM lost for good some seconds before. Only the shares it held are missing, and
+/// nobody waits for its report. Guards against a fault in which all keys were refused for ten seconds.
 #[test]
 fn all_restarted_but_one() {
     let mut world = started(62, 8);
@@ -328,7 +333,7 @@
     assert!(share >= 0.95, "{share}");
 }
 
-/// A limit that is raised reaches callers within a second; a lowered one binds after a window.
+/// A raised limit reaches callers within a second; a lowered one takes effect after a window.
 #[test]
 fn limits_changed() {
     let mut world = started(62, 6);
@@ -351,7 +356,7 @@
     assert!(excess <= 0.0, "{workspace}: {excess}");
 }
 
-/// A disturbance of some seconds.
+/// Begins a fault of one kind.
 fn disturb(world: &mut World, kind: u8, at: usize) {
     match kind {
         0 => world.kill(at),
@@ -377,7 +382,8 @@
     }
 }
 
-/// Plays one day, and returns the most that anybody was let in over the bound; negative if nobody was.
+/// Plays a random sequence of faults. Returns the most that any workspace used beyond the bound; negative
+/// if none exceeded it.
 fn play(u: &mut Unstructured<'_>) -> arbitrary::Result<(f64, Name)> {
     let mut world = world(13, u.arbitrary()?);
     world.pass(Duration::from_secs(6));
@@ -402,7 +408,7 @@
                 limits.push((world.now, config(version, |_| factor)));
                 world.configure(config(version, |_| factor));
             }
-            // Its zone goes on with what it held, while others ask for what it gave out.
+            // The hub's zone keeps using its shares while the others demand what it had been given.
             10 => {
                 if let Some(leader) = world.leader() {
                     world.cut(leader % ZONES.len(), true);
@@ -422,8 +428,9 @@
     Ok(worst_excess(&world.outcomes, &limits))
 }
 
-/// Whatever is lost, cut off, suspended, restarted, added, turned away or changed, in any window nobody gets more than the platform
-/// bears, while some ask for eight times their usual and some requests are larger than a window may hold.
+/// Whatever is lost, cut off, suspended, restarted, added, rejected or changed: in no window does a
+/// workspace get more than the platform's bound, while some demand eight times their usual and some
+/// requests are larger than a window may hold.
 #[test]
 fn sum_holds() {
     arbtest(|u| {
@@ -434,14 +441,15 @@
     .budget_ms(world::budget_ms(8_000));
 }
 
-/// The leader's zone is cut off while all ask for eight times their usual: it goes on with what it holds, and the next leader may not
-/// give that to others. Returns the most that anybody was let in over the bound.
+/// The hub's zone is cut off while all workspaces demand eight times their usual. The zone keeps using its
+/// shares, and the next hub must not give them to others. Returns the most that any workspace used beyond
+/// the bound.
 fn cut_with_the_leader(forgetful: bool) -> f64 {
     let mut world = world(13, 9);
     world.forgetful = forgetful;
     world.pass(Duration::from_secs(6));
     run(&mut world, Duration::from_secs(4), |_| 8.0 * USUAL);
-    let zone = world.leader().expect("there is one") % ZONES.len();
+    let zone = world.leader().expect("a hub") % ZONES.len();
     world.cut(zone, true);
     run(&mut world, Duration::from_secs(12), |_| 8.0 * USUAL);
     worst_excess(&world.outcomes, &[(Time(0), config(1, |_| 1.0))]).0
@@ -453,22 +461,23 @@
     assert!(excess <= 0.0, "{excess} over the bound");
 }
 
-/// The same day with a broken copy, a store that keeps nothing of who may hold shares: the check has to find it.
+/// Proves that the check works: if the store loses the record of holders, it must find an excess.
 #[test]
 fn check_bites() {
     let excess = cut_with_the_leader(true);
     assert!(excess > 0.0, "{excess}");
 }
 
-/// Entry VMs are added and come to hold shares; then nobody hears those any more, the leader starts anew, and the store comes back from a
-/// copy that names none of them as holders. Returns the most that anybody was let in over the bound.
+/// Entry VMs are added and get shares. Then they are cut off, the hub restarts, and the store is restored
+/// from a copy that names none of them as holders. Returns the most that any workspace used beyond the
+/// bound.
 fn holders_lost_by_the_store(blind: bool) -> f64 {
     let mut world = world(3, 9);
     world.blind = blind;
     run(&mut world, Duration::from_secs(6), |_| USUAL);
     (0..10).for_each(|_| world.add());
     run(&mut world, Duration::from_secs(7), |_| 8.0 * USUAL);
-    let leader = world.leader().expect("there is one");
+    let leader = world.leader().expect("a hub");
     (3..world.len()).for_each(|at| world.isolate(at, true));
     world.drill(Duration::from_secs(8));
     world.restart(leader);
@@ -476,11 +485,11 @@
     worst_excess(&world.outcomes, &[(Time(0), config(1, |_| 1.0))]).0
 }
 
-/// Guards against shares that are given out twice, since the row that named their holders is gone.
+/// Guards against shares that are given out twice because the row that named their holders is lost.
 #[test]
 fn copy_gives_no_share_twice() {
     let excess = holders_lost_by_the_store(false);
     assert!(excess <= 0.0, "{excess} over the bound");
     let excess = holders_lost_by_the_store(true);
-    assert!(excess > 0.0, "the check has to find it where nobody sees the era: {excess}");
+    assert!(excess > 0.0, "the check must find an excess if the era is ignored: {excess}");
 }
--- a/fleet/tests/world/brittle.rs
+++ b/fleet/tests/world/brittle.rs
@@ -1,4 +1,4 @@
-//! Engines of a deployment in a test that fall over if they have to turn away too many requests in a second.
+//! Simulated engines that crash if they have to reject too many requests in a second.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,20 +10,20 @@
 use super::{Load, World};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// How long an engine that fell over is gone.
+/// How long an engine is down after a crash.
 const DOWN: Duration = Duration::from_secs(3);
-/// Time until a request that was turned away is known to be.
+/// Time until the sender knows that a request was rejected.
 const REJECTED_MS: u64 = 3;
 
 /// A brittle engine.
 #[derive(Debug, Default)]
 pub struct Brittle {
-    /// Rejections in a second that it bears.
+    /// Rejections per second that it tolerates.
     most: f64,
-    /// Requests that it runs at once, and that may wait.
+    /// Number of requests that it runs at once (`slots`) and that may queue (`room`).
     slots: usize,
     room: usize,
-    /// When each that it took will be done.
+    /// When each accepted request will end.
     ends: VecDeque<Time>,
     rejections: VecDeque<Time>,
     down_until: Option<Time>,
@@ -31,26 +31,26 @@
 }
 
 impl World {
-    /// An engine is brittle from now on: it bears so many rejections in a second, and lets so many wait.
+    /// Makes an engine brittle: it tolerates `most` rejections per second and queues up to `room` requests.
     pub fn make_brittle(&mut self, engine: &str, most: f64, slots: usize, room: usize) {
         let brittle = Brittle { most, slots, room, ..Brittle::default() };
         self.backends.as_mut().expect("engines").brittle.insert(engine.into(), brittle);
     }
 
-    /// An engine lets so many wait from now on, and says nothing of it.
+    /// Changes the queue length of an engine without reporting it.
     pub fn shrink(&mut self, engine: &str, room: usize) {
         let backends = self.backends.as_mut().expect("engines");
         backends.brittle.get_mut(engine).expect("a brittle engine").room = room;
     }
 
-    /// How often brittle engines fell over.
+    /// Number of crashes of brittle engines.
     pub fn falls(&self) -> usize {
         self.backends
             .as_ref()
             .map_or(0, |backends| backends.brittle.values().map(|engine| engine.falls).sum())
     }
 
-    /// Whether a brittle engine turns a request away, or is down; then that is dealt with.
+    /// Whether a brittle engine rejects a request or is down; the failure is then posted to the sender.
     pub(super) fn turned_away_by(&mut self, vm: usize, request: Id, attempt: &Attempt) -> bool {
         let now = self.now;
         let backends = self.backends.as_mut().expect("engines");
@@ -67,7 +67,7 @@
         }
         if engine.ends.len() < engine.slots + engine.room {
             let run = Duration::from_millis(RUN_MS);
-            // One that waits begins when the first of those before it is done.
+            // A queued request begins when the first of those before it has ended.
             let place = engine.ends.len().checked_sub(engine.slots);
             let begins = place.and_then(|at| engine.ends.get(at)).copied().unwrap_or(now);
             engine.ends.push_back(begins + run);
@@ -89,7 +89,7 @@
         true
     }
 
-    /// The rejections that an engine says it bears.
+    /// The rejection limit that an engine reports.
     pub(super) fn brittleness(&self, engine: &str) -> Option<f64> {
         self.backends.as_ref().and_then(|backends| backends.brittle.get(engine)).map(|engine| engine.most)
     }
--- a/fleet/tests/world/repeats.rs
+++ b/fleet/tests/world/repeats.rs
@@ -1,4 +1,5 @@
-//! Repeats in a deployment of a test, as engines count them: arrivals beyond the first of each request, in any window, over all lives of all entry VMs.
+//! Counts retries in a simulated deployment as engines see them: arrivals of a request beyond the first, in
+//! any window, over all lives of all entry VMs.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -9,35 +10,35 @@
 
 use super::{Load, World};
 
-/// Time until a request that was turned away is known to be.
+/// Time until the sender knows that a request was rejected.
 const REJECTED_MS: u64 = 3;
 
-/// What engines and callers have seen.
+/// Observations of engines and callers.
 #[derive(Debug, Default)]
 pub struct Repeats {
-    /// Part of the arrivals that engines turn away.
+    /// Part of the arrivals that engines reject.
     pub shed: f64,
-    /// When callers sent requests, whether or not anybody took them.
+    /// When callers sent requests, whether or not an entry VM accepted them.
     asked: Vec<Time>,
     /// Requests that have arrived at an engine.
     arrived: BTreeSet<(usize, Id)>,
-    /// When requests arrived beyond the first time.
+    /// When requests arrived again.
     again: Vec<Time>,
 }
 
-/// What was sent again of what may be, in a window.
+/// Retries made and allowed in a window.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Window {
-    /// Its end.
+    /// End of the window.
     pub end: Time,
-    /// Repeats in it.
+    /// Number of retries made.
     pub repeats: usize,
-    /// Repeats that may be in it.
+    /// Number of retries allowed.
     pub allowed: f64,
 }
 
 impl Window {
-    /// The part of what is allowed; above 1 where the rule is broken.
+    /// Retries made as a part of those allowed; above 1 if the bound is broken.
     pub fn part(&self) -> f64 {
         self.repeats as f64 / self.allowed
     }
@@ -48,7 +49,8 @@
         self.asked.push(now);
     }
 
-    /// A request reaches an engine. Returns whether that turns it away; `drawn` is a number below 1 at random.
+    /// Records a request that reaches an engine. Returns whether the engine rejects it; `drawn` is a random
+    /// number below 1.
     fn arrives(&mut self, now: Time, vm: usize, request: Id, drawn: f64) -> bool {
         if !self.arrived.insert((vm, request)) {
             self.again.push(now);
@@ -56,8 +58,8 @@
         drawn < self.shed
     }
 
-    /// The users' rule for the window that ends then: the requests of that window, of the one before it, or of the one half a window before,
-    /// whichever has most.
+    /// The platform's bound for the window that ends at `end`. It counts the requests of that window, of
+    /// the one half a window earlier, or of the one before, whichever has most.
     fn window(&self, end: Time, settings: &Settings) -> Window {
         let length = settings.repeat_window;
         let within = |times: &[Time], end: Time| {
@@ -70,20 +72,21 @@
         Window { end, repeats: within(&self.again, end), allowed }
     }
 
-    /// The window of all in which most of what is allowed was sent again.
+    /// The window with the largest part of allowed retries used.
     pub fn worst(&self, settings: &Settings) -> Window {
         let windows = self.again.iter().map(|end| self.window(*end, settings));
         windows.max_by(|one, other| one.part().total_cmp(&other.part())).unwrap_or_default()
     }
 
-    /// The part of what is allowed that was sent again in a window that ends then.
+    /// Part of the allowed retries used in the window that ends at `end`.
     pub fn used(&self, end: Time, settings: &Settings) -> f64 {
         self.window(end, settings).part()
     }
 }
 
 impl World {
-    /// Counts a request that reaches an engine. Returns whether that turns it away, which is dealt with then.
+    /// Records a request that reaches an engine. Returns whether the engine rejects it; the rejection is
+    /// then posted to the sender.
     pub(super) fn sheds(&mut self, vm: usize, request: Id, attempt: &Attempt) -> bool {
         let (now, drawn) = (self.now, self.rng.f64());
         let backends = self.backends.as_mut().expect("engines");
@@ -95,18 +98,18 @@
         true
     }
 
-    /// Engines turn this part of all requests away from now on.
+    /// Engines reject this part of all requests from now on.
     pub fn shed(&mut self, part: f64) {
         self.backends.as_mut().expect("engines").repeats.shed = part;
     }
 
-    /// What was sent again.
+    /// The retries counted so far.
     pub fn repeats(&self) -> &Repeats {
         &self.backends.as_ref().expect("engines").repeats
     }
 }
 
-/// Time in which a window passes whole, and what was decided in it arrives.
+/// Time after which a whole window has passed and everything decided in it has arrived.
 pub fn settled(settings: &Settings) -> Duration {
     settings.repeat_window * 3 / 2
 }
--- a/fleet/tests/world/ways.rs
+++ b/fleet/tests/world/ways.rs
@@ -1,4 +1,5 @@
-//! What goes on its way in a deployment of a test: messages between entry VMs, calls of the store, and what reducers want done.
+//! Messages in transit in a simulated deployment: between entry VMs and to the store, and the effects of
+//! reducers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -25,7 +26,7 @@
         self.on_way.push(OnWay { at, from, from_start, to, to_start, load });
     }
 
-    /// Whether something that is sent now arrives.
+    /// Whether a message sent now arrives.
     pub(super) fn reaches(&self, from: usize, to: usize) -> bool {
         self.vms[to].running && self.vms[from].side == self.vms[to].side
     }
@@ -36,7 +37,7 @@
             return;
         }
         if self.vms[to].suspended {
-            // It lies in the socket until the machine goes on.
+            // The message stays in the socket until the machine resumes.
             self.on_way.push(OnWay { at, from, from_start, to, to_start, load });
             return;
         }
@@ -56,7 +57,7 @@
                 }
             }
             Load::Reply(reply, number) => {
-                // Whichever comes first, the answer or the end of the wait, ends the call.
+                // The answer or the timeout ends the call, whichever comes first.
                 self.on_way.retain(|other| {
                     !(other.to == to && matches!(&other.load, Load::Reply(_, of) if *of == number))
                 });
@@ -257,13 +258,14 @@
         }
     }
 
-    /// The same with the pauses that it wants: the store holds its call until something has changed.
+    /// Follows the store's tables with the requested pauses: the store holds each call until something has
+    /// changed.
     pub(super) fn follow_paced(&mut self, at: usize) {
         let Some(follow) = self.vms[at].follows else {
             return;
         };
         let in_touch = self.vms[at].served && self.vms[at].side == 0;
-        // A call that came before the store's return is answered by the copy.
+        // A call from before the store was restored is answered by the restored copy.
         let known = self.vms[at].table.filter(|table| table.era == self.store.era());
         let known = known.map_or(0, |table| table.version);
         if let Some(overdue) = self.vms[at].overdue_at {
@@ -278,7 +280,7 @@
         }
         match self.vms[at].held_until {
             None if self.vms[at].asks_at <= self.now => {
-                // There are two tables.
+                // Two tables are read.
                 self.calls += 2;
                 if in_touch {
                     self.vms[at].held_until = Some(self.now + follow.engines.wait);
@@ -303,7 +305,7 @@
         }
     }
 
-    /// An entry VM that follows the store's tables reads what has changed.
+    /// Reads the changes of the store's tables for an entry VM.
     pub(super) fn follow(&mut self, at: usize) {
         let words = self.seen_words(self.store.evacuations(self.vms[at].table));
         self.post(at, at, 5, Load::Evacuations(words));
@@ -352,9 +354,9 @@
                 let [.., high, low] = address.ip().octets();
                 usize::from(high) * 250 + usize::from(low)
             }
-            SocketAddr::V6(_) => panic!("all listen on IPv4"),
+            SocketAddr::V6(_) => panic!("entry VMs listen on IPv4 only"),
         };
-        assert!(vm < self.vms.len(), "an entry VM listens there");
+        assert!(vm < self.vms.len(), "not the address of an entry VM");
         vm
     }
 }
