--- a/fleet/src/access.rs
+++ b/fleet/src/access.rs
@@ -1,4 +1,4 @@
-//! Who a caller is: the workspace that its key belongs to.
+//! Authentication of callers: maps a caller's key to its workspace.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,15 +12,16 @@
 use crate::request::{Id, Refusal};
 use crate::state::State;
 
-/// When a caller may come back whose key cannot be looked up: another entry VM may have a proof, and this one may have one
-/// after some calls of the store.
+/// `Retry-After` for a caller whose key cannot be checked for lack of a proof ([`crate::proof`]): another entry VM may have a proof, and this
+/// one may get one within a few calls to the store.
 const UNPROVEN_COME_BACK: Duration = Duration::from_millis(500);
 
-/// The workspace that a request belongs to; none where nobody needs a key, or this route needs none and none is known.
+/// Returns the workspace that a request belongs to. There is none if the deployment uses no keys, or if the route is public and the key is
+/// missing or unknown.
 ///
 /// # Errors
 ///
-/// If the request may not be served for want of a key that is known, or of a proof that it still holds.
+/// If the route requires a known key and the request has none, or if there is no current proof that keys are still valid.
 pub(crate) fn identify(
     state: &State,
     now: Time,
@@ -43,12 +44,12 @@
     Ok(workspace)
 }
 
-/// Whether a request that was let in may still be sent: its key may have been taken away while it waited, or given to another
-/// workspace, or nobody may have said for too long that it was not. On a route that needs no key it goes on without one.
+/// Checks the key of an admitted request again before it is sent: while the request waited, its key may have been revoked or moved to another
+/// workspace, or the proof that keys are valid may have expired. On a public route the request continues without a workspace.
 ///
 /// # Errors
 ///
-/// If it may not.
+/// If the request may not be sent any more.
 pub(crate) fn recheck(state: &mut State, now: Time, id: Id) -> Result<(), Refusal> {
     let Some(flow) = state.flows.get(&id) else {
         return Ok(());
@@ -59,7 +60,7 @@
         return Ok(());
     }
     if !flow.route.public {
-        // It was let in as another's, and counts for that one's limit: it is to come anew.
+        // The request was admitted for another workspace and counted against its limit, so that the caller has to retry.
         return Err(unproven());
     }
     if let Some(flow) = state.flows.get_mut(&id) {
@@ -68,7 +69,7 @@
     Ok(())
 }
 
-/// Why a key is not served without a proof.
+/// The refusal of a key while there is no proof that keys are still valid.
 const fn unproven() -> Refusal {
     Refusal { code: Code::KeyUnproven, retry_after: Some(UNPROVEN_COME_BACK) }
 }
--- a/fleet/src/config.rs
+++ b/fleet/src/config.rs
@@ -1,4 +1,4 @@
-//! What operators declare: routes, the services behind them, and limits on what callers may send.
+//! The configuration that operators declare: routes, the services behind them, callers' keys, and limits on requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,77 +11,77 @@
 use crate::key::Digest;
 use crate::request::Arrival;
 
-/// One version of the configuration, whole.
+/// One complete version of the configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Config {
-    /// Its version; a higher one replaces a lower one, never the other way round.
+    /// Its version. A configuration is only replaced by one with a higher version.
     pub version: u64,
-    /// Where requests may go.
+    /// Which services requests are forwarded to.
     pub routes: Vec<Arc<Route>>,
-    /// What runs them.
+    /// The services, whose engines run the requests.
     pub services: Vec<Arc<Service>>,
-    /// What callers may send.
+    /// Limits on what callers may send.
     pub limits: Limits,
-    /// Who may call; none where requests need no key.
+    /// Workspaces and keys; none if requests need no key.
     pub access: Option<Access>,
 }
 
-/// The workspaces that callers belong to, and the keys that tell which.
+/// The workspaces, and the keys that assign callers to them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Access {
     /// The workspaces.
     pub workspaces: Vec<Arc<Workspace>>,
-    /// The keys of all of them; each stands there once.
+    /// The keys of all workspaces, without duplicates.
     pub keys: Vec<Arc<Key>>,
 }
 
-/// Callers that share keys, a priority and a limit.
+/// A group of callers that share keys, a priority and a rate limit.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Workspace {
     /// Its name.
     pub name: Name,
-    /// The rank of its requests, in place of the route's; 0 goes first.
+    /// The priority of its requests, which overrides that of the route; 0 is the highest.
     pub priority: Option<u8>,
-    /// What it may ask for over all entry VMs; none if there is no limit.
+    /// Its rate limit across all entry VMs; none if it has no limit.
     pub limit: Option<Limit>,
-    /// Where its requests may be served.
+    /// Regions in which its requests may be served.
     pub homes: Homes,
 }
 
-/// A key, and the workspace whose callers have it.
+/// A key and the workspace that it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Key {
-    /// The key's digest.
+    /// Digest of the key.
     pub digest: Digest,
-    /// The workspace's name.
+    /// Name of the workspace.
     pub workspace: Name,
 }
 
-/// What a workspace may ask for, over all entry VMs.
+/// The rate limit of a workspace across all entry VMs: a token bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Limit {
-    /// Units a second.
+    /// Units per second by which the bucket is refilled.
     pub per_s: f64,
-    /// Units that may be asked for at once beyond that.
+    /// Capacity of the bucket in units.
     pub burst: f64,
-    /// What is counted.
+    /// The unit that requests are counted in.
     pub unit: Unit,
 }
 
-/// What a limit counts.
+/// The unit of a rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Unit {
     /// Requests.
     Requests,
-    /// Tokens that are read and generated.
+    /// Prompt tokens and generated tokens.
     Tokens {
-        /// What a request counts that says nothing of its tokens.
+        /// Tokens counted for a request that does not state its number of tokens.
         unsaid: f64,
     },
 }
 
 impl Limit {
-    /// What a request counts.
+    /// Returns the units that a request counts as.
     #[must_use]
     pub fn cost(&self, arrival: &Arrival) -> f64 {
         match self.unit {
@@ -96,39 +96,39 @@
 pub struct Route {
     /// Its name.
     pub name: Name,
-    /// The host that requests name.
+    /// Host name that requests have to carry.
     pub host: Name,
-    /// What their paths begin with; begins and ends with a slash.
+    /// Path prefix of the requests; begins and ends with a slash.
     pub prefix: Name,
-    /// What may be done with a request more than once.
+    /// Whether requests may be repeated and whether the response is a stream.
     pub kind: Kind,
-    /// How long a caller is kept waiting at most.
+    /// Maximum time that a caller is kept waiting.
     pub timeout: Duration,
-    /// The time to an answer, or to the first event of a stream, that the operator aims at.
+    /// The operator's target for the time to the response, or to the first event of a stream.
     pub target: Duration,
-    /// The pause between two events of a stream that the operator allows.
+    /// The operator's limit for the pause between two events of a stream.
     pub pause: Duration,
-    /// Its rank; 0 goes first.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u8,
-    /// Engines to which one request may be sent.
+    /// Maximum number of engines that one request is sent to.
     pub attempts: u32,
-    /// The services, with their weights.
+    /// The services that requests are distributed over, with their weights.
     pub split: Vec<Share>,
-    /// Whether its requests need no key.
+    /// Whether requests without a key are accepted.
     pub public: bool,
-    /// Where its requests may be served.
+    /// Regions in which its requests may be served.
     pub homes: Homes,
 }
 
-/// Callers leave a stream that pauses, or does not begin, for the longest of this,
+/// Callers abandon a stream that has not begun, or has paused, for the longest of three times. The first is this fixed minimum.
 const ABANDON_MIN: Duration = Duration::from_secs(2);
-/// this many times the route's target,
+/// The second is this multiple of the route's target.
 const ABANDON_TARGETS: u32 = 4;
-/// and this many times the pause that it allows.
+/// The third is this multiple of the pause that the route allows.
 const ABANDON_PAUSES: u32 = 8;
 
 impl Route {
-    /// How long callers wait for an answer to begin.
+    /// How long callers wait for a response to begin.
     #[must_use]
     pub fn patience(&self) -> Duration {
         if !self.kind.streams() {
@@ -139,99 +139,99 @@
     }
 }
 
-/// A service's part of a route.
+/// A service of a route and its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
-    /// The service's name.
+    /// Name of the service.
     pub service: Name,
-    /// Its weight among the route's services.
+    /// Weight relative to the other services of the route.
     pub weight: u32,
 }
 
-/// What may be done with a request more than once.
+/// Whether a request may be repeated, and whether its response is a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Kind {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It may run once at most.
+    /// The request may run at most once.
     #[default]
     Once,
-    /// It is answered by a stream of numbered events.
+    /// The response is a stream of numbered events.
     Stream {
-        /// Whether another engine may go on after the last event that was delivered.
+        /// Whether another engine can resume the stream after the last delivered event.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether another engine may be given a request that may have run.
+    /// Whether a request that may have run can be sent to another engine.
     #[must_use]
     pub const fn repeatable(self) -> bool {
         matches!(self, Self::Idempotent | Self::Stream { resumable: true })
     }
 
-    /// Whether its streams may be taken up after an event.
+    /// Whether a broken stream can be resumed after an event.
     #[must_use]
     pub const fn resumable(self) -> bool {
         matches!(self, Self::Stream { resumable: true })
     }
 
-    /// Whether the answer is a stream of events.
+    /// Whether the response is a stream of events.
     #[must_use]
     pub const fn streams(self) -> bool {
         matches!(self, Self::Stream { .. })
     }
 }
 
-/// Engines that are alike.
+/// A service: a set of interchangeable engines.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: Name,
-    /// Connections that one engine accepts from all callers together.
+    /// Maximum number of connections that one engine accepts from all clients together.
     pub connections_max: u32,
-    /// What its engines hold, if they run models.
+    /// Capacity and models of its engines; none if they do not run models.
     pub pool: Option<Pool>,
-    /// What its engines bear after a start; none if that is no less than later.
+    /// Request limit of an engine for some time after its start; none if there is none.
     pub start: Option<Start>,
 }
 
-/// What an engine bears for some time after a start.
+/// The request rate that an engine can take for some time after its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Start {
-    /// For how long.
+    /// How long the limit applies after the start.
     pub lasts: Duration,
-    /// Requests a second from all entry VMs together.
+    /// Requests per second from all entry VMs together.
     pub per_s: f64,
 }
 
-/// The size of each engine of a service, and the models to be spread over them.
+/// The capacity of each engine of a service, and the models to place on them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
-    /// Requests that one engine runs at once.
+    /// Number of requests that one engine runs concurrently.
     pub slots: u32,
-    /// Memory of one engine for prompts and what was generated, in tokens.
+    /// Size of one engine's cache for prompt tokens and generated tokens, in tokens.
     pub cache_tokens: u64,
-    /// Memory of one engine for weights and adapters, in MB.
+    /// Memory of one engine for model weights and adapters, in MB.
     pub memory_mb: f64,
-    /// Adapters that one engine holds.
+    /// Maximum number of adapters that one engine holds.
     pub adapters_max: u32,
-    /// Loads from the weight store a second, over all engines.
+    /// Maximum loads per second from the weight store, across all engines.
     pub loads_per_s: f64,
     /// The models.
     pub models: Vec<Model>,
 }
 
-/// A model that engines may be told to load.
+/// A model that engines can be ordered to load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Model {
     /// Its name.
     pub name: Name,
-    /// Its adapters.
+    /// Names of its adapters.
     pub adapters: Vec<Name>,
-    /// Memory that its weights take, in MB.
+    /// Memory for its weights, in MB.
     pub memory_mb: f64,
-    /// Memory that one of its adapters takes, in MB.
+    /// Memory for one of its adapters, in MB.
     pub adapter_mb: f64,
     /// Time to load it from the weight store.
     pub cold: Duration,
@@ -241,16 +241,16 @@
     pub warm: Duration,
 }
 
-/// What callers may send.
+/// Limits on what callers may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Limits {
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time to send the headers.
+    /// Maximum time to send the headers.
     pub header_time: Duration,
-    /// Time that a connection may stay idle.
+    /// Maximum time that a connection may stay idle.
     pub idle_time: Duration,
 }
 
@@ -266,13 +266,13 @@
 }
 
 impl Config {
-    /// The service of that name.
+    /// Returns the service of that name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == *name).map(AsRef::as_ref)
     }
 
-    /// What the engines of a service hold, if they run models.
+    /// Returns the capacity and models of a service, if its engines run models.
     #[must_use]
     pub fn pool(&self, service: &str) -> Option<&Pool> {
         self.service(service)?.pool.as_ref()
@@ -280,14 +280,14 @@
 }
 
 impl Pool {
-    /// The model of that name.
+    /// Returns the model of that name.
     #[must_use]
     pub fn model(&self, name: &str) -> Option<&Model> {
         self.models.iter().find(|model| model.name == *name)
     }
 }
 
-/// The routes of one version by host, and its workspaces by the keys of their callers.
+/// Lookup tables for one version of the configuration: routes by host, and workspaces by key and by name.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     hosts: FxHashMap<Name, Host>,
@@ -295,17 +295,17 @@
     workspaces: FxHashMap<Name, Arc<Workspace>>,
 }
 
-/// The routes of one host. Prefixes end with a slash, so that those that begin a path end at one of its slashes: the time to
-/// find a route does not grow with the number of routes (18.6 µs with 7,800 when each was tried, bench `route`).
+/// The routes of one host. Prefixes end with a slash, so that a matching prefix ends at one of the slashes of the path. One lookup per
+/// slash finds the route, independently of the number of routes; testing each of 7,800 routes took 18.6 µs (bench `route`).
 #[derive(Clone, Debug, Default)]
 struct Host {
     by_prefix: FxHashMap<Name, Arc<Route>>,
-    /// Slashes in the prefix that has most.
+    /// Maximum number of slashes in a prefix.
     slashes_max: usize,
 }
 
 impl Table {
-    /// Sorts the routes of `config`. Of two with the same host and prefix the first one holds.
+    /// Builds the tables for `config`. If two routes have the same host and prefix, the first one is used.
     #[must_use]
     pub fn new(config: &Config) -> Self {
         let mut hosts: FxHashMap<Name, Host> = FxHashMap::default();
@@ -324,24 +324,24 @@
         Self { hosts, keys, workspaces }
     }
 
-    /// The workspace whose callers have this key.
+    /// Returns the workspace that a key belongs to.
     #[must_use]
     pub fn workspace_of(&self, key: Digest) -> Option<&Arc<Workspace>> {
         self.keys.get(&key)
     }
 
-    /// The workspace of that name.
+    /// Returns the workspace of that name.
     #[must_use]
     pub fn workspace(&self, name: &str) -> Option<&Arc<Workspace>> {
         self.workspaces.get(name)
     }
 
-    /// The workspaces that have limits.
+    /// Returns the workspaces that have a rate limit.
     pub fn limited(&self) -> impl Iterator<Item = &Arc<Workspace>> {
         self.workspaces.values().filter(|workspace| workspace.limit.is_some())
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = self.hosts.get(host)?;
@@ -350,7 +350,7 @@
     }
 }
 
-/// Where a path has slashes.
+/// Returns the positions of the slashes in a path.
 fn slashes(path: &str) -> impl Iterator<Item = usize> {
     path.match_indices('/').map(|(at, _)| at)
 }
--- a/fleet/src/departure.rs
+++ b/fleet/src/departure.rs
@@ -1,4 +1,4 @@
-//! Engines that leave or are gone: by which road that became known here, and what they have said of it themselves.
+//! Departures: engines that are leaving or gone, the source from which this process learned of each, and the engines' own announcements.
 
 use std::collections::BTreeMap;
 
@@ -15,26 +15,26 @@
 use crate::record::Record;
 use crate::state::State;
 
-/// Engines that are remembered to leave, at most; the earliest make way.
+/// Maximum number of remembered announcements; beyond it the oldest is dropped.
 const WORDS_MAX: usize = 1_000;
 
-/// By which road it became known here that an engine leaves or is gone.
+/// How this process learned that an engine is leaving or gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Road {
-    /// In an answer of the engine.
+    /// A response of the engine itself.
     Answer,
-    /// By this process's own reading of the engines' table.
+    /// This process's own read of the engines' table.
     Table,
-    /// By a push of another entry VM.
+    /// A push from another entry VM.
     Push,
-    /// As the hub, in a frame.
+    /// A frame that this process received as the hub.
     Frame,
-    /// In the hub's answer to a frame.
+    /// The hub's reply to a frame.
     Reply,
 }
 
 impl Road {
-    /// Its name in logs and metrics.
+    /// The label in logs and metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -47,19 +47,19 @@
     }
 }
 
-/// Whom this process has told that engines leave or are gone.
+/// Which entry VMs this process notified of departures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Audience {
     /// All entry VMs.
     All,
-    /// Those of its availability zone.
+    /// The entry VMs of its own availability zone.
     Zone,
-    /// Nobody: whoever told this one tells the others, or this one does not read the table for others.
+    /// None: the sender of the notification notifies the others too, or this process does not read the table on behalf of others.
     Nobody,
 }
 
 impl Audience {
-    /// Its name in logs and metrics.
+    /// The label in logs and metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -70,64 +70,65 @@
     }
 }
 
-/// The word of an engine's start that it leaves.
+/// An announcement by one start of an engine that it is leaving.
 #[derive(Clone, Copy, Debug)]
 struct Word {
     incarnation: Incarnation,
-    /// When it became known here.
+    /// When this process received it.
     at: Time,
-    /// Which change it is of those that this process knows.
+    /// Its number among the changes of the announcements kept here.
     number: u64,
-    /// Whether the hub is to be told.
+    /// Whether this process has to report it to the hub.
     own: bool,
 }
 
-/// What the hub's answer to a frame says of what engines have said.
+/// The part of the hub's reply to a frame that concerns announcements of engines.
 #[derive(Debug)]
 pub(crate) struct Answer {
-    /// The term under which it is the hub.
+    /// The lease term under which the sender is the hub.
     pub(crate) term: u64,
-    /// The last change of which that frame told.
+    /// The number of the last change that the frame reported.
     pub(crate) told: u64,
-    /// What this process lacked.
+    /// Announcements that this process lacked.
     pub(crate) words: Vec<Start>,
-    /// The last change of the hub's words.
+    /// The number of the hub's last change.
     pub(crate) version: u64,
 }
 
-/// What was found since the others were told last.
+/// Departures found since the last notification to the others.
 #[derive(Debug, Default)]
 struct News {
-    /// Engines whose rows say that they leave or are gone.
+    /// Engines that are leaving or gone according to their rows.
     rows: Vec<Name>,
-    /// What engines have said themselves.
+    /// Announcements by engines themselves.
     words: Vec<Start>,
 }
 
-/// What is known of engines that leave beside their rows, and who is to be told of it.
+/// The engines' own announcements that they are leaving, which are known independently of their rows, and which of them the other entry VMs
+/// still have to be notified of.
 ///
-/// An older row, or one that lapses and comes back, does not undo what an engine has said.
+/// An older row, or a row that expires and is written again, does not revoke an announcement.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
     words: BTreeMap<Name, Word>,
-    /// Changes of the words.
+    /// Numbers the changes of the announcements.
     exchange: Exchange,
-    /// The last change that all were told of without a hub.
+    /// The number of the last change that was broadcast without a hub.
     spread: u64,
     news: News,
-    /// Departures that became known here, by road.
+    /// Number of departures learned here, by source.
     pub(crate) known: BTreeMap<Road, u64>,
-    /// Departures that were told, by whom.
+    /// Number of departures of which others were notified, by audience.
     pub(crate) told: BTreeMap<Audience, u64>,
 }
 
 impl Departures {
-    /// Whether this start of an engine has said that it leaves.
+    /// Whether this start of an engine has announced that it is leaving.
     pub(crate) fn has(&self, engine: &Name, incarnation: Incarnation) -> bool {
         self.words.get(engine).is_some_and(|word| word.incarnation == incarnation)
     }
 
-    /// Keeps the word of an engine's start. `own`: the hub is to be told.
+    /// Stores the announcement of an engine's start. `own`: whether it has to be reported to the hub.
     fn insert(&mut self, engine: Name, incarnation: Incarnation, own: bool, now: Time) {
         if self.words.len() >= WORDS_MAX {
             let earliest = self.words.iter().min_by_key(|(_, word)| word.at);
@@ -139,35 +140,36 @@
         self.words.insert(engine, Word { incarnation, at: now, number, own });
     }
 
-    /// An engine is gone from the list. One that does not say when it started may come again under its id.
+    /// Handles the removal of an engine. Without a start time in the announcement, a later start under the same id could not be told apart
+    /// from the one that left, so that its announcement is dropped.
     pub(crate) fn gone(&mut self, engine: &Name) {
         if self.words.get(engine).is_some_and(|word| word.incarnation.0.is_none()) {
             self.words.remove(engine);
         }
     }
 
-    /// A row says of an engine that it leaves or is gone, which the row before did not.
+    /// Notes that an engine's row shows it as leaving or gone, which the previous row did not.
     pub(crate) fn found(&mut self, engine: &Name) {
         self.news.rows.push(engine.clone());
     }
 
-    /// What the hub has not been told of, and up to which change that is.
+    /// Announcements that the hub lacks, and the number of the last change.
     pub(crate) fn untold(&self) -> (Vec<Start>, u64) {
         let untold = |word: &Word| word.own && self.exchange.is_untold(word.number);
         (self.words_that(untold), self.exchange.changes())
     }
 
-    /// Whether there is anything that the hub has not been told of.
+    /// Whether the hub lacks any announcement.
     pub(crate) fn is_any_untold(&self) -> bool {
         self.words.values().any(|word| word.own && self.exchange.is_untold(word.number))
     }
 
-    /// What is known of the hub's changes.
+    /// The last of the hub's changes that this process has.
     pub(crate) const fn known_there(&self) -> View {
         self.exchange.known()
     }
 
-    /// As the hub of this term: what whoever knows these changes lacks, and up to which change that is.
+    /// As the hub of this term, returns the announcements that an entry VM with the view `known` lacks, and the number of the last change.
     pub(crate) fn changed_since(&self, term: u64, known: View) -> (Vec<Start>, u64) {
         let since = Exchange::last_known(term, known);
         (self.words_that(|word| word.number > since), self.exchange.changes())
@@ -179,7 +181,7 @@
     }
 }
 
-/// The store has come back from an older copy, in which engines that leave may not have said so yet: they leave all the same.
+/// Keeps leaving engines as leaving after the store was restored from an older copy, whose rows may be from before they were marked so.
 pub(crate) fn keep(state: &mut State, now: Time) {
     let State { engines, departures, .. } = state;
     for engine in engines.values_mut().filter(|engine| engine.entry.leaving) {
@@ -191,26 +193,27 @@
     }
 }
 
-/// An engine has said that it leaves: it is sent no more work. One that is not listed now may be back under the same start.
+/// Handles an engine's announcement that it is leaving: it gets no more work. An engine that is not listed now may reappear with the same
+/// start, so that its announcement is stored as well.
 pub(crate) fn said(state: &mut State, now: Time, from: &Start, road: Road, out: &mut Vec<Effect>) {
     let later =
         state.departures.words.get(&from.engine).is_some_and(|word| word.incarnation >= from.incarnation);
     let listed = state.engines.get(&from.engine).map(|known| &known.entry);
-    // What an earlier start said is over.
+    // An announcement of an earlier start no longer applies.
     if later || listed.is_some_and(|listed| listed.incarnation > from.incarnation) {
         return;
     }
     if listed.is_none() && from.incarnation.0.is_none() {
         return;
     }
-    // Where its row says so too, the others know it by that.
+    // If its row shows it as leaving too, the others learn of it from that row.
     let is_news = listed.is_none_or(|listed| !listed.leaving || listed.incarnation != from.incarnation);
     state.departures.insert(from.engine.clone(), from.incarnation, is_news && road == Road::Answer, now);
     if is_news {
         state.departures.news.words.push(from.clone());
     }
     let known = state.engines.get_mut(&from.engine);
-    // The row of a later start is still to come.
+    // The row of this start has not been read yet.
     let Some(known) = known.filter(|known| known.entry.incarnation == from.incarnation) else {
         return;
     };
@@ -225,18 +228,18 @@
     flow::withdraw(state, now, &from.engine, out);
 }
 
-/// Another entry VM told what engines have said.
+/// Takes over announcements from another entry VM.
 pub(crate) fn told(state: &mut State, now: Time, words: &[Start], road: Road, out: &mut Vec<Effect>) {
     for word in words {
         said(state, now, word, road, out);
     }
 }
 
-/// The hub answered a frame.
+/// Handles the hub's reply to a frame.
 pub(crate) fn answered(state: &mut State, now: Time, answer: &Answer, out: &mut Vec<Effect>) {
     let State { departures, engines, .. } = state;
     if departures.exchange.answered(answer.term, answer.told) {
-        // The new hub may not know what the one before was told.
+        // The new hub may lack what was reported to its predecessor.
         for (engine, word) in &mut departures.words {
             word.own |= engines.contains_key(engine);
         }
@@ -246,8 +249,8 @@
     state.departures.exchange.learn(answer.version);
 }
 
-/// Tells the others what was found since they were told last: the hub all of them, whoever reads the table for its availability zone that one,
-/// and everybody else the hub.
+/// Sends the departures found since the last notification: the hub notifies all entry VMs, a process that reads the table on behalf of its
+/// availability zone notifies that zone, and any other process reports them to the hub.
 pub(crate) fn tell(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let News { rows, words } = std::mem::take(&mut state.departures.news);
     if rows.is_empty() && words.is_empty() {
@@ -261,14 +264,14 @@
     frame::tell_hub(state, now, out);
 }
 
-/// Whoever told this process of what was found has told the others.
+/// Drops the departures found since the last notification: their sender has notified the others as well.
 pub(crate) fn leave_to_others(state: &mut State, out: &mut Vec<Effect>) {
     let News { rows, words } = std::mem::take(&mut state.departures.news);
     let engines: Vec<Name> = rows.into_iter().chain(words.into_iter().map(|word| word.engine)).collect();
     note_told(state, Audience::Nobody, &engines, out);
 }
 
-/// No hub answers that could tell the others what engines have said to this process: they are told at once.
+/// Broadcasts announcements that engines made to this process at once, because no hub answers that could pass them on.
 pub(crate) fn tell_without_hub(state: &mut State, out: &mut Vec<Effect>) {
     let Departures { exchange, spread, .. } = &state.departures;
     let wanted = |word: &Word| word.own && exchange.is_untold(word.number) && word.number > *spread;
@@ -282,13 +285,13 @@
     note_told(state, Audience::All, &engines, out);
 }
 
-/// It became known that an engine leaves or is gone, by its row of this version or beside it.
+/// Counts and logs a departure. `version` is that of the engine's row, also if the row does not show it.
 pub(crate) fn note_known(state: &mut State, engine: &Name, road: Road, version: u64, out: &mut Vec<Effect>) {
     *state.departures.known.entry(road).or_default() += 1;
     out.push(Effect::Record(Record::Departure { engine: engine.clone(), road: road.label(), version }));
 }
 
-/// It was told that engines leave or are gone.
+/// Counts and logs a notification of departures.
 pub(crate) fn note_told(state: &mut State, audience: Audience, engines: &[Name], out: &mut Vec<Effect>) {
     *state.departures.told.entry(audience).or_default() += engines.len() as u64;
     if let Some(engine) = engines.first().cloned() {
--- a/fleet/src/engine.rs
+++ b/fleet/src/engine.rs
@@ -1,4 +1,4 @@
-//! Engines: what the platform's store says of each, and what this process believes beyond that.
+//! Engines: their entries in the platform's store, and this process's view of their state.
 
 mod health;
 
@@ -15,108 +15,108 @@
 use crate::share::Share;
 pub use health::Health;
 
-/// Part of its slots that is taken at an engine where a new request may wait for one: loads are known late.
+/// Fraction of an engine's slots in use above which a new request may have to wait for one. It is below 1 because loads are known with a delay.
 const CROWDED: f64 = 0.7;
 
-/// An engine as it registered itself.
+/// An engine's entry in the store, which it writes itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The engine's id. It may start again under the one that it had.
+    /// The engine's id. A restarted engine may keep its id.
     pub id: Name,
-    /// Which start of the engine this is.
+    /// The start of the engine that wrote the entry.
     pub incarnation: Incarnation,
-    /// The service it belongs to.
+    /// The service that it belongs to.
     pub service: Name,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Name,
-    /// Requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no more work.
+    /// Whether it is leaving and takes no more work.
     pub leaving: bool,
-    /// How long it stays at most, if it is leaving at short notice.
+    /// Maximum time until it stops, if it is leaving at short notice.
     pub remaining: Option<Duration>,
-    /// How long it is cold from when it wrote this, and bears few requests.
+    /// How long, from the time of this entry, it can only take a limited rate of requests because it has just started.
     pub cold_left: Duration,
-    /// What it held.
+    /// The models that it held when it wrote the entry.
     pub held: Vec<Held>,
-    /// Models whose weights it keeps in its own memory or on its disk.
+    /// Models whose weights are cached in its memory or on its disk.
     pub cached: Cached,
-    /// The version of its software; none if it does not say.
+    /// The version of its software; none if the entry has none.
     #[serde(default)]
     pub build: Option<Name>,
 }
 
-/// A start of an engine: when it was, in ms since the Unix epoch by the engine's clock; none if the engine does not
-/// say. A later one of the same id has a larger number, holds nothing of before and counts its orders anew.
+/// Identifies a start of an engine by its time, in ms since the Unix epoch by the engine's clock; none if the engine does not report it. A
+/// later start of the same id has a larger value, holds none of the models loaded before and numbers its orders from the beginning.
 #[derive(
     Clone, std::marker::Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub Option<u64>);
 
-/// A model that an engine held when it said so.
+/// A model that an engine held at the time of its entry or report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Held {
     /// The model.
     pub model: Name,
-    /// Its adapters there.
+    /// The adapters of the model that the engine held.
     pub adapters: Vec<Name>,
 }
 
-/// Copies of weights that an engine can load without the weight store.
+/// Models that an engine can load without the weight store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cached {
-    /// In its memory.
+    /// Models cached in its memory.
     pub memory: Vec<Name>,
-    /// On its disk.
+    /// Models cached on its disk.
     pub disk: Vec<Name>,
 }
 
-/// One row of the engines' table: an entry, or the word that it was removed.
+/// One row of the engines' table: an entry, or its removal.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The engine's id.
     pub id: Name,
-    /// The store's version of the row.
+    /// The store's revision of the row.
     pub version: Revision,
-    /// The entry; none if it was removed.
+    /// The entry; none if the engine was removed.
     pub entry: Option<Entry>,
-    /// How much longer whoever tells of a removed one waits for it to come back; none if that is to be judged by whoever is told.
+    /// For a removed engine, how much longer the sender waits for it to come back; none if the receiver decides that itself.
     pub lapses: Option<Duration>,
 }
 
-/// What an engine holds, as far as orders sent by this deployment tell.
+/// The models that an engine holds according to the orders sent to it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Residency {
-    /// The models.
+    /// The engine's copies of models.
     pub copies: Vec<Copy>,
 }
 
-/// A model's copy at an engine.
+/// An engine's copy of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Copy {
     /// The model.
     pub model: Name,
-    /// How far it is.
+    /// Whether it is being loaded, ready or being dropped.
     pub phase: Phase,
-    /// Its adapters that can be used.
+    /// Adapters that are ready.
     pub adapters: Vec<Name>,
 }
 
-/// How far a copy is.
+/// The phase of a model copy.
 #[derive(Clone, std::marker::Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It is being loaded.
+    /// The copy is being loaded.
     Loading,
-    /// It serves requests.
+    /// The copy serves requests.
     Ready,
-    /// It is being dropped, and takes no new requests.
+    /// The copy is being dropped and takes no new requests.
     Closing,
 }
 
 impl Residency {
-    /// What an entry or a report says; everything in it is ready.
+    /// Creates the residency from the list of an entry or a report, in which all models are ready.
     #[must_use]
     pub fn of(held: &[Held]) -> Self {
         let ready = |held: &Held| Copy {
@@ -127,13 +127,13 @@
         Self { copies: held.iter().map(ready).collect() }
     }
 
-    /// The copy of a model.
+    /// Returns the copy of a model.
     #[must_use]
     pub fn copy(&self, model: &str) -> Option<&Copy> {
         self.copies.iter().find(|copy| copy.model == *model)
     }
 
-    /// Whether requests for the model, with the adapter if one is named, can run.
+    /// Whether the engine can run requests for a model, with an adapter if one is given.
     #[must_use]
     pub fn serves(&self, model: &str, adapter: Option<&str>) -> bool {
         self.copy(model).is_some_and(|copy| {
@@ -143,23 +143,23 @@
     }
 }
 
-/// Requests under way at an engine.
+/// The load of an engine: requests in flight there.
 #[derive(Clone, std::marker::Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests sent that have not ended.
+    /// Number of requests in flight.
     pub open: u32,
-    /// Time that it takes the engine to read the prompts of those that have not begun to answer, in us.
+    /// Time that the engine needs for the prefill of the requests whose responses have not begun, in microseconds.
     pub reading_us: u64,
 }
 
 impl Load {
-    /// Both together.
+    /// The sum of two loads.
     #[must_use]
     pub const fn plus(self, other: Self) -> Self {
         Self { open: self.open + other.open, reading_us: self.reading_us + other.reading_us }
     }
 
-    /// This without the other; nothing below zero.
+    /// The difference of two loads, at least 0.
     #[must_use]
     pub const fn minus(self, other: Self) -> Self {
         Self {
@@ -169,56 +169,56 @@
     }
 }
 
-/// What an engine bears for some time after a start.
+/// The limit on requests to an engine for some time after its start.
 #[derive(Clone, std::marker::Copy, Debug, PartialEq)]
 pub struct Cold {
-    /// Requests a second from all entry VMs together.
+    /// Requests per second from all entry VMs together.
     pub per_s: f64,
-    /// Since when it is known.
+    /// When this process learned of the limit.
     pub since: Time,
-    /// Until when it is cold.
+    /// When the limit ends.
     pub until: Time,
 }
 
-/// An engine, as this process believes it to be.
+/// This process's view of an engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
-    /// As it registered itself: what the table says, and nothing that is known beside it.
+    /// Its entry in the engines' table, without information from other sources.
     pub entry: Entry,
-    /// Whether this start of it has said in an answer that it leaves.
+    /// Whether this start of it has announced in a response that it is leaving.
     pub said_leaving: bool,
-    /// Whether another engine has answered this process at its address since its row was read.
+    /// Whether another engine has responded at its address since its row was read.
     pub replaced: bool,
-    /// The store's version of its row.
+    /// The store's revision of its row.
     pub version: Revision,
-    /// The store's version in which its row last said something else than before.
+    /// The store's revision in which the content of its row last changed.
     pub changed: Revision,
-    /// When its entry is to be taken as gone, if it went missing around an outage of the store.
+    /// When the engine counts as gone, if its entry expired around an outage of the store.
     pub missing_until: Option<Time>,
-    /// Whether operators want nothing to be sent to its availability zone.
+    /// Whether operators have evacuated its availability zone.
     pub evacuated: bool,
-    /// How long it is cold, and what it takes meanwhile.
+    /// Its request limit after a start, if it applies.
     pub cold: Option<Cold>,
-    /// What this process has sent there.
+    /// Load sent by this process.
     pub own: Load,
-    /// What the other entry VMs have sent there.
+    /// Load sent by the other entry VMs.
     pub others: Load,
-    /// When prompts can be sent there, as far as is known here; exact at the owner of the schedule.
+    /// The schedule of prompts for it. It is exact at the entry VM that owns the schedule, and an estimate elsewhere.
     pub schedule: Schedule,
-    /// The share of calls of a plain service that it is offered.
+    /// Its share of the requests of a service that does not run models.
     pub share: Share,
-    /// How far it is trusted.
+    /// Its health as observed by this process.
     pub health: Health,
-    /// How it is reached from here.
+    /// The network path to it.
     pub path: Path,
-    /// What it holds, as the process that orders it says; none until that is known.
+    /// The models that it holds, according to the process that sends it orders; none until that is known.
     pub ordered: Option<Residency>,
-    /// Models that it refused as absent, and until when that is believed.
+    /// Models and adapters that it rejected as absent, and until when they count as absent.
     pub absent: Vec<(Name, Option<Name>, Time)>,
 }
 
 impl Engine {
-    /// An engine that was just registered.
+    /// Creates the view of a newly registered engine.
     #[must_use]
     pub fn new(entry: Entry, version: Revision) -> Self {
         Self {
@@ -241,7 +241,7 @@
         }
     }
 
-    /// What is known of it as a row of the table.
+    /// Returns its state as a row of the engines' table.
     pub(crate) fn row(&self, now: Time) -> Row {
         Row {
             id: self.entry.id.clone(),
@@ -251,32 +251,32 @@
         }
     }
 
-    /// Requests of all entry VMs under way there.
+    /// The load from all entry VMs.
     #[must_use]
     pub const fn load(&self) -> Load {
         self.own.plus(self.others)
     }
 
-    /// Whether so many requests are under way there that a new one may wait for a slot.
+    /// Whether so many requests are in flight there that a new one may have to wait for a slot.
     #[must_use]
     pub fn is_crowded(&self) -> bool {
         f64::from(self.load().open) > CROWDED * f64::from(self.entry.slots)
     }
 
-    /// Whether it leaves or is gone, by its row, by its own word, or by that of another engine in its place.
+    /// Whether it is leaving or gone: according to its row, to its own announcement, or because another engine responds at its address.
     #[must_use]
     pub const fn leaves(&self) -> bool {
         self.entry.leaving || self.said_leaving || self.replaced
     }
 
-    /// Whether it may be sent work at all.
+    /// Whether it may be sent work.
     #[must_use]
     pub const fn takes_work(&self) -> bool {
         !self.leaves() && !self.evacuated
     }
 
-    /// The engine started anew: nothing that was believed of what it holds, or held against it, is true any more.
-    /// Requests that were sent to its earlier start end by their broken connections.
+    /// Resets the state that belongs to the previous start of the engine, such as its models, its health and its path. Requests sent to the
+    /// previous start end when their connections break.
     pub(crate) fn restart(&mut self) {
         self.said_leaving = false;
         self.replaced = false;
@@ -288,8 +288,8 @@
         self.absent.clear();
     }
 
-    /// Learns what it holds from whoever orders it, unless that is another start's. What it got since is no longer
-    /// absent.
+    /// Takes over the models that it holds from the process that sends it orders, unless they are those of another start. Models that it has
+    /// got since no longer count as absent.
     pub fn learn(&mut self, incarnation: Incarnation, residency: Residency) {
         if incarnation != self.entry.incarnation {
             return;
@@ -302,7 +302,7 @@
         self.ordered = Some(residency);
     }
 
-    /// Whether it can run requests for a model, as far as is known.
+    /// Whether it can run requests for a model, as far as this process knows.
     #[must_use]
     pub fn serves(&self, model: &str, adapter: Option<&str>, now: Time) -> bool {
         let refused = self.absent.iter().any(|(name, with, until)| {
@@ -321,13 +321,13 @@
     }
 }
 
-/// How the port of an engine answers.
+/// How the port of an engine responds to a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reach {
     /// A connection can be opened.
     Open,
-    /// The connection is refused: the engine's process has ended, or something on the way refuses in its place.
+    /// The connection is refused: the engine's process has ended, or a device on the path rejects connections to it.
     Closed,
-    /// Nothing comes back, as across a partition.
+    /// There is no response, as during a network partition.
     Silent,
 }
--- a/fleet/src/engine/health.rs
+++ b/fleet/src/engine/health.rs
@@ -1,4 +1,4 @@
-//! How far an engine is trusted, by what came of it lately.
+//! The health of an engine, as judged by the results of recent requests and health checks.
 
 use std::time::Duration;
 
@@ -6,39 +6,39 @@
 
 use crate::settings::Settings;
 
-/// For how long a sound engine may say nothing and take no connection.
+/// How long a healthy engine may send nothing and accept no connections.
 const SILENT_MAX: Duration = Duration::from_millis(1_500);
 
-/// How far an engine is trusted.
+/// The health of an engine as observed by this process.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// Until when it gets no work, since it could not be reached or went silent.
+    /// Until when it is suspected and gets no work, because it was unreachable or silent.
     pub suspect_until: Option<Time>,
-    /// Since when it has been suspected without a word from it.
+    /// Since when it has been suspected without any response from it.
     pub(crate) suspected_since: Option<Time>,
-    /// Whether its port refused the last try: its process has ended, or something on the way refuses in its place.
+    /// Whether its port refused the last connection attempt: its process has ended, or a device on the path rejects connections to it.
     pub(crate) refuses: bool,
-    /// Until when it wants nothing from this process, as it said when it turned a request away.
+    /// Until when it wants no requests from this process, as it stated in a rejection.
     pub paused_until: Option<Time>,
-    /// How long the last suspicion was; the next is twice as long.
+    /// Duration of the last suspicion; it doubles each time.
     pub suspicion: Duration,
-    /// Failures lately: each adds one, and they halve with time.
+    /// Number of recent failures, which decays exponentially.
     faults: f64,
     faults_at: Time,
-    /// When anything last came from it.
+    /// When it last responded.
     pub heard: Time,
-    /// When it was last sent a request from here.
+    /// When this process last sent a request to it.
     pub sent: Option<Time>,
-    /// When it was last asked whether it is well.
+    /// When this process last sent it a health check.
     pub asked: Time,
     /// When a suspicion was last logged.
     pub(crate) logged_at: Option<Time>,
-    /// Whether the suspicion that there is was logged, so that its end is to be.
+    /// Whether the current suspicion was logged, in which case its end has to be logged too.
     pub(crate) is_logged: bool,
 }
 
 impl Health {
-    /// Something came from the engine.
+    /// Records a response, which ends a suspicion and resets the backoff.
     pub fn hear(&mut self, now: Time) {
         self.heard = now;
         self.suspect_until = None;
@@ -47,7 +47,7 @@
         self.suspicion = Duration::ZERO;
     }
 
-    /// The engine could not be reached, or was silent for too long.
+    /// Suspects the engine because it was unreachable or silent for too long.
     pub fn suspect(&mut self, now: Time, settings: &Settings) {
         let least = settings.suspicion_min;
         self.suspicion = (self.suspicion * 2).clamp(least, settings.suspicion_max);
@@ -55,31 +55,31 @@
         self.suspected_since.get_or_insert(now);
     }
 
-    /// Whether it may have fallen silent for a moment, and go on with all that it holds.
+    /// Whether its silence may be temporary, so that it can still resume with its models and requests in place.
     #[must_use]
     pub fn may_go_on(&self, now: Time) -> bool {
         !self.refuses && self.suspected_since.is_some_and(|since| now.since(since) < SILENT_MAX)
     }
 
-    /// Whether it is suspected now.
+    /// Whether it is suspected at `now`.
     #[must_use]
     pub fn suspected(&self, now: Time) -> bool {
         self.suspect_until.is_some_and(|until| now < until)
     }
 
-    /// How much longer it wants nothing from this process; none if it takes requests.
+    /// How much longer it wants no requests from this process; none if it takes requests.
     #[must_use]
     pub fn pause(&self, now: Time) -> Option<Duration> {
         self.paused_until.filter(|until| now < *until).map(|until| until.since(now))
     }
 
-    /// A request failed there after it had been sent.
+    /// Records the failure of a request that had been sent to it.
     pub fn fail(&mut self, now: Time, settings: &Settings) {
         self.faults = self.faults(now, settings) + 1.0;
         self.faults_at = now;
     }
 
-    /// Failures lately.
+    /// Number of recent failures, decayed to `now`.
     #[must_use]
     pub fn faults(&self, now: Time, settings: &Settings) -> f64 {
         let halvings = now.since(self.faults_at).as_secs_f64() / settings.fault_half_life.as_secs_f64();
--- a/fleet/src/entries.rs
+++ b/fleet/src/entries.rs
@@ -1,4 +1,4 @@
-//! What the platform's store says: the configuration in force, and the engines that there are.
+//! Takes over the contents of the platform's store: the configuration and the table of engines.
 
 mod row;
 
@@ -27,7 +27,7 @@
 pub(crate) use row::lapsed;
 use row::take;
 
-/// A version of the configuration was learnt. A lower one than that in force is ignored.
+/// Takes over a version of the configuration, unless it is lower than the current one.
 pub(crate) fn configured(
     state: &mut State,
     now: Time,
@@ -58,7 +58,7 @@
     frame::tell_hub(state, now, out);
 }
 
-/// Says whether this entry VM can serve.
+/// Reports a change of whether this entry VM is ready to serve.
 pub(crate) fn announce(state: &mut State, out: &mut Vec<Effect>) {
     let ready = frame::knows(state) && !state.stopping;
     if ready != state.ready {
@@ -67,7 +67,7 @@
     }
 }
 
-/// The store can be reached, or cannot.
+/// Records whether the store can be reached.
 pub(crate) fn store_up(state: &mut State, now: Time, up: bool, out: &mut Vec<Effect>) {
     if up != state.store_up {
         state.store_up = up;
@@ -80,24 +80,24 @@
     }
 }
 
-/// The operator's table was read.
+/// The result of reading the operator's table.
 pub(crate) struct Declared {
-    /// The store's version up to which it was.
+    /// The store's revision as of which it was read.
     pub(crate) version: Revision,
-    /// The configuration's version that stands there.
+    /// The version of the configuration in it.
     pub(crate) config: u64,
-    /// When the store was asked.
+    /// When the query was sent to the store.
     pub(crate) asked: Time,
 }
 
-/// The operator's table was read, and what it holds was told.
+/// Handles a read of the operator's table, whose configuration has already been taken over.
 pub(crate) fn declared(state: &mut State, now: Time, read: &Declared, out: &mut Vec<Effect>) {
     let Declared { version, config, asked } = *read;
     era::heard(state, now, version.era, out);
     if outdated(state, "config", version.era, out) {
         return;
     }
-    // A copy of the store may have an older configuration than the one in force, until the operator has written that again.
+    // A restored copy of the store may have an older configuration than the current one until the operator writes that again.
     if config < frame::version(state) {
         return;
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// Whether an answer of the store is from before it came back from an older copy.
+/// Whether an answer of the store is from before its last restore. Such answers are counted and logged.
 fn outdated(state: &mut State, what: &'static str, era: u64, out: &mut Vec<Effect>) -> bool {
     if !era::is_past(state, era) {
         return false;
@@ -117,7 +117,7 @@
     true
 }
 
-/// The engines' table, or a part of it, was read.
+/// Handles a read of the engines' table, or of a part of it.
 pub(crate) fn listed(state: &mut State, now: Time, listing: Listing, road: Road, out: &mut Vec<Effect>) {
     era::heard(state, now, listing.version.era, out);
     if outdated(state, "engines", listing.version.era, out) {
@@ -164,7 +164,7 @@
     flow::stir_later(state);
 }
 
-/// Another entry VM tells some rows, up to which the table need not be known.
+/// Takes over individual rows from another entry VM. Unlike a listing, they do not mean that the table is known up to their revision.
 pub(crate) fn told(state: &mut State, now: Time, rows: Vec<Row>, road: Road, out: &mut Vec<Effect>) {
     for row in rows {
         era::heard(state, now, row.version.era, out);
@@ -174,7 +174,7 @@
     }
 }
 
-/// The table was read whole as of a version. What changed between that and the version known before may be unknown here.
+/// Records a complete read of the table. Removals between it and the revision known before may be unknown here.
 fn note_whole(state: &mut State, version: Revision) {
     if !state.listed.is_known() {
         state.removals_from = version;
@@ -186,7 +186,7 @@
     }
 }
 
-/// The first word on the engines' table in a new era.
+/// Logs the first listing of the engines' table in a new era.
 fn reread(state: &State, now: Time, out: &mut Vec<Effect>) {
     out.push(Effect::Record(Record::Reread {
         era: state.listed.era,
@@ -197,16 +197,16 @@
     }));
 }
 
-/// Takes off engines that a whole listing does not name. Returns how many of them had been believed in.
+/// Removes engines that a complete listing does not contain. Returns how many of them had counted as present.
 fn missing(state: &mut State, now: Time, listing: &Listing, road: Road, out: &mut Vec<Effect>) -> usize {
     let named: FxHashSet<&Name> = listing.rows.iter().map(|row| &row.id).collect();
     let known = state.engines.values().filter(|engine| engine.version <= listing.version);
     let known = known.map(|engine| &engine.entry.id);
-    // The others may have been told of entries that a copy of the store had.
+    // The others may have received entries that a restored copy of the store had.
     let returned = state.returned.keys().filter(|id| !state.engines.contains_key(*id));
     let gone = known.chain(returned).filter(|id| !named.contains(id));
     let gone: Vec<Name> = gone.cloned().collect();
-    // A copy of the store lacks whoever registered since.
+    // A restored copy of the store lacks the engines that registered after it was made.
     let lapses = state.era.rewrites(now, &state.settings);
     let mut changed = 0;
     for id in gone {
@@ -216,7 +216,7 @@
     changed
 }
 
-/// The rows that are older than what is known of their engines, if there are any.
+/// Counts the rows that are older than those already known, and returns a log record for them if there are any.
 fn passed_over(state: &mut State, listing: &Listing) -> Option<Record> {
     let older = |row: &Row| known(state, &row.id).filter(|known| *known > row.version);
     let mut passed = listing.rows.iter().filter_map(|row| older(row).map(|known| (row, known)));
@@ -234,13 +234,14 @@
     })
 }
 
-/// The store's version of the newest row of an engine.
+/// Returns the store's revision of the newest known row of an engine.
 fn known(state: &State, id: &Name) -> Option<Revision> {
     let listed = state.engines.get(id).map(|engine| engine.version);
     listed.max(state.removed.get(id).map(|removed| removed.version))
 }
 
-/// All that the store had taken of the table by then is known. An engine whose entry the store has had time to remove, and has not, is believed.
+/// Accepts the entries that were in doubt after a restore, once the view of the table is complete up to a time by which the store would have
+/// removed the entries of engines that are gone.
 pub(crate) fn confirmed(state: &mut State, now: Time, as_of: Time, out: &mut Vec<Effect>) {
     if state.returned.is_empty() || state.era.doubts_removed(as_of, &state.settings) {
         return;
--- a/fleet/src/entries/row.rs
+++ b/fleet/src/entries/row.rs
@@ -1,4 +1,4 @@
-//! What a row of the engines' table changes in what is believed of its engine.
+//! Applies rows of the engines' table to the local view of the engines.
 
 use std::time::Duration;
 
@@ -18,19 +18,19 @@
 use crate::state::{Removed, State};
 use crate::timer::Timer;
 
-/// Removed engines that are remembered, so that older news of them does not bring them back.
+/// Maximum number of remembered removals. A removal is remembered so that an older row does not bring the engine back.
 const REMOVED_MAX: usize = 1_000;
 
-/// How a row says that its engine is gone.
+/// The removal of an engine as described by a row.
 #[derive(Clone, Copy)]
 struct Removal {
     version: Revision,
-    /// How much longer whoever told of it waits for the engine.
+    /// How much longer the sender of the row waits for the engine to come back.
     lapses: Option<Duration>,
     road: Road,
 }
 
-/// Takes over a row of a word that holds all that the store had taken by `as_of`. Returns whether it changes what is believed of its engine.
+/// Applies a row from a view of the table that is complete up to `as_of`. Returns whether it changes the state of its engine.
 pub(super) fn take(
     state: &mut State,
     now: Time,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Whether an entry is not to be believed yet: a copy of the store names an engine that had been removed before, and that has neither
-/// started nor registered since. The store removes the entry once its heartbeats are missed.
+/// Whether an entry is in doubt: a restored copy of the store lists an engine that had been removed before and has neither restarted nor
+/// registered since. If the engine is gone, the store removes the entry again after some missed heartbeats.
 fn is_doubtful(state: &State, as_of: Time, row: &Row) -> bool {
     let Some((entry, removed)) = row.entry.as_ref().zip(removal(state, &row.id)) else {
         return false;
@@ -73,7 +73,7 @@
     same_start && from_copy && state.era.doubts_removed(as_of, &state.settings)
 }
 
-/// The removal of an engine, also of one that is waited for to come back.
+/// Returns the removal of an engine, also if the engine is expected to come back.
 fn removal(state: &State, id: &Name) -> Option<Removed> {
     let lapsing = state.engines.get(id).filter(|engine| engine.missing_until.is_some());
     let lapsing = lapsing
@@ -91,7 +91,7 @@
 ) -> bool {
     let id = entry.id.clone();
     let (service, cold_left) = (entry.service.clone(), entry.cold_left);
-    // Its row may be from before its own word, which the store may not have taken yet, or has lost.
+    // The row may be older than the engine's own announcement, which the store may not have accepted yet, or may have lost.
     let said_leaving = state.departures.has(&id, entry.incarnation);
     let evacuated = state.evacuations.has(&entry.zone);
     state.removed.remove(&id);
@@ -100,14 +100,14 @@
     }
     let known = state.engines.get(&id);
     let left_before = known.is_some_and(Engine::leaves);
-    // Whether the row says what the row before did not, whatever else was known of the engine: the others know it by rows.
+    // Whether this row newly shows the engine as leaving, compared with its previous row alone: the others learn of it by rows.
     let departs =
         known.is_some_and(|known| entry.leaving && (!known.entry.leaving || known.missing_until.is_some()));
     let lapsed = known.is_some_and(|known| known.missing_until.is_some());
     let is_new = known.is_none();
     let engine = state.engines.entry(id.clone()).or_insert_with(|| Engine::new(entry.clone(), version));
     if entry.incarnation < engine.entry.incarnation {
-        // Written late by an earlier start of the engine, or in a copy of the store.
+        // This entry was written late by an earlier start of the engine, or comes from a restored copy of the store.
         engine.version = version;
         return false;
     }
@@ -145,7 +145,7 @@
         pin::build_came(state, now);
     }
     if rebuilt {
-        // Whoever goes on with a stream there was to find the build of before.
+        // Requests that resume a stream were sent there because of its previous build.
         flow::withdraw(state, now, &id, out);
     }
     frame::learn_early(state, &id);
@@ -162,7 +162,7 @@
     changed
 }
 
-/// Logs what is believed of an engine by the table, which is the same for all entry VMs: the holder of the lease does.
+/// Logs a change of an engine's state. Only the holder of the lease does, because the table is the same for all entry VMs.
 fn note(
     state: &State,
     now: Time,
@@ -178,23 +178,23 @@
     }
 }
 
-/// An entry was removed. Around an outage of the store entries of sound engines lapse too, and are back
-/// soon after: those are kept for a while.
+/// Handles a removed entry. Around an outage of the store the entries of healthy engines expire too, and are written again soon after. Such
+/// engines are kept for a grace period.
 fn remove(state: &mut State, now: Time, id: &Name, removal: Removal, out: &mut Vec<Effect>) -> bool {
     let Removal { version, lapses, road } = removal;
     let grace = state.settings.lapse_grace;
     let troubled = state.store_troubled.is_some_and(|at| now.since(at) < grace);
-    // Whoever follows the table for all knows when its grace is over.
+    // The grace period of the process that reads the table for the others takes precedence.
     let wait = lapses.or(troubled.then_some(grace));
     let Some(engine) = state.engines.get_mut(id) else {
-        // Others may know it, or doubt an entry of it that they found in a copy.
+        // Other entry VMs may still list the engine, or have an entry of it in doubt that they found in a restored copy of the store.
         let incarnation = state.removed.get(id).and_then(|removed| removed.incarnation);
         note_removed(state, id, Removed { version, incarnation });
         state.departures.found(id);
         return false;
     };
     engine.version = version;
-    // The others may have been told of an entry of it in a copy of the store, also where it was waited for all the while.
+    // The others may have received an entry of it from a restored copy of the store, even if the engine was missing here all along.
     engine.changed = version;
     let service = engine.entry.service.clone();
     if let Some(wait) = wait.filter(|_| !engine.leaves()) {
@@ -217,7 +217,7 @@
     true
 }
 
-/// An entry that lapsed around an outage has not come back.
+/// Removes an engine whose entry expired around an outage and was not written again within the grace period.
 pub(crate) fn lapsed(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
     let Some(engine) = state.engines.get(id) else {
         return;
@@ -242,7 +242,7 @@
     note_removed(state, id, Removed { version, incarnation });
 }
 
-/// Remembers a removal, in the place of the oldest if there are many.
+/// Remembers a removal, and forgets the oldest one if there are too many.
 fn note_removed(state: &mut State, id: &Name, removed: Removed) {
     if state.removed.len() >= REMOVED_MAX && !state.removed.contains_key(id) {
         let oldest = state.removed.iter().min_by_key(|(_, removed)| removed.version);
--- a/fleet/src/era.rs
+++ b/fleet/src/era.rs
@@ -1,8 +1,8 @@
-//! What it means that the store has come back from an older copy of its data: a new era.
+//! The era of the platform's store, which rises each time the store is restored from an older copy of its data.
 //!
-//! Whatever was written in the last moments before is gone, and is written again by whoever wrote it. Until then the copy says what
-//! was so once. So its word does not undo what was known before of engines that leave or were removed, proves nothing of the
-//! configuration, and names no holder of the lease: whoever led may go on believing so until its own clock ends that.
+//! A restore loses the most recent writes; their writers write them again. Until then the store returns outdated data. Such data therefore
+//! does not override what this process knew of leaving and removed engines, does not prove that the configuration is the newest, and does
+//! not say who holds the lease: the previous holder may consider itself the holder until its lease expires by its own clock.
 
 use std::time::Duration;
 
@@ -15,76 +15,77 @@
 use crate::settings::Settings;
 use crate::state::State;
 
-/// Times between an engine's heartbeats after which the store removes the entry of one that is gone, and a part of one to spare.
+/// Heartbeat intervals after which the store has certainly removed the entry of an engine that is gone. The store removes it after three;
+/// the rest is a margin.
 const HEARTBEATS_MISSED: f64 = 3.5;
 
-/// What this process knows of the store's era.
+/// The store's era, as far as this process knows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Era {
-    /// The highest that was named; 0 if none was.
+    /// The highest era seen; 0 if none was.
     number: u64,
-    /// When this process first heard of it, which is later than its beginning.
+    /// When this process first saw this era, which is later than its beginning.
     since: Time,
-    /// Whether the store, or another entry VM, has named any, or has said something without one.
+    /// Whether the store or another entry VM has answered at all, with an era or without one.
     is_known: bool,
-    /// When it became known that it had begun long ago; none if that is not known.
+    /// When this process learned that the era had begun long ago; none if that is not known.
     known_old: Option<Time>,
-    /// The version up to which the engines' table was first known in this era.
+    /// The version of the first listing of the engines' table in this era.
     first_listed: Option<u64>,
 }
 
 impl Era {
-    /// The highest that was named; 0 if none was.
+    /// The highest era seen; 0 if none was.
     #[must_use]
     pub const fn number(&self) -> u64 {
         self.number
     }
 
-    /// When this process first heard of it.
+    /// When this process first saw this era.
     pub(crate) const fn since(&self) -> Time {
         self.since
     }
 
-    /// Whether by then all that the copy lacked had been written again.
+    /// Whether by `at` all writes that the restored copy lacked had been repeated.
     pub(crate) fn is_settled(&self, at: Time, settings: &Settings) -> bool {
         self.number == 0 || self.known_old.is_some() || at >= self.since + settings.rewritten_within
     }
 
-    /// How much longer an entry that the copy lacks may still be written again; none if it has to be there.
+    /// How much longer an entry that the restored copy lacks may still be written again; none once that time is over.
     pub(crate) fn rewrites(&self, now: Time, settings: &Settings) -> Option<Duration> {
         let until = self.since + settings.rewritten_within;
         (self.number > 0 && self.known_old.is_none() && now < until).then(|| until.since(now))
     }
 
-    /// Whether an engine that was removed before may stand in the copy although it is gone: the store would have removed its entry some
-    /// heartbeats after the era began.
+    /// Whether a reading of the store as of `at` may list an engine that is gone because the restored copy still has its entry. The store
+    /// removes such an entry once some heartbeats have been missed in this era.
     pub(crate) fn doubts_removed(&self, at: Time, settings: &Settings) -> bool {
         let missed = settings.engine_heartbeat.mul_f64(HEARTBEATS_MISSED);
         let until = self.since + missed;
-        // An old era began at least so long ago as writers have to write again what the copy lacked.
+        // An era that was marked as old began at least `rewritten_within` before that.
         let until_by_others =
             self.known_old.map(|old| old + missed.saturating_sub(settings.rewritten_within));
         let until = until_by_others.map_or(until, |by_others| until.min(by_others));
         self.number > 0 && at < until
     }
 
-    /// Whether a version of this era is from after this process first read the engines' table in it.
+    /// Whether a version of this era is newer than this process's first listing of the engines' table in it.
     pub(crate) fn is_after_first_listing(&self, version: u64) -> bool {
         self.first_listed.is_some_and(|first| version > first)
     }
 
-    /// The engines' table is known up to a version of this era.
+    /// Records the version of a listing of the engines' table; only the first one in an era counts.
     pub(crate) fn listed(&mut self, version: u64) {
         self.first_listed.get_or_insert(version);
     }
 
-    /// It began long ago, as another process knows that has seen it begin.
+    /// Marks the era as having begun long ago, as reported by a process that saw its beginning.
     pub(crate) fn settle(&mut self, now: Time) {
         self.known_old.get_or_insert(now);
     }
 }
 
-/// An answer of the store, or another entry VM, names an era.
+/// Handles an era that the store or another entry VM named.
 pub(crate) fn heard(state: &mut State, now: Time, era: u64, out: &mut Vec<Effect>) {
     let before = state.era;
     state.era.is_known = true;
@@ -98,15 +99,15 @@
     lease::era_risen(state, now, out);
 }
 
-/// Whether something of this era comes too late to count.
+/// Whether data of this era is outdated.
 pub(crate) const fn is_past(state: &State, era: u64) -> bool {
     era < state.era.number
 }
 
-/// The store has come back from an older copy while this process ran.
+/// Handles the store's restore from an older copy while this process was running.
 fn risen(state: &mut State, now: Time, before: Era, out: &mut Vec<Effect>) {
     departure::keep(state, now);
-    // Entries that lapsed meanwhile, or that the copy lacks, are back soon.
+    // Entries that expired meanwhile, or that the copy lacks, are written again soon.
     state.store_troubled = Some(now);
     out.push(Effect::Record(Record::Era {
         era: state.era.number,
--- a/fleet/src/evacuation.rs
+++ b/fleet/src/evacuation.rs
@@ -1,8 +1,8 @@
-//! Availability zones whose engines are to get nothing until operators take that back.
+//! Evacuated availability zones: their engines get no work until operators revoke the evacuation.
 //!
-//! Operators write a row for each such zone and remove it again. Whoever reads that tells the others as with the configuration: the
-//! hub down a tree of them and in its answers to frames, everybody else in frames to a hub that may not have heard of it. A row
-//! counts by its revision, so that news may come late, twice and by several ways.
+//! Operators write one row for each such zone and remove it again. Changes spread like the configuration: the hub pushes them down a tree of
+//! entry VMs and includes them in its replies to frames; other entry VMs include them in their frames if the hub may lack them. The row
+//! with the highest revision wins, so that changes may arrive late, repeatedly and from several sources.
 
 use std::collections::BTreeMap;
 use std::hash::Hasher;
@@ -22,57 +22,57 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// What operators say of an availability zone.
+/// Whether operators have evacuated an availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Word {
-    /// The zone.
+    /// The availability zone.
     pub zone: Name,
-    /// The store's version of the row, or of its removal.
+    /// The store's revision of the row, or of its removal.
     pub revision: Revision,
-    /// Whether the zone's engines are to get nothing.
+    /// Whether the zone's engines get no work.
     pub evacuated: bool,
 }
 
-/// What was read of operators' words.
+/// A read of the operators' rows.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// The words.
+    /// The zones that have a row, or whose row was removed.
     pub words: Vec<Word>,
-    /// The store's version up to which they hold.
+    /// The store's revision as of which they were read.
     pub version: Revision,
-    /// Whether they are all that there are.
+    /// Whether these are all rows, rather than the changes since an earlier read.
     pub whole: bool,
 }
 
-/// What is known of a zone.
+/// The state of one zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct Standing {
     revision: Revision,
     evacuated: bool,
-    /// Until when a row that a copy of the store lacks may be written again, and counts.
+    /// Until when a row that a restored copy of the store lacks may still be written again; it counts until then.
     lacking_until: Option<Time>,
 }
 
-/// What operators have said of availability zones.
+/// The evacuation state of all availability zones.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
     by_zone: BTreeMap<Name, Standing>,
-    /// The digest that the hub named last.
+    /// The hub's digest, as of its last reply.
     hub: u64,
 }
 
 impl Evacuations {
-    /// Whether a zone's engines are to get nothing.
+    /// Whether a zone is evacuated.
     pub(crate) fn has(&self, zone: &Name) -> bool {
         self.by_zone.get(zone).is_some_and(|standing| standing.evacuated)
     }
 
-    /// The zones whose engines are to get nothing.
+    /// The evacuated zones.
     pub(crate) fn zones(&self) -> impl Iterator<Item = &Name> {
         self.by_zone.iter().filter(|(_, standing)| standing.evacuated).map(|(zone, _)| zone)
     }
 
-    /// All that is known.
+    /// The state of all zones that have or had a row.
     pub(crate) fn words(&self) -> Vec<Word> {
         let word = |(zone, standing): (&Name, &Standing)| Word {
             zone: zone.clone(),
@@ -82,7 +82,7 @@
         self.by_zone.iter().map(word).collect()
     }
 
-    /// A number that differs for different words; 0 for none.
+    /// A hash of the state of all zones; 0 if there are none.
     pub(crate) fn digest(&self) -> u64 {
         if self.by_zone.is_empty() {
             return 0;
@@ -97,23 +97,23 @@
         hash.finish()
     }
 
-    /// All that is known, if whoever named this digest may not know it.
+    /// The state of all zones, if it differs from the one with this digest; otherwise nothing.
     pub(crate) fn words_beyond(&self, digest: u64) -> Vec<Word> {
         if digest == self.digest() { Vec::new() } else { self.words() }
     }
 
-    /// The same for the hub.
+    /// The state of all zones, if the hub's differs; otherwise nothing.
     pub(crate) fn words_for_hub(&self) -> Vec<Word> {
         self.words_beyond(self.hub)
     }
 
-    /// The hub named its digest.
+    /// Stores the digest from the hub's reply.
     pub(crate) const fn hear_digest(&mut self, digest: u64) {
         self.hub = digest;
     }
 }
 
-/// The operators' table, or what changed in it, was read.
+/// Handles a read of the operators' table, or of its changes.
 pub(crate) fn listed(state: &mut State, now: Time, listing: Listing, out: &mut Vec<Effect>) {
     era::heard(state, now, listing.version.era, out);
     if era::is_past(state, listing.version.era) {
@@ -126,7 +126,8 @@
     told(state, now, &words, out);
 }
 
-/// Zones that a whole reading does not name any more. Where a copy of the store does not, they may be written again.
+/// Returns the zones that a complete read no longer lists. If that read is the first of a new era, a restored copy of the store may lack
+/// their rows, which may be written again: such zones stay evacuated for the time being.
 fn lacking(state: &mut State, now: Time, version: Revision, words: &[Word]) -> Vec<Word> {
     let rewrites = state.era.rewrites(now, &state.settings);
     let mut over = Vec::new();
@@ -146,7 +147,7 @@
     over
 }
 
-/// Rows that a copy of the store lacked have not been written again in time: they were taken back.
+/// Ends evacuations whose rows a restored copy of the store lacked and that were not written again in time.
 pub(crate) fn lapse(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let era = state.era.number();
     let lapsed = |standing: &Standing| standing.lacking_until.is_some_and(|until| until <= now);
@@ -160,7 +161,7 @@
     told(state, now, &words, out);
 }
 
-/// Somebody read this. Whoever leads tells the others what of it is new.
+/// Takes over zone states from any source and notifies the others of those that are new.
 pub(crate) fn told(state: &mut State, now: Time, words: &[Word], out: &mut Vec<Effect>) {
     let mut news = Vec::new();
     for word in words {
@@ -173,7 +174,7 @@
     }
 }
 
-/// Takes over a word. Returns whether it is newer than what was known.
+/// Takes over the state of a zone. Returns whether it is newer than the one known before.
 fn take(state: &mut State, now: Time, word: &Word, out: &mut Vec<Effect>) -> bool {
     let Word { zone, revision, evacuated } = word;
     let standing = state.evacuations.by_zone.entry(zone.clone()).or_default();
@@ -193,7 +194,7 @@
     true
 }
 
-/// Sends a zone's engines nothing more, or work again, which they take as after a start.
+/// Withdraws the work of a zone's engines, or sends them work again, at first at the limited rate that applies after a start.
 fn apply(state: &mut State, now: Time, zone: &Name, evacuated: bool, out: &mut Vec<Effect>) {
     let engines = state.engines.values_mut().filter(|engine| engine.entry.zone == *zone);
     let mut changed = Vec::new();
--- a/fleet/src/exchange.rs
+++ b/fleet/src/exchange.rs
@@ -1,20 +1,20 @@
-//! Numbered changes of what this process knows, by which the hub and each entry VM are told only those that they lack.
+//! Numbered changes, by which the hub and an entry VM send each other only the changes that the other one lacks.
 
 use crate::frame::View;
 
-/// Which changes there are, and which the hub and this process know of each other's.
+/// Tracks the number of local changes, how many of them the hub has, and which of the hub's changes this process has.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Exchange {
-    /// Changes here.
+    /// Number of local changes.
     changes: u64,
-    /// Those of which the hub was told.
+    /// The last local change that the hub has.
     told: u64,
-    /// What is known of the hub's changes.
+    /// The last of the hub's changes that this process has.
     known: View,
 }
 
 impl Exchange {
-    /// The number of a new change.
+    /// Returns the number of a new change.
     pub(crate) const fn next(&mut self) -> u64 {
         self.changes += 1;
         self.changes
@@ -25,13 +25,13 @@
         self.changes
     }
 
-    /// Whether the hub has not been told of a change.
+    /// Whether the hub lacks a change.
     pub(crate) const fn is_untold(&self, number: u64) -> bool {
         number > self.told
     }
 
-    /// A hub of this term has answered a frame that told of changes up to this one. Returns whether it is another hub than before, which has
-    /// been told nothing.
+    /// Handles a reply by the hub of this term to a frame that reported the changes up to `changes`. Returns whether this is another hub than
+    /// before, which has none of the changes yet.
     pub(crate) fn answered(&mut self, term: u64, changes: u64) -> bool {
         if term == self.known.term {
             self.told = self.told.max(changes);
@@ -42,17 +42,17 @@
         true
     }
 
-    /// What is known of the hub's changes.
+    /// The last of the hub's changes that this process has.
     pub(crate) const fn known(&self) -> View {
         self.known
     }
 
-    /// As the hub of this term: the last change that whoever knows these was told of.
+    /// As the hub of this term, returns the last of its changes that an entry VM with the view `known` has.
     pub(crate) const fn last_known(term: u64, known: View) -> u64 {
         if known.term == term { known.version } else { 0 }
     }
 
-    /// The hub told all of its changes up to this one.
+    /// Records that this process has all of the hub's changes up to this one.
     pub(crate) const fn learn(&mut self, version: u64) {
         self.known.version = version;
     }
--- a/fleet/src/freshness.rs
+++ b/fleet/src/freshness.rs
@@ -1,11 +1,11 @@
-//! How new what is known here of the engines' table is, by this process's own clock, and what is done once it may be too old.
+//! The age of this process's view of the engines' table by its own clock, and the refresh after a stall.
 //!
-//! A word counts from before it was asked for: of the store, or of a leader, less the age of that leader's own. So neither a late answer nor a
-//! process that stands still makes it newer.
+//! A confirmation of the view counts from the time of the query to the store or the hub, minus the age that the hub reports for its own view.
+//! So neither a late answer nor a stalled process makes the view appear newer than it is.
 //!
-//! A process that stood still for long, as where its machine was suspended, finds requests at its sockets beside news that it has not read yet. It
-//! asks for a newer word before it sends any: the leader, and the store where that does not answer. That takes some ms. Where nobody answers, as in a
-//! zone that is cut off, it goes on by what it knows.
+//! A process that stalled for long, for example because its machine was suspended, finds requests at its sockets along with updates that it has
+//! not read yet. Before it sends any of these requests it queries the hub, and the store if the hub does not answer, which takes some
+//! milliseconds. If neither answers, as in a zone that is cut off, it continues with the view that it has.
 
 use std::time::Duration;
 
@@ -20,63 +20,63 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Time for the leader's word before the store is asked besides: the way to it and back takes some ms.
+/// How long to wait for the hub before the store is queried too: a round trip to the hub takes some milliseconds.
 const LEADER_LIMIT: Duration = Duration::from_millis(100);
 
-/// How new what is known of the engines' table is.
+/// The age of this process's view of the engines' table.
 #[derive(Debug, Default)]
 pub(crate) struct Freshness {
-    /// Up to when all that the store took is known; none before the first word.
+    /// All writes that the store accepted up to this time are known here; none before the first confirmation.
     at: Option<Time>,
-    /// Since when a newer word is waited for; none if what is known may be gone by.
+    /// Since when a refresh is awaited; none if the view is recent enough to route by.
     doubt: Option<Time>,
-    /// Requests that are to be sent once that is there.
+    /// Requests held back until the refresh has ended.
     held: Vec<Id>,
-    /// How often the process stood still.
+    /// Number of stalls of the process.
     standstills: u64,
-    /// When it last went on after that.
+    /// When it last resumed after a stall.
     awake_since: Time,
 }
 
-/// A word on the engines' table.
+/// A confirmation that the view of the engines' table is complete up to some time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Word {
-    /// When it was asked for.
+    /// When the query was sent.
     pub(crate) asked: Time,
-    /// How old it was then, if whoever gave it had it from others.
+    /// Age of the answering process's own view, which it has from others; zero for the store.
     pub(crate) age: Duration,
-    /// Whose it is, in logs.
+    /// Who answered, for logs.
     pub(crate) source: &'static str,
 }
 
 impl Freshness {
-    /// Time since all was known that the store had taken; none before the first word.
+    /// Time since the view was last complete; none before the first confirmation.
     pub(crate) fn age(&self, now: Time) -> Option<Duration> {
         self.at.map(|at| now.since(at))
     }
 
-    /// How often the process stood still.
+    /// Number of stalls of the process.
     pub(crate) const fn standstills(&self) -> u64 {
         self.standstills
     }
 
-    /// When the process last went on after it stood still: what came meanwhile may not have been read yet.
+    /// When the process last resumed after a stall. Messages that arrived during the stall may not have been read yet.
     pub(crate) const fn awake_since(&self) -> Time {
         self.awake_since
     }
 
-    /// Whether a newer word is to come before anything is sent.
+    /// Whether requests are held back until a refresh has ended.
     pub(crate) const fn in_doubt(&self) -> bool {
         self.doubt.is_some()
     }
 
-    /// Keeps a request until then.
+    /// Holds a request back until the refresh has ended.
     pub(crate) fn hold(&mut self, id: Id) {
         self.held.push(id);
     }
 }
 
-/// All that the store had taken then is known.
+/// Takes over a confirmation, and ends a pending refresh if it is recent enough.
 pub(crate) fn renew(state: &mut State, now: Time, word: Word, out: &mut Vec<Effect>) {
     let Word { asked, age, source } = word;
     let before = state.freshness.at;
@@ -91,18 +91,18 @@
     }
 }
 
-/// Whether the process stands still until now, as far as it has not been told yet, and what it knows is too old to go by.
+/// Whether the process is just resuming from a stall that [`woke_late`] has not handled yet, and its view is too old to route by.
 pub(crate) fn is_waking(state: &State, now: Time) -> bool {
     let bound = state.settings.departure;
     state.timers.late(now) >= bound.standstill() && is_old(state, now)
 }
 
-/// Whether what is known of the engines' table is older than on a calm day.
+/// Whether the view of the engines' table is older than it gets in normal operation.
 fn is_old(state: &State, now: Time) -> bool {
     state.freshness.age(now).is_some_and(|age| age > state.settings.departure.word())
 }
 
-/// The process is awake by so much later than it had asked for.
+/// Handles a wake-up of the process that came `late` after the time that it was scheduled for.
 pub(crate) fn woke_late(state: &mut State, now: Time, late: Duration, out: &mut Vec<Effect>) {
     let bound = state.settings.departure;
     if late < bound.standstill() {
@@ -130,7 +130,7 @@
     }
 }
 
-/// Whether nobody else is known to lead.
+/// Whether no other process is known to be the hub.
 fn leads_itself(state: &State) -> bool {
     state.lease.hub().is_none_or(|row| row.holder == state.me.vm)
 }
@@ -140,7 +140,8 @@
     out.push(Effect::Refresh { after, limit });
 }
 
-/// The leader has answered a frame that was sent then: one from before the process stood still says nothing of the time since.
+/// Handles the hub's reply to a frame sent at `sent`. If it was sent before the stall, its reply does not cover the time since, so that
+/// another frame is sent.
 pub(crate) fn replied(state: &mut State, now: Time, sent: Option<Time>, out: &mut Vec<Effect>) {
     let doubt = state.freshness.doubt;
     if doubt.is_some_and(|since| sent.is_none_or(|sent| sent < since)) {
@@ -148,28 +149,28 @@
     }
 }
 
-/// The leader has had its time since a standstill.
+/// Queries the store because the hub has not answered in time after the stall at `since`.
 pub(crate) fn refresh(state: &State, since: Time, out: &mut Vec<Effect>) {
     if state.freshness.doubt == Some(since) {
         ask_store(state, out);
     }
 }
 
-/// The store gave no newer word.
+/// Ends a pending refresh without success: the store returned nothing newer.
 pub(crate) fn unread(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.freshness.in_doubt() {
         go_on(state, now, "nobody", out);
     }
 }
 
-/// A newer word was waited for since a standstill as long as callers may wait.
+/// Ends a refresh that has been pending since `since` for as long as callers may be kept waiting.
 pub(crate) fn give_up(state: &mut State, now: Time, since: Time, out: &mut Vec<Effect>) {
     if state.freshness.doubt == Some(since) {
         go_on(state, now, "nobody", out);
     }
 }
 
-/// What is known may be gone by again.
+/// Ends the pending refresh and releases the held requests.
 fn go_on(state: &mut State, now: Time, source: &'static str, out: &mut Vec<Effect>) {
     let Some(since) = state.freshness.doubt.take() else {
         return;
--- a/fleet/src/homes.rs
+++ b/fleet/src/homes.rs
@@ -1,7 +1,7 @@
-//! The regions in which a request may be served: its route's and its workspace's, both of which bind.
+//! Allowed regions: a request may be served only in regions that both its route and its workspace allow.
 //!
-//! Such a request's body goes to no engine elsewhere. [`Homes::permit`] alone makes a [`Permit`], and an attempt cannot be made
-//! without one.
+//! Its body is sent to no engine in any other region. Only [`Homes::permit`] creates a [`Permit`], and no attempt can be created without
+//! one.
 
 use std::collections::BTreeSet;
 
@@ -12,29 +12,29 @@
 use crate::flow::Flow;
 use crate::state::State;
 
-/// Regions in which something may be served.
+/// A set of allowed regions, or all regions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Homes(Option<BTreeSet<Name>>);
 
-/// Says that an engine is where a request may be served.
+/// Proof that an engine is in a region in which a request may be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit(());
 
 impl Homes {
-    /// These regions; any, if none is named.
+    /// Allows these regions, or all if there are none.
     #[must_use]
     pub fn of(regions: impl IntoIterator<Item = Name>) -> Self {
         let regions: BTreeSet<Name> = regions.into_iter().collect();
         Self((!regions.is_empty()).then_some(regions))
     }
 
-    /// Whether not all regions are allowed.
+    /// Whether only some regions are allowed.
     #[must_use]
     pub const fn bind(&self) -> bool {
         self.0.is_some()
     }
 
-    /// The regions that both allow; there may be none.
+    /// The regions that both sets allow, which may be none.
     #[must_use]
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Allows an engine in a region; none if that is no home. A region that is not known is a home only where all are.
+    /// Returns a permit for an engine in `region` if that region is allowed. An unknown region is allowed only if all are.
     #[must_use]
     pub fn permit(&self, region: Option<&Name>) -> Option<Permit> {
         let allowed = |homes: &BTreeSet<Name>| region.is_some_and(|region| homes.contains(region));
@@ -52,7 +52,8 @@
     }
 }
 
-/// Where a request may be served by the configuration in force. One whose route is gone keeps what that said.
+/// The regions in which a request may be served by the current configuration. If its route or workspace was removed, the regions that it
+/// declared last still apply.
 pub(crate) fn of(state: &State, flow: &Flow) -> Homes {
     let declared = state.routes.find(&flow.route.host, &flow.route.prefix);
     let declared = declared.filter(|route| route.prefix == flow.route.prefix);
@@ -64,7 +65,7 @@
     route.homes.and(&workspace.homes)
 }
 
-/// Allows an engine for a request; none if it is in no home of that request.
+/// Returns a permit to send a request to an engine, if the engine is in one of the allowed regions.
 pub(crate) fn permit(state: &State, homes: &Homes, engine: &Engine) -> Option<Permit> {
     if !homes.bind() {
         return homes.permit(None);
--- a/fleet/src/key.rs
+++ b/fleet/src/key.rs
@@ -1,18 +1,18 @@
-//! Keys of callers, as this system keeps them: digests, which tell two keys apart and give none away.
+//! Digests of callers' keys. Only digests are stored: they distinguish keys without revealing them.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// Bytes of a digest: two of billions of keys do not have the same one.
+/// Length of a digest in bytes, enough that no two of billions of keys collide.
 const BYTES: usize = 16;
 
-/// A digest of a key. It needs no secret of its own, so that it is the same in all processes and after a restart.
+/// A digest of a key. It is unkeyed, so that it is the same in all processes and after a restart.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Digest([u8; BYTES]);
 
 impl Digest {
-    /// Takes a cryptographic hash of a key; what is longer than a digest is left out.
+    /// Truncates a cryptographic hash of a key to the length of a digest.
     #[must_use]
     pub fn from_hash(hash: [u8; 32]) -> Self {
         let mut bytes = [0; BYTES];
@@ -22,7 +22,7 @@
 }
 
 impl fmt::Debug for Digest {
-    /// Writes nothing of it: whoever reads logs is to learn nothing that helps to guess a key.
+    /// Omits the digest, so that logs contain nothing that helps to guess a key.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Digest(..)")
     }
--- a/fleet/src/proof.rs
+++ b/fleet/src/proof.rs
@@ -1,9 +1,9 @@
-//! How long ago the configuration in force was certainly the newest one.
+//! Proof of how recently the current configuration was the newest one.
 //!
-//! Where a key that was taken away has to be refused everywhere within a bound, also by entry VMs that hear nobody, keys are
-//! served only with a proof that is younger than that bound. A proof is a moment of this process's own clock at which no
-//! newer version had been acknowledged: one before the store was asked. Others tell it as an age, which counts from
-//! before they were asked. So no two clocks are compared, and nothing that is late, lost or suspended makes it younger.
+//! A revoked key has to be refused everywhere within a time bound, also by entry VMs that are cut off. Keys are therefore accepted only while
+//! the proof is younger than that bound. A proof is a time on this process's own clock at which no newer version had been acknowledged by the
+//! store: the time just before the store was queried. Other entry VMs report it as an age, which counts from before they were asked. So no
+//! two clocks are compared, and no delay, loss or suspension makes a proof appear younger than it is.
 
 use std::time::Duration;
 
@@ -14,61 +14,62 @@
 use crate::settings::Settings;
 use crate::state::State;
 
-/// What clocks may differ by over the bound, and the step in which suspensions are counted.
+/// Subtracted from the bound to cover the drift of two clocks over that time, and the granularity in which suspensions are counted.
 const MARGIN: Duration = Duration::from_millis(300);
-/// The part of the bound from which on this process reads the store itself, whatever the hub says: there is time for several
-/// calls until keys are refused.
+/// Fraction of the bound after which this process reads the store itself, even if the hub claims to. This leaves time for several calls
+/// before keys are refused.
 const DOUBTFUL: f64 = 0.8;
 
-/// The latest moment at which the configuration in force was the newest.
+/// The latest time at which the current configuration was known to be the newest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Proof {
     at: Option<Time>,
-    /// Whether its loss was logged.
+    /// Whether its expiry was logged.
     lost: bool,
 }
 
 impl Proof {
-    /// Time since that moment; none before the first proof.
+    /// Time since then; none before the first proof.
     #[must_use]
     pub fn age(&self, now: Time) -> Option<Duration> {
         self.at.map(|at| now.since(at))
     }
 }
 
-/// Answers of the store that a proof outlives: some may be lost or late, and frames pass the proof on.
+/// Number of long polls of the store that fit into the lifetime of a proof. Some answers may be lost or late, and passing the proof on in
+/// frames takes time too.
 const ANSWERS: u32 = 12;
 
-/// Until when keys may be served; none where nothing has to be proved.
+/// Until when keys may be accepted; none if no proof is required.
 pub(crate) fn until(state: &State) -> Option<Time> {
     let bound = state.settings.revocation?.saturating_sub(MARGIN);
     Some(state.proof.at.map_or(Time::default(), |at| at + bound))
 }
 
-/// Whether keys may be served.
+/// Whether keys may be accepted.
 pub(crate) fn holds(state: &State, now: Time) -> bool {
     until(state).is_none_or(|until| now < until)
 }
 
-/// Whether the proof is so old that the store is to be read here.
+/// Whether the proof is so old that this process has to read the store itself.
 pub(crate) fn is_doubtful(state: &State, now: Time) -> bool {
     let bound = state.settings.revocation.map(|bound| bound.mul_f64(DOUBTFUL));
     bound.is_some_and(|bound| state.proof.age(now).is_none_or(|age| age >= bound))
 }
 
-/// How long the store may wait with its answer for changes of the configuration: an answer proves nothing of the time
-/// after it was asked for.
+/// How long the store may hold back its answer to a long poll for changes of the configuration. An answer proves nothing about the time
+/// after the poll was sent, so that long waits would use up the proof.
 pub(crate) fn patience(settings: &Settings, longest: Duration) -> Duration {
     settings.revocation.map_or(longest, |bound| longest.min(bound / ANSWERS))
 }
 
-/// The configuration in force was the newest at that moment.
+/// Records that the current configuration was the newest at time `at`.
 pub(crate) fn renew(state: &mut State, now: Time, at: Time, out: &mut Vec<Effect>) {
     state.proof.at = state.proof.at.max(Some(at));
     check(state, now, out);
 }
 
-/// Logs a proof that was lost or found again since the last look.
+/// Logs whether the proof has expired or become valid again since the last call.
 pub(crate) fn check(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let lost = !holds(state, now);
     if std::mem::replace(&mut state.proof.lost, lost) == lost {
--- a/fleet/src/push.rs
+++ b/fleet/src/push.rs
@@ -1,8 +1,8 @@
-//! What entry VMs are told at once, down a tree of them: the hub, or whoever has news where there is none, pushes to a few, each passes on to what is
-//! left of its part, and whoever does not take a push is tried once more.
+//! Pushes: messages that spread to all entry VMs at once along a tree. The hub, or the process that has an update while there is no hub, pushes
+//! to a few entry VMs, and each of them forwards the message to its part of the rest. A failed push is retried once.
 //!
-//! A link of 10 Mbit/s carries one copy of a large update in about a tenth of a second, and no link carries one for each
-//! of hundreds: with 300 entry VMs 5,000 routes more are in force everywhere after 0.5 s of the links' time (test
+//! A link of 10 Mbit/s carries one copy of a large update in about 0.1 s, and no single link can carry a copy for each of hundreds of entry VMs.
+//! With 300 entry VMs, a change of 5,000 routes takes 0.5 s of transfer time to be in force everywhere (test
 //! `five_thousand_routes_at_once`).
 
 use std::collections::BTreeMap;
@@ -27,45 +27,45 @@
 use crate::state::State;
 use crate::update::Packed;
 
-/// Entry VMs that one with a small link pushes to at once: two copies of a large update take it two tenths of a second.
+/// Fan-out of an entry VM with a small link: two copies of a large update take it 0.2 s.
 const FAN_OUT_SMALL: usize = 2;
-/// Entry VMs of each availability zone that one with a larger link pushes to at once.
+/// Fan-out of an entry VM with a larger link, for each availability zone.
 const FAN_OUT: usize = 6;
 
-/// What goes down a tree: an update, the word of who the hub is, news of requests that crash engines.
+/// The payload of a push: any of a configuration update, the identity of the hub, and changes concerning engines and zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// The hub that sent it; none if it was not known there.
+    /// The hub; none if the sender knows of none.
     pub hub: Option<lease::Row>,
-    /// The update; none from one that has just become the hub.
+    /// A configuration update; none in the announcement of a new hub, among others.
     pub update: Option<Packed>,
-    /// What is new of requests that crash engines.
+    /// New findings about requests that crash engines.
     pub crashes: crash::News,
-    /// Rows of the engines' table that say of engines that they leave or are gone.
+    /// Rows of the engines' table that show engines as leaving or gone.
     pub departures: Vec<Row>,
-    /// Engines that have said themselves that they leave.
+    /// Engines that announced themselves that they are leaving.
     pub departed: Vec<Start>,
-    /// The first engines of their services that say that they are brittle.
+    /// Limits announced by engines that are the first of their service to report that overload makes them fail.
     pub limits: Vec<intake::Advert>,
-    /// What operators say of availability zones.
+    /// Changes of the evacuation state of availability zones.
     pub evacuations: Vec<evacuation::Word>,
-    /// Entry VMs that the receiver is to pass it on to.
+    /// Entry VMs that the receiver has to forward the message to.
     pub onward: Vec<SocketAddr>,
 }
 
-/// A message on its way to an entry VM.
+/// A message to be sent to an entry VM.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Push {
-    /// Where the entry VM listens.
+    /// The address that the entry VM listens on.
     pub address: SocketAddr,
-    /// What it is told, and whom it is to pass that on to.
+    /// The message.
     pub message: Box<Message>,
-    /// Whether it did not take this before.
+    /// Whether this is the second attempt.
     pub again: bool,
 }
 
-/// Tells the others: as the hub all of them, and where there is none those of the own availability zone, if this process reads the store
-/// for them. Returns whom it told.
+/// Pushes a message to the others: the hub to all, and without a hub a process that reads the store on behalf of its availability zone to that
+/// zone. Returns the audience.
 pub(crate) fn tell(state: &State, now: Time, message: &Message, out: &mut Vec<Effect>) -> Audience {
     if state.lease.holds(now).is_some() {
         spread(state, message, frame::reached(state), out);
@@ -80,26 +80,26 @@
     Audience::Nobody
 }
 
-/// This process has become the hub: the entry VMs that the one before has named are told, since they would find out by the
-/// silence of that one and a look at the store, which takes seconds where there are hundreds.
+/// Announces this process as the new hub to the entry VMs that its predecessor listed. Otherwise they would find out only from the silence of
+/// the predecessor and a read of the store, which takes seconds with hundreds of entry VMs.
 pub(crate) fn announce(state: &State, out: &mut Vec<Effect>) {
     let hub = state.lease.hub().cloned();
     let message = Message { hub, evacuations: state.evacuations.words(), ..Message::default() };
     spread(state, &message, frame::reached(state), out);
 }
 
-/// Tells all entry VMs that this one knows of what is new of requests that crash engines. No hub is needed for that.
+/// Pushes new findings about requests that crash engines to all known entry VMs. This needs no hub.
 pub(crate) fn tell_crashes(state: &State, crashes: News, out: &mut Vec<Effect>) {
     tell_everybody(state, &Message { crashes, ..Message::default() }, out);
 }
 
-/// Tells all entry VMs that this one knows of, whether or not there is a hub.
+/// Pushes a message to all known entry VMs, whether or not there is a hub.
 pub(crate) fn tell_everybody(state: &State, message: &Message, out: &mut Vec<Effect>) {
     let others = state.members.list().iter().filter(|member| member.vm != state.me.vm);
     spread(state, message, others.cloned(), out);
 }
 
-/// Tells the others what operators say of availability zones.
+/// Pushes changes of the evacuation state of availability zones.
 pub(crate) fn tell_evacuations(
     state: &State,
     now: Time,
@@ -110,7 +110,7 @@
     tell(state, now, &message, out);
 }
 
-/// Sends a message down a tree in each availability zone.
+/// Sends a message along one tree for each availability zone.
 fn spread(
     state: &State,
     message: &Message,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Pushes to the first of as many parts as this process serves at once, each with the rest of its part.
+/// Splits the recipients into as many parts as the fan-out, and pushes to the first of each part, which forwards to the rest of it.
 pub(crate) fn forward(state: &State, message: &Message, out: &mut Vec<Effect>) {
     let fan_out = if state.settings.weak { FAN_OUT_SMALL } else { FAN_OUT };
     let mut left = &*message.onward;
@@ -140,7 +140,7 @@
     }
 }
 
-/// An update was pushed here.
+/// Handles a push from another entry VM, and forwards it.
 pub(crate) fn received(state: &mut State, now: Time, message: Message, out: &mut Vec<Effect>) {
     forward(state, &message, out);
     if let Some(hub) = message.hub {
@@ -149,7 +149,7 @@
     crash::told(state, now, message.crashes, out);
     entries::told(state, now, message.departures, Road::Push, out);
     departure::told(state, now, &message.departed, Road::Push, out);
-    // Whoever reads the store for an availability zone tells that one alone; the hub tells all.
+    // The sender may have notified only its own availability zone, so that the hub notifies all.
     if state.lease.holds(now).is_some() {
         departure::tell(state, now, out);
     } else {
@@ -164,8 +164,8 @@
     }
 }
 
-/// An entry VM did not take a push: the rest of its part is pushed to without it, and itself once more, since the connection may have been lost, and
-/// its next frame may be seconds away.
+/// Handles a push that was not delivered. The rest of its part is pushed to directly. The recipient itself is tried once more, because only
+/// the connection may have been lost and its next frame may be seconds away.
 pub(crate) fn missed(state: &State, push: Push, out: &mut Vec<Effect>) {
     let Push { address, mut message, again } = push;
     forward(state, &message, out);
@@ -173,7 +173,7 @@
         return;
     }
     message.onward.clear();
-    // A large one follows once it says that it lacks the version.
+    // A large update follows when a frame shows that the recipient lacks the version.
     if message.update.as_ref().is_some_and(|update| update.bytes.len() > rollout::INLINE_MAX) {
         message.update = None;
     }
--- a/fleet/src/revision.rs
+++ b/fleet/src/revision.rs
@@ -1,35 +1,35 @@
-//! How new something in the platform's store is.
+//! Revisions, which order the data of the platform's store by age.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A version of the store. Versions are given out again each time that the store comes back from an older copy of its data, which its
-/// era tells: only both together say which of two is newer.
+/// A version of the store within an era. After a restore from an older copy the store assigns the same versions again, so that only era and
+/// version together tell which of two revisions is newer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(u64, u64)", into = "(u64, u64)")]
 pub struct Revision {
-    /// Rises each time that the store comes back from an older copy; 0 in a store that names none.
+    /// Rises each time the store is restored from an older copy; 0 for a store that reports no era.
     pub era: u64,
-    /// The store's version; 0 for none.
+    /// The store's version within the era; 0 for none.
     pub version: u64,
 }
 
 impl Revision {
-    /// A version in an era.
+    /// Creates a revision.
     #[must_use]
     pub const fn new(era: u64, version: u64) -> Self {
         Self { era, version }
     }
 
-    /// Whether it stands for any version.
+    /// Whether it has a version other than 0.
     #[must_use]
     pub const fn is_known(self) -> bool {
         self.version > 0
     }
 }
 
-/// A version of a store that names no era.
+/// Converts a version of a store that reports no era.
 impl From<u64> for Revision {
     fn from(version: u64) -> Self {
         Self { era: 0, version }
--- a/fleet/src/rollout.rs
+++ b/fleet/src/rollout.rs
@@ -1,5 +1,5 @@
-//! How a version of the configuration comes to all entry VMs: the hub keeps which version each goes by, pushes what leads to the newest one to
-//! those that lack it, and makes up for pushes that were missed.
+//! Rollout of a configuration version to all entry VMs. The hub tracks the version of each entry VM, pushes an update to those that lack the
+//! newest version, and repeats pushes that got lost.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -18,41 +18,42 @@
 use crate::timer::Timer;
 use crate::update::{Error, Packed};
 
-/// Time between two pushes of the hub: versions that come in quick succession go together, and cost the links five pushes a second at most.
+/// Minimum time between two pushes of the hub. Versions in quick succession are combined, so that there are at most five pushes per second.
 const PUSH_EVERY: Duration = Duration::from_millis(200);
-/// Time after which an entry VM that has not confirmed a push is pushed to again: a tree of 300 takes less than half of it.
+/// Minimum time after which an unconfirmed push is repeated. A push tree of 300 entry VMs takes less than half of it.
 const PUSH_AGAIN: Duration = Duration::from_millis(1_200);
-/// The same in intervals between frames, which are the confirmations: it has one frame to confirm, and half an interval to spare.
+/// The same as a multiple of the interval between frames, which confirm pushes: one interval for the next frame, and half of one as a margin.
 const PUSH_AGAIN_FRAMES: f64 = 1.5;
-/// How long the hub gathers entry VMs that lack the version in force, so that one tree serves them.
+/// How long the hub collects entry VMs that lack the current version, to serve them with one push tree.
 const GATHER: Duration = Duration::from_millis(60);
-/// Bytes of an update that the hub's answer to a frame holds at most: well under a tenth of a second on a small link.
+/// Maximum size in bytes of an update in the hub's reply to a frame: it takes well under 0.1 s on a small link.
 pub(crate) const INLINE_MAX: usize = 24 << 10;
-/// Pushes that may miss an entry VM, before the hub's answers hold the update whatever its size: there is a way from that
-/// entry VM to the hub, and perhaps none from the others to it.
+/// Number of unconfirmed pushes to an entry VM after which the hub's replies carry the update whatever its size: that entry VM can reach the
+/// hub, but the others may be unable to reach it.
 const MISSES_MAX: u32 = 2;
-/// Updates that are kept until the version that they begin at has come: a tree of 300 takes 0.5 s, less than the four pushes of 0.8 s.
+/// Maximum number of updates kept until the version that they apply to has arrived. A push tree of 300 entry VMs takes 0.5 s, which is less
+/// than the 0.8 s that four pushes span.
 const EARLY_MAX: usize = 4;
 
-/// What the hub knows of an entry VM's configuration.
+/// The hub's view of an entry VM's configuration version.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Standing {
-    /// The version that it goes by, as it said last.
+    /// The version that it last reported.
     said: u64,
-    /// The last push to it that it has not confirmed, with its version.
+    /// Time and version of the last push to it, if that is unconfirmed.
     pushed: Option<(Time, u64)>,
-    /// Pushes since its version was the one in force.
+    /// Number of pushes since it last reported the current version.
     pushes: u32,
 }
 
 impl Standing {
-    /// The version that it goes by, or will in a moment: pushes arrive within `again`.
+    /// The version that it has, or has soon: a push counts as under way for `again`.
     fn version(self, now: Time, again: Duration) -> u64 {
         let under_way = self.pushed.filter(|(at, _)| now.since(*at) < again);
         under_way.map_or(self.said, |(_, version)| version.max(self.said))
     }
 
-    /// It said which version it goes by, where `newest` is in force.
+    /// Records the version that it reported, where `newest` is the current one.
     fn hear(&mut self, said: u64, newest: u64) {
         self.said = said;
         if said >= newest {
@@ -67,33 +68,34 @@
     }
 }
 
-/// What a process keeps of versions on their way.
+/// State of the rollout.
 #[derive(Debug, Default)]
 pub(crate) struct Rollout {
-    /// As the hub: what the others go by.
+    /// As the hub: the versions of the other entry VMs.
     standings: BTreeMap<Name, Standing>,
     /// When the next push is due.
     due: Option<Time>,
-    /// When the last one was.
+    /// When the last push was sent.
     last: Option<Time>,
-    /// Updates whose base has not come yet, by it.
+    /// Updates that arrived before the version that they apply to, by that version.
     early: BTreeMap<u64, Packed>,
 }
 
 impl Rollout {
-    /// An entry VM has fallen silent.
+    /// Forgets an entry VM that has fallen silent.
     pub(crate) fn forget(&mut self, vm: &Name) {
         self.standings.remove(vm);
     }
 }
 
-/// Another version is in force here: where this is the hub, the others are to have it at once.
+/// Handles a change of the current version: the hub pushes it to the others at once, and a process that reads the store on behalf of its
+/// availability zone pushes it to that zone.
 pub(crate) fn changed(state: &mut State, now: Time, before: u64, out: &mut Vec<Effect>) {
     if state.lease.holds(now).is_some() {
         schedule(state, now, now, out);
         return;
     }
-    // The first one that a process that starts reads is known to the others.
+    // The others already have the first version that a starting process reads.
     if before == 0 || !frame::speaks_for_zone(state, now) {
         return;
     }
@@ -109,7 +111,7 @@
     }
 }
 
-/// An entry VM told the hub which version it goes by.
+/// As the hub, handles the version in an entry VM's frame.
 pub(crate) fn heard(state: &mut State, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
     let Some(config) = state.config.clone() else {
         return;
@@ -126,16 +128,16 @@
     }
 }
 
-/// The update that the hub's answer to a frame holds: one that is small, or one that pushes could not bring.
+/// Returns the update to include in the hub's reply to a frame: one that is small, or one that pushes failed to deliver.
 pub(crate) fn inline(state: &mut State, frame: &Frame) -> Option<Packed> {
     let config = state.config.as_ref().filter(|config| config.version > frame.config)?;
     let missed = state.rollout.standings.get(&frame.vm).is_some_and(|standing| standing.pushes >= MISSES_MAX);
-    // One that cannot be packed is logged where it is pushed.
+    // An update that cannot be packed is logged when it is pushed.
     let update = state.updates.prepare(frame.config, config).ok()?;
     (missed || update.bytes.len() <= INLINE_MAX).then(|| update.clone())
 }
 
-/// Time after which an entry VM is pushed to again, unless it has said that it has the version.
+/// Time after which a push is repeated, unless the entry VM has confirmed the version.
 fn again(state: &State) -> Duration {
     PUSH_AGAIN.max(frame::every(state).mul_f64(PUSH_AGAIN_FRAMES))
 }
@@ -150,7 +152,7 @@
     }
 }
 
-/// Pushes the version in force to all entry VMs that lack it.
+/// Pushes the current version to all entry VMs that lack it.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.rollout.due = None;
     if state.lease.holds(now).is_none() {
@@ -177,13 +179,13 @@
     }
 }
 
-/// The entry VMs that lack a version, by availability zone and by the version that they go by. They count as pushed to.
+/// Returns the entry VMs that lack a version, by availability zone and by the version that they have, and records a push to each.
 fn lacking(state: &mut State, now: Time, version: u64) -> BTreeMap<(Name, u64), Vec<SocketAddr>> {
     let mut lacking: BTreeMap<(Name, u64), Vec<SocketAddr>> = BTreeMap::new();
     let before = state.updates.before();
     let again = again(state);
     for Member { vm, zone, address, .. } in frame::reached(state) {
-        // One that has not said anything yet, since the hub is a new one, goes by what was in force until now.
+        // An entry VM that has not sent a frame to this new hub yet is assumed to have the previous version.
         let unheard = Standing { said: before, ..Standing::default() };
         let standing = state.rollout.standings.entry(vm).or_insert(unheard);
         let has = standing.version(now, again);
@@ -195,7 +197,7 @@
     lacking
 }
 
-/// Takes over an update, now or once the version that it begins at has come.
+/// Applies an update, or keeps it until the version that it applies to has arrived.
 pub(crate) fn take(
     state: &mut State,
     now: Time,
--- a/fleet/src/update.rs
+++ b/fleet/src/update.rs
@@ -1,7 +1,7 @@
-//! What leads from one version of the configuration to another, and its compact form for the way between entry VMs.
+//! Updates: deltas between two versions of the configuration, in a compressed form for transfer between entry VMs.
 //!
-//! A configuration is mostly routes, and a change names some of them: 12 bytes travel for each that has changed, and not
-//! 76 for each that is declared (test `bytes_of_a_change`).
+//! A configuration consists mostly of routes, and a change concerns only some of them. A delta takes 12 bytes for each changed route, and a
+//! full copy 76 bytes for each declared route (test `bytes_of_a_change`).
 
 use std::collections::VecDeque;
 use std::collections::hash_map::Entry;
@@ -18,69 +18,69 @@
 use crate::key::Digest;
 use crate::pack;
 
-/// Earlier versions that an update can begin at: entry VMs are one or two behind unless they were away.
+/// Number of earlier versions for which a delta can be built. Entry VMs are one or two versions behind unless they were disconnected.
 const PAST_MAX: usize = 8;
 
-/// From one version to another.
+/// The changes from one version of the configuration to another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
-    /// The version that it begins at; 0 for nothing.
+    /// The version that it applies to; 0 if it is a full configuration.
     pub base: u64,
-    /// The version that it leads to.
+    /// The version that it produces.
     pub version: u64,
     routes: Changes<Name, Route>,
     services: Changes<Name, Service>,
     limits: Limits,
-    /// None where requests need no key.
+    /// None if requests need no key.
     access: Option<AccessChanges>,
 }
 
-/// What has changed of workspaces and keys: a key that comes or goes costs its own bytes, however many there are.
+/// Changes of workspaces and keys. An added or removed key only costs its own bytes, whatever the number of keys.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct AccessChanges {
     workspaces: Changes<Name, Workspace>,
     keys: Changes<Digest, Key>,
 }
 
-/// What has changed of things that are told apart by a `K`.
+/// Changes of a list of items that are identified by a `K`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct Changes<K, T> {
     put: Vec<Arc<T>>,
     removed: Vec<K>,
 }
 
-/// An update in its compact form.
+/// An update in its compressed form.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Packed {
-    /// The version that it begins at; 0 for nothing.
+    /// The version that it applies to; 0 if it is a full configuration.
     pub base: u64,
-    /// The version that it leads to.
+    /// The version that it produces.
     pub version: u64,
-    /// The update, encoded and deflated.
+    /// The update, encoded and compressed with deflate.
     pub bytes: Bytes,
 }
 
-/// Why an update cannot be packed, unpacked or applied.
+/// Reasons why an update cannot be packed, unpacked or applied.
 #[derive(Debug, Error)]
 pub enum Error {
-    /// It cannot be packed or unpacked.
-    #[error("the update: {0}")]
+    /// Packing or unpacking failed.
+    #[error("cannot pack or unpack the update: {0}")]
     Pack(#[from] pack::Error),
-    /// It begins at another version than the one in force.
-    #[error("the update begins at version {base}, not at {have}")]
+    /// The update applies to another version than the current one.
+    #[error("the update applies to version {base}, but the current version is {have}")]
     Base {
-        /// The version that it begins at.
+        /// The version that the update applies to.
         base: u64,
-        /// The version in force; 0 for none.
+        /// The current version; 0 for none.
         have: u64,
     },
 }
 
 impl Update {
-    /// What leads from `before`, or from nothing, to `after`.
+    /// Computes the changes from `before`, or from an empty configuration, to `after`.
     #[must_use]
     pub fn between(before: Option<&Config>, after: &Config) -> Self {
-        // Names tell what has changed, so that they have to differ.
+        // A delta identifies items by name, so that names have to be unique; otherwise the full configuration is sent.
         let before = before.filter(|before| named_once(before) && named_once(after));
         let (routes, services) =
             before.map_or((&[][..], &[][..]), |config| (&config.routes, &config.services));
@@ -97,11 +97,11 @@
         }
     }
 
-    /// The configuration that it leads to.
+    /// Applies the changes to `before` and returns the resulting configuration.
     ///
     /// # Errors
     ///
-    /// If it begins at another version than `before`.
+    /// If it applies to another version than that of `before`.
     pub fn apply(self, before: Option<&Config>) -> Result<Config, Error> {
         let have = before.map_or(0, |config| config.version);
         if self.base != 0 && self.base != have {
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Its compact form.
+    /// Encodes and compresses it.
     ///
     /// # Errors
     ///
@@ -132,7 +132,7 @@
 }
 
 impl Packed {
-    /// The update.
+    /// Decompresses and decodes it.
     ///
     /// # Errors
     ///
@@ -208,22 +208,22 @@
     merged
 }
 
-/// The updates that lead to the version in force, each packed once, whoever asks for it.
+/// Cache of packed updates to the current version, so that each is packed once for all recipients.
 #[derive(Debug, Default)]
 pub(crate) struct Updates {
-    /// Earlier versions, the latest last.
+    /// Earlier versions, oldest first.
     past: VecDeque<Arc<Config>>,
-    /// By the version that they begin at.
+    /// Packed updates, by the version that they apply to.
     packed: FxHashMap<u64, Packed>,
 }
 
 impl Updates {
-    /// The version that was in force before; 0 if there was none.
+    /// The version before the current one; 0 if there was none.
     pub(crate) fn before(&self) -> u64 {
         self.past.back().map_or(0, |config| config.version)
     }
 
-    /// `before` is no longer in force.
+    /// Keeps `before`, which was just replaced, as a base for updates.
     pub(crate) fn replaced(&mut self, before: Arc<Config>) {
         self.packed.clear();
         if self.past.len() >= PAST_MAX {
@@ -232,7 +232,7 @@
         self.past.push_back(before);
     }
 
-    /// Packs what leads from version `base` to `current`: from nothing, where that version is not known any more.
+    /// Returns the packed update from version `base` to `current`, or the full configuration if that version is not kept any more.
     ///
     /// # Errors
     ///
--- a/fleet/tests/caller_keys.rs
+++ b/fleet/tests/caller_keys.rs
@@ -1,4 +1,4 @@
-//! Keys of callers: who is let in, and until when without word of the newest configuration.
+//! Authentication of callers by keys, and how long keys are accepted without a proof that the configuration is the newest.
 
 mod node;
 
@@ -21,7 +21,7 @@
 use boragecove_fleet::update::Update;
 use node::{Node, address, config, entry, hub_row, listing, millis, plain, row};
 
-/// The users' bound on keys that were taken away.
+/// Required limit on the time until a withdrawn key is refused everywhere.
 const BOUND: Duration = Duration::from_secs(5);
 
 fn key(number: u8) -> Digest {
@@ -52,7 +52,7 @@
     Arrival { key: Some(key(number)), ..plain(path) }
 }
 
-/// A request whose caller waits for as long as its route allows.
+/// A request whose caller waits as long as the route allows.
 fn patient(path: &str, number: u8) -> Arrival {
     Arrival { patience: None, ..keyed(path, number) }
 }
@@ -65,7 +65,7 @@
     node.feed(Event::Declared { version: 40.into(), config: 1, asked });
 }
 
-/// An entry VM that has read the configuration from the store just now.
+/// An entry VM that has just read the configuration from the store.
 fn proven() -> Node {
     proven_with(settings())
 }
@@ -88,10 +88,10 @@
     let mut node = proven();
     let (_, attempt) = node.sent(keyed("/ack/1", 1));
     assert_eq!(attempt.workspace.as_deref(), Some("wards"));
-    assert_eq!(attempt.priority, 4, "the workspace's, before the route's");
+    assert_eq!(attempt.priority, 4, "the workspace's priority overrides the route's");
     let (_, attempt) = node.sent(keyed("/ack/1", 3));
     assert_eq!(attempt.workspace.as_deref(), Some("homes"));
-    assert_eq!(attempt.priority, 1, "the route's");
+    assert_eq!(attempt.priority, 1, "the route's priority");
 }
 
 #[test]
@@ -126,11 +126,11 @@
     assert_eq!(
         node.sent(keyed("/open/1", 9)).1.workspace,
         None,
-        "an unknown key opens nothing and closes nothing"
+        "an unknown key on a public route is ignored"
     );
     assert_eq!(node.sent(keyed("/open/1", 1)).1.workspace.as_deref(), Some("wards"));
     node.now = node.now + BOUND;
-    assert_eq!(node.sent(plain("/open/1")).1.workspace, None, "served through an outage");
+    assert_eq!(node.sent(plain("/open/1")).1.workspace, None, "a public route is served through an outage");
 }
 
 #[test]
@@ -141,7 +141,7 @@
     node.feed(Event::Configured(Arc::new(guarded(2, after))));
     assert_eq!(node.sent(keyed("/ack/1", 1)).1.workspace.as_deref(), Some("homes"), "moved");
     assert_eq!(node.sent(keyed("/ack/1", 5)).1.workspace.as_deref(), Some("wards"), "added");
-    assert_eq!(node.refused(keyed("/ack/1", 2)).code, Code::Unauthenticated, "taken away");
+    assert_eq!(node.refused(keyed("/ack/1", 2)).code, Code::Unauthenticated, "withdrawn");
 }
 
 #[test]
@@ -150,9 +150,9 @@
     let (id, attempt) = node.sent(keyed("/list/1", 1));
     let left = Access { workspaces: vec![workspace("homes", None)], keys: vec![held(2, "homes")] };
     node.feed(Event::Configured(Arc::new(guarded(2, left))));
-    // What is under way ends as it would; what would be sent anew is not.
+    // A request in flight ends normally, but it is not sent again.
     let Some(Step::Refuse(refusal)) = node.ended(id, attempt.number, End::Unsent) else {
-        panic!("it is sent again, with a key that was taken away");
+        panic!("sent again with a withdrawn key");
     };
     assert_eq!(refusal.code, Code::Unauthenticated);
     assert_eq!(node.refused(keyed("/ack/1", 1)).code, Code::Unauthenticated);
@@ -166,14 +166,18 @@
     node.now = node.now + millis(200);
     let refusal = node.refused(keyed("/ack/1", 1));
     assert_eq!(refusal.code, Code::KeyUnproven);
-    assert!(refusal.retry_after.is_some(), "not run, and worth another try");
-    assert_eq!(node.refused(keyed("/ack/1", 9)).code, Code::KeyUnproven, "nor is an unknown key denied");
+    assert!(refusal.retry_after.is_some(), "the request has not run and can be retried");
+    assert_eq!(
+        node.refused(keyed("/ack/1", 9)).code,
+        Code::KeyUnproven,
+        "an unknown key cannot be judged either"
+    );
     let now = node.now;
     declared(&mut node, now);
     node.sent(keyed("/ack/1", 1));
 }
 
-/// Requests lie in the sockets of a machine that is suspended, and are read at once when it goes on.
+/// Requests that arrive while a machine is suspended are read as soon as it resumes, when its proof has expired.
 #[test]
 fn suspended_looks_again() {
     let mut node = proven();
@@ -188,7 +192,7 @@
     let (id, attempt) = node.sent(patient("/list/1", 1));
     node.now = node.now + millis(200);
     let Some(Step::Refuse(refusal)) = node.ended(id, attempt.number, End::Unsent) else {
-        panic!("it is sent again without a proof");
+        panic!("sent again without a proof");
     };
     assert_eq!(refusal.code, Code::KeyUnproven);
     let (id, attempt) = {
@@ -198,9 +202,13 @@
     };
     node.now = node.now + millis(4_800);
     let Some(Step::Refuse(refusal)) = node.ended(id, attempt.number, End::Lost) else {
-        panic!("it is sent again without a proof");
+        panic!("sent again without a proof");
     };
-    assert_eq!(refusal.code, Code::BackendFailed, "it may have run, so that it is not said not to have");
+    assert_eq!(
+        refusal.code,
+        Code::BackendFailed,
+        "it may have run, so that the refusal must not claim that it has not"
+    );
 }
 
 #[test]
@@ -212,7 +220,7 @@
     node.sent(keyed("/ack/1", 1));
 }
 
-/// A proof counts from before the store was asked, however late its answer comes.
+/// A proof counts from the time of the query to the store, however late the answer arrives.
 #[test]
 fn counts_from_the_question() {
     let mut node = proven();
@@ -223,27 +231,31 @@
     let later = node.now;
     declared(&mut node, later);
     declared(&mut node, asked);
-    assert_eq!(node.state.proof().age(node.now), Some(Duration::ZERO), "an earlier one takes nothing back");
+    assert_eq!(
+        node.state.proof().age(node.now),
+        Some(Duration::ZERO),
+        "an earlier proof does not replace a later one"
+    );
 }
 
-/// An entry VM that knows the configuration and has no proof, and the frame that it sends to the hub.
+/// An entry VM that has the configuration but no proof, and the frame that it sends to the hub.
 fn follower() -> (Node, Frame) {
     let mut node = Node::with("b", settings());
     node.feed(Event::Configured(Arc::new(guarded(1, access()))));
     node.feed(listing(vec![row(3, entry("g1", node::GATEWAY, "zone-a", &[]))], 4, true));
     node.pass(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
-    let frame = frame_of(&node.pass(millis(400))).expect("the hub is asked");
+    let frame = frame_of(&node.pass(millis(400))).expect("a frame to the hub");
     (node, frame)
 }
 
-/// The hub's word of another entry VM in this zone, which owns every schedule here.
+/// A reply of the hub that lists another entry VM in this zone, which owns all schedules here.
 fn owned_by_another() -> Reply {
     let other = Member { vm: "b".into(), zone: "zone-a".into(), address: address(7_002), weak: false };
     Reply { members: Some(vec![other]), nodes: 2, ..Reply::default() }
 }
 
-/// The hub's proof is as old as it says, and as the frame that asked for it.
+/// A proof received from the hub has the age stated by the hub plus the time since the frame was sent.
 #[test]
 fn told_by_the_hub() {
     let mut hub = proven();
@@ -254,17 +266,17 @@
     let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &frame);
     node.now = node.now + millis(300);
     node.feed(Event::Replied(Some(Box::new(reply.clone()))));
-    let age = node.state.proof().age(node.now).expect("proved");
+    let age = node.state.proof().age(node.now).expect("a proof");
     assert!(age >= millis(1_000) && age <= millis(1_000) + sent.since(Time::from_millis(node::START_MS)));
-    // The same answer to a later frame would count from too late a moment.
-    let later = frame_of(&node.effects).expect("the hub is asked again");
+    // The reply to an earlier frame must not be counted from the time of a later one.
+    let later = frame_of(&node.effects).expect("another frame to the hub");
     assert_ne!(later.number, frame.number);
     node.now = node.now + millis(100);
     node.feed(Event::Replied(Some(Box::new(reply))));
     assert_eq!(node.state.proof().age(node.now), Some(age + millis(100)));
 }
 
-/// One whose configuration is older than the hub's learns nothing of how new its own is.
+/// An entry VM whose configuration is older than the hub's gets no proof from the hub's reply.
 #[test]
 fn older_is_not_proved() {
     let mut hub = proven();
@@ -276,7 +288,7 @@
     assert_eq!(node.state.proof().age(node.now), None);
 }
 
-/// A prompt waits for its place in the schedule of its engine, and its key is taken away, or nobody says any more that it is not.
+/// While a prompt waits for its slot in the schedule of its engine, its key is withdrawn or the proof expires.
 #[test]
 fn proven_after_the_schedule() {
     for (withdrawn, code) in [(true, Code::Unauthenticated), (false, Code::KeyUnproven)] {
@@ -302,13 +314,13 @@
     }
 }
 
-/// What is decided says until when it may be carried out: a machine may be suspended between the two. The engine is not at
-/// fault, and the request is sent again once there is a proof.
+/// An attempt states until when it may be sent, because the machine may be suspended before it is. An attempt withheld for this reason does not
+/// count against its engine, and the request is sent again once there is a proof.
 #[test]
 fn withheld_is_sent_again() {
     let mut node = proven();
     let (id, attempt) = node.sent(patient("/ack/1", 1));
-    let send_by = attempt.send_by.expect("it has to be proved");
+    let send_by = attempt.send_by.expect("a time limit");
     assert!(send_by.since(node.now) < BOUND && send_by.since(node.now) > BOUND / 2);
     node.now = send_by;
     let asked = node.now;
@@ -317,16 +329,16 @@
         panic!("{:?}", node.effects);
     };
     let suspected = |effect: &Effect| matches!(effect, Effect::Record(Record::Engine { .. }));
-    assert!(!node.effects.iter().any(suspected), "nothing speaks against it: {:?}", node.effects);
+    assert!(!node.effects.iter().any(suspected), "the engine is not suspected: {:?}", node.effects);
     assert!(again.send_by > Some(send_by));
-    node.now = again.send_by.expect("it has to be proved");
+    node.now = again.send_by.expect("a time limit");
     let Some(Step::Refuse(refusal)) = node.ended(id, again.number, End::Withheld) else {
         panic!("{:?}", node.effects);
     };
     assert_eq!(refusal.code, Code::KeyUnproven);
 }
 
-/// A key goes to another workspace, or keys come to be needed, while a request waits: it was let in as another's.
+/// While a request waits, its key moves to another workspace, or keys become required: it was admitted for another workspace and is refused.
 #[test]
 fn let_in_as_anothers() {
     let mut moved = access();
@@ -344,7 +356,7 @@
     }
 }
 
-/// On a route that needs no key a request goes on without the key that it had.
+/// On a public route a request continues without its workspace when the proof has expired.
 #[test]
 fn public_goes_on() {
     let mut node = proven();
@@ -362,7 +374,7 @@
     assert_eq!((again.workspace, again.send_by), (None, None));
 }
 
-/// An outage is told once when keys are refused, and once when they are served again.
+/// An outage is logged once when keys begin to be refused, and once when they are accepted again.
 #[test]
 fn loss_is_logged_once() {
     let mut node = proven();
@@ -373,7 +385,7 @@
     assert_eq!(proofs(&node.effects), ["found"]);
 }
 
-/// A proof is found again before the next frame: whoever was refused meanwhile has a line that says why.
+/// The loss of a proof is logged even if a new proof arrives before the next frame, so that the log explains the refusals in between.
 #[test]
 fn short_loss_is_logged() {
     let mut node = proven_with(Settings { frame_every: Duration::from_mins(1), ..settings() });
@@ -385,7 +397,7 @@
     assert_eq!(proofs(&node.effects), ["found"]);
 }
 
-/// Where keys have to be proved, the store is asked for changes oftener than it is told of them.
+/// If keys require a proof, long polls of the store are limited to a fraction of the time that a proof lasts.
 #[test]
 fn store_answers_in_time() {
     let mut node = proven();
@@ -397,7 +409,7 @@
     assert!(wait.is_some_and(|wait| wait * 4 < BOUND), "{wait:?}");
 }
 
-/// One key of 5,000 workspaces changes: what is sent is that key, and not all of them.
+/// If one of 5,000 keys is withdrawn, the update contains only that key.
 #[test]
 fn one_key_of_thousands() {
     let many = |withdrawn: bool| {
@@ -418,7 +430,7 @@
     assert_eq!(all.unpack().and_then(|update| update.apply(None)).expect("applies"), after);
 }
 
-/// Nothing that is shown of a configuration or a request helps to guess a key.
+/// The debug output of a configuration or a request contains nothing that helps to guess a key.
 #[test]
 fn keys_hide_themselves() {
     let shown = format!("{:?} {:?}", guarded(1, access()), keyed("/ack/1", 0xAB));
--- a/fleet/tests/cold_engines.rs
+++ b/fleet/tests/cold_engines.rs
@@ -1,4 +1,5 @@
-//! Engines that are cold bear few requests a second, as a sum over all entry VMs, also before anybody knows.
+//! A cold engine, one that has just started, can only take a limited request rate from all entry VMs together, even before they know that it is
+//! cold.
 
 mod node;
 mod world;
@@ -21,7 +22,7 @@
 /// Time between an engine's heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(1_200);
 
-/// One of the engines, which all hold `m0`. All models are somewhere, so that none is to be loaded.
+/// An engine. All engines hold `m0`, and each other model is held by one of them, so that no model has to be loaded.
 fn writer(at: usize) -> Entry {
     let held = ["m0", ["m1", "m2", "m3"][at % 3]];
     Entry { slots: 64, ..entry(&format!("w{at}"), WRITER, ZONES[at % ZONES.len()], &held) }
@@ -58,7 +59,7 @@
     }
 }
 
-/// An engine turns cold, and says so with its next heartbeat.
+/// Makes an engine cold, which its entry shows from its next heartbeat on.
 fn turn_cold(world: &mut World, at: usize, per_s: f64) -> (Time, Time) {
     let from = world.now;
     let wait = Duration::from_millis(world.rng.u64(0..HEARTBEAT.as_millis() as u64));
@@ -67,13 +68,13 @@
     (from, from + START.lasts)
 }
 
-/// By how many requests a cold engine got more than it bears in the worst second.
+/// Returns by how many requests a cold engine exceeded its limit in the worst second.
 fn excess(world: &World, at: usize, (from, until): (Time, Time)) -> f64 {
     let most = world.most_in_a_second(&format!("w{at}"), from, until);
     most as f64 - (OVERAGE * START.per_s + SLACK)
 }
 
-/// Three engines have all the work of a burst, and one of them turns cold.
+/// Three engines share a burst, and one of them becomes cold.
 #[test]
 fn turns_cold() {
     for seed in 0..4 {
@@ -82,11 +83,11 @@
         let cold = turn_cold(&mut world, 1, 300.0);
         run(&mut world, START.lasts, 300.0);
         let excess = excess(&world, 1, cold);
-        assert!(excess <= 0.0, "seed {seed}: {excess} more than it bears");
+        assert!(excess <= 0.0, "seed {seed}: {excess} requests above the limit");
     }
 }
 
-/// A zone is taken back, whose engines may be cold and have not said so.
+/// The evacuation of a zone is revoked, and its engines may be cold without having reported it.
 #[test]
 fn zone_taken_back() {
     let mut world = world(9, 3, Some(START), 5);
@@ -97,10 +98,10 @@
     let from = world.now;
     run(&mut world, START.lasts, 300.0);
     let excess = excess(&world, 1, (from, from + START.lasts));
-    assert!(excess <= 0.0, "{excess} more than it bears");
+    assert!(excess <= 0.0, "{excess} requests above the limit");
 }
 
-/// Once it is warm it gets work like the others.
+/// An engine that is no longer cold gets work like the others.
 #[test]
 fn warm_again() {
     let mut world = world(6, 3, Some(START), 6);
@@ -112,19 +113,19 @@
     assert!(2 * got > other, "{got} and {other} requests");
 }
 
-/// The leader starts anew in the moment in which an engine turns cold. Seen on a random day: until it led again it told all that there are no
-/// entry VMs, so that each gave itself places as the only one.
+/// The hub restarts just when an engine becomes cold. Guards against a fault found by a random scenario: until it was the hub again, it reported
+/// to all that there are no entry VMs, so that each scheduled requests as if it were the only one.
 #[test]
 fn leader_starts_anew() {
     for seed in 0..8 {
         let mut world = world(12, 3, Some(START), seed);
         run(&mut world, Duration::from_secs(1), 200.0);
-        let leader = world.leader().expect("there is one");
+        let leader = world.leader().expect("a hub");
         world.restart(leader);
         let cold = turn_cold(&mut world, 1, 200.0);
         run(&mut world, START.lasts, 200.0);
         let excess = excess(&world, 1, cold);
-        assert!(excess <= 0.0, "seed {seed}: {excess} more than it bears");
+        assert!(excess <= 0.0, "seed {seed}: {excess} requests above the limit");
     }
 }
 
@@ -150,18 +151,18 @@
     Ok(worst)
 }
 
-/// Whoever is lost, suspended or restarted meanwhile: no cold engine gets more than it bears in any second.
+/// With any combination of losses, suspensions and restarts, no cold engine gets more than its limit in any second.
 #[test]
 fn rate_holds() {
     arbtest(|u| {
         let excess = play(u, Some(START))?;
-        assert!(excess <= 0.0, "{excess} more than it bears");
+        assert!(excess <= 0.0, "{excess} requests above the limit");
         Ok(())
     })
     .budget_ms(world::budget_ms(6_000));
 }
 
-/// A broken copy that does not know that engines turn cold: the check has to find it.
+/// Checks the test itself: it has to find violations if the configuration has no limit for cold engines.
 #[test]
 fn check_bites() {
     let mut world = world(9, 3, None, 1);
--- a/fleet/tests/config_push.rs
+++ b/fleet/tests/config_push.rs
@@ -1,4 +1,4 @@
-//! Updates of the configuration between entry VMs: who pushes to whom, and what makes up for a push that was missed.
+//! Configuration updates between entry VMs: which entry VMs push to which, and how a lost push is made up for.
 
 mod node;
 
@@ -18,7 +18,7 @@
 use boragecove_fleet::update::{Packed, Update};
 use node::{GATEWAY, Node, address, config, hub_row, millis};
 
-/// Routes whose update is too large for the answer to a frame.
+/// Number of routes whose update is too large for the reply to a frame.
 const MANY: u32 = 4_000;
 
 fn large(version: u64) -> Arc<Config> {
@@ -35,7 +35,7 @@
     Frame { vm: format!("vm-{vm}").into(), zone: "zone-a".into(), address, config, ..Frame::default() }
 }
 
-/// A hub that hears this many others, which go by its configuration.
+/// A hub that has received frames from this many other entry VMs, which have its configuration.
 fn hub(others: u16) -> Node {
     let mut hub = Node::ready("hub");
     hub.lead();
@@ -55,7 +55,7 @@
     effects.iter().filter_map(push).collect()
 }
 
-/// Everyone whom pushes reach, if all take them.
+/// Number of entry VMs that pushes reach if all are delivered.
 fn reached(pushes: &[(SocketAddr, Message)]) -> usize {
     pushes.iter().map(|(_, message)| 1 + message.onward.len()).sum()
 }
@@ -87,7 +87,7 @@
     assert!((2..=8).contains(&pushes.len()), "{} copies", pushes.len());
     assert_eq!(reached(&pushes), 30);
     let base = pushes[0].1.update.as_ref().map(|update| update.base);
-    assert_eq!(base, Some(1), "what has changed, and not all");
+    assert_eq!(base, Some(1), "a delta, not the full configuration");
 }
 
 #[test]
@@ -104,11 +104,11 @@
     let onward: Vec<SocketAddr> = (0..9).map(|vm| address(7_100 + vm)).collect();
     let pushes = push(&mut node, packed(&config(1), &with_route(2, 2)), onward);
     assert_eq!(version(&node), Some(2));
-    assert_eq!(pushes.len(), 2, "a small link bears two copies at once");
+    assert_eq!(pushes.len(), 2, "a small link sends two copies at once");
     assert_eq!(reached(&pushes), 9);
 }
 
-/// An entry VM that is gone costs the others of its part one attempt, and is tried once more.
+/// If the first entry VM of a part does not take a push, the rest of the part is pushed to directly, and the first one is retried once.
 #[test]
 fn part_goes_on_without_its_head() {
     let mut node = Node::ready("a");
@@ -122,7 +122,7 @@
     assert_eq!((reached(&rest), reached(&again)), (9, 1));
     let twice = Push { again: true, ..missed };
     let rest = pushes(node.feed(Event::Missed(twice)));
-    assert!(rest.iter().all(|(to, _)| *to != head), "it is not tried for ever");
+    assert!(rest.iter().all(|(to, _)| *to != head), "there is only one retry");
 }
 
 #[test]
@@ -154,7 +154,7 @@
     assert!(node.effects.iter().any(told));
 }
 
-/// One that a push has missed is pushed to again, and then told in the answer to its frame: there is a way from it to the
+/// An entry VM that missed a push is pushed to once more, and then gets the update in the reply to its frame, because it can evidently reach the
 /// hub.
 #[test]
 fn missed_ones_are_made_up_for() {
@@ -171,14 +171,14 @@
         }
         let told = boragecove_fleet::reply(&mut hub.state, hub.now, &lacking);
         if told.config.is_some() {
-            assert_eq!(again.len(), 1, "pushed to once more, and alone");
+            assert_eq!(again.len(), 1, "one more push, to that entry VM only");
             return;
         }
     }
-    panic!("never told; pushed to {} times more", again.len());
+    panic!("no update in a reply; {} more pushes", again.len());
 }
 
-/// The answer to a frame stays small whatever the size of the configuration: engines that leave are told of in it too.
+/// The reply to a frame stays small whatever the size of the configuration, because it also has to deliver departures of engines in time.
 #[test]
 fn answers_stay_small() {
     let mut hub = hub(1);
@@ -187,7 +187,7 @@
     assert_eq!(told.config, None);
 }
 
-/// One that starts knows nothing, and gets all.
+/// A starting entry VM gets the full configuration.
 #[test]
 fn starting_one_gets_all() {
     let mut hub = hub(1);
@@ -195,13 +195,13 @@
     hub.pass(millis(300));
     hub.feed(Event::Framed(Box::new(frame(9, 0))));
     let pushes = pushes(&hub.pass(millis(300)));
-    let to = pushes.iter().find(|(to, _)| *to == address(7_109)).expect("it is pushed to");
+    let to = pushes.iter().find(|(to, _)| *to == address(7_109)).expect("a push to it");
     let mut node = Node::bare("vm-9");
     push(&mut node, to.1.update.clone().expect("an update"), Vec::new());
     assert_eq!(version(&node), Some(2));
 }
 
-/// Versions in quick succession go together: the links bear a few pushes, not one for each.
+/// Versions in quick succession are combined into a few pushes.
 #[test]
 fn storms_go_together() {
     let mut hub = hub(9);
@@ -214,7 +214,7 @@
     assert!((3..=6).contains(&rounds), "{rounds} pushes in 0.8 s");
 }
 
-/// A process that knew another hub, with these others, and takes the lease once that is over.
+/// A process that knew another hub, which listed this many entry VMs, and that takes the lease after it expires.
 fn new_hub(others: u16) -> Node {
     let member = |vm: u16| {
         let frame = frame(vm, 1);
@@ -238,8 +238,8 @@
     node
 }
 
-/// With hundreds of entry VMs looks at the lease are seconds apart. Whoever takes it renews it at its own times from then on:
-/// it would be over before the next look.
+/// With hundreds of entry VMs the lease is read seconds apart. A process that takes the lease switches to the renewal interval at once, because
+/// the lease would expire before the next read.
 #[test]
 fn lease_is_renewed_at_once() {
     let mut hub = new_hub(299);
@@ -257,8 +257,8 @@
     effects.iter().filter_map(told).collect()
 }
 
-/// The load when a hub is lost while the configuration changes, with hundreds of entry VMs: they learn of the new one from it,
-/// and not by the silence of the old one, which takes seconds.
+/// A new hub announces itself. With hundreds of entry VMs it takes seconds to notice the silence of the previous hub, which delays configuration
+/// changes.
 #[test]
 fn new_hub_says_so() {
     let hub = new_hub(40);
@@ -267,7 +267,7 @@
     assert!(told.iter().all(|(row, _)| row.as_ref().is_some_and(|row| *row.holder == *"a" && row.term == 4)));
 }
 
-/// Nobody has sent it a frame yet: it pushes to those that the hub before named.
+/// A new hub that has not received any frames yet pushes to the entry VMs that the previous hub listed.
 #[test]
 fn new_hub_pushes_to_all() {
     let mut hub = new_hub(40);
@@ -276,7 +276,7 @@
     assert!(pushes.iter().all(|(_, message)| message.update.as_ref().is_some_and(|update| update.base == 1)));
 }
 
-/// Their number stays what it was, so that frames do not come all at once.
+/// A new hub counts all entry VMs of the previous hub, so that the interval between frames stays long and they do not all arrive at once.
 #[test]
 fn new_hub_counts_all() {
     let mut hub = new_hub(40);
@@ -286,7 +286,7 @@
     assert_eq!(told.members.map(|members| members.len()), Some(41));
     hub.pass(millis(4_000));
     let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame(3, 1));
-    assert_eq!(told.nodes, 1, "those that stay silent are gone");
+    assert_eq!(told.nodes, 1, "entry VMs that stay silent are dropped");
 }
 
 #[test]
@@ -297,7 +297,7 @@
     let row = Row { holder: "c".into(), address: address(7_300), term: 9, ..hub_row().row };
     let message = Message { hub: Some(row), onward: vec![address(7_400)], ..Message::default() };
     let mut effects = node.feed(Event::Pushed(Box::new(message))).to_vec();
-    assert_eq!(told(&effects).len(), 1, "it is passed on");
+    assert_eq!(told(&effects).len(), 1, "the push is forwarded");
     effects.extend(node.pass(millis(200)));
     let asked = |effects: &[Effect]| {
         let to = |effect: &Effect| matches!(effect, Effect::Frame { address, .. } if address.port() == 7_300);
@@ -306,7 +306,7 @@
     assert!(asked(&effects));
 }
 
-/// Late word of a hub that is none any more.
+/// A late announcement of a previous hub is ignored.
 #[test]
 fn earlier_term_is_ignored() {
     let mut node = Node::ready("b");
@@ -317,7 +317,7 @@
     assert_eq!(node.state.lease().hub().map(|row| row.holder.to_string()).as_deref(), Some("hub"));
 }
 
-/// Lets time pass while the store renews the lease.
+/// Lets time pass while the store accepts renewals of the lease.
 fn hold(hub: &mut Node, time: Duration) {
     let end = hub.now + time;
     let mut version = 1_000;
@@ -330,7 +330,7 @@
     }
 }
 
-/// With hundreds of entry VMs frames are seconds apart: one that comes late does not make its sender unknown.
+/// With hundreds of entry VMs frames are seconds apart: the hub does not drop an entry VM because of one late frame.
 #[test]
 fn rare_frames_are_waited_for() {
     let mut hub = hub(299);
--- a/fleet/tests/departure_roads.rs
+++ b/fleet/tests/departure_roads.rs
@@ -1,6 +1,6 @@
-//! By whatever roads and in whatever order the word comes that an engine leaves, all entry VMs know it in time: from the engine itself in an
-//! answer, by its row, by a push, in a frame or in an answer to one, or by a reading of the whole table; also while leaders are
-//! lost, zones are cut off, and the store turns some away.
+//! All entry VMs learn in time that an engine is leaving, from any source and in any order: a response of the engine, its row, a push, a frame, a
+//! reply to a frame, or a read of the whole table. This also holds while hubs are lost, zones are cut off, and the store rejects some of
+//! the entry VMs.
 
 mod node;
 mod world;
@@ -19,8 +19,8 @@
 const ENGINES: usize = 9;
 const ALL_SIZES: [usize; 4] = [9, 65, 300, 984];
 
-/// What operators allow at a size: how long after the store took its word an engine that leaves may still be sent to, and how long nothing
-/// must have been done to an entry VM for that to hold.
+/// The limits for a deployment size: how long after the store's write a leaving engine may still get requests, and how long an entry VM must
+/// have been undisturbed for this limit to apply.
 fn bounds(vms: usize) -> (Duration, Duration) {
     let drain = match vms {
         ..30 => 2,
@@ -43,7 +43,7 @@
     Entry { leaving: true, ..gateway(number) }
 }
 
-/// Entry VMs that all know the engines, and have sent their first frames.
+/// A deployment in which all entry VMs know the engines and have sent their first frames.
 fn world(vms: usize, seed: u64) -> World {
     let rows: Vec<Row> = (0..ENGINES).map(|number| row(number as u64 + 1, gateway(number))).collect();
     let mut world = World::new(vms, node::config(1), &rows, Settings::default(), seed);
@@ -60,15 +60,15 @@
 }
 
 fn leader(world: &World) -> usize {
-    world.leader().expect("there is one")
+    world.leader().expect("a hub")
 }
 
-/// An entry VM that is neither the leader nor one that reads the store.
+/// An entry VM other than the hub, if possible one that does not read the store.
 fn other(world: &World) -> usize {
     let leader = leader(world);
     let reads = |at: usize| world.state(leader).members().is_reader(&format!("vm-{at}").as_str().into());
     let others = (0..world.len()).filter(|at| *at != leader);
-    others.clone().find(|at| !reads(*at)).or_else(|| others.clone().next()).expect("there are others")
+    others.clone().find(|at| !reads(*at)).or_else(|| others.clone().next()).expect("another entry VM")
 }
 
 fn assert_kept(vms: usize, watch: &Departures) {
@@ -76,7 +76,7 @@
     assert!(faults.is_empty(), "{vms} entry VMs: {:#?}", &faults[..faults.len().min(3)]);
 }
 
-/// The row alone, the leader in touch.
+/// Only the row shows the departure, and the hub can read it.
 #[test]
 fn row_alone() {
     for vms in ALL_SIZES {
@@ -88,7 +88,8 @@
     }
 }
 
-/// The engine says it in an answer to the leader, half a second before its row does: the row has no news for the leader, and all for the others.
+/// The engine announces its departure in a response to the hub, half a second before its row shows it: the hub knows the departure already when
+/// it reads the row, but the others do not.
 #[test]
 fn leader_heard_first() {
     for vms in ALL_SIZES {
@@ -104,7 +105,7 @@
     }
 }
 
-/// The same in an answer to another entry VM, of which the leader hears by its frame.
+/// The engine announces its departure to another entry VM, which reports it to the hub in a frame.
 #[test]
 fn another_heard_first() {
     for vms in ALL_SIZES {
@@ -120,7 +121,7 @@
     }
 }
 
-/// Its word alone, which never comes to the store: all hear of it from the one that heard it.
+/// Only the engine announces its departure, and the store never gets it: all learn of it from the entry VM that received the announcement.
 #[test]
 fn word_alone() {
     for vms in ALL_SIZES {
@@ -132,7 +133,7 @@
     }
 }
 
-/// The store turns the leader away: those that read it for all tell the leader, which tells the others.
+/// The store rejects the hub: the readers report the departure to the hub, which notifies the others.
 #[test]
 fn leader_turned_away() {
     for vms in ALL_SIZES {
@@ -149,8 +150,8 @@
     }
 }
 
-/// The store comes back from a copy in which the engine does not leave yet, and an entry VM starts anew by that copy before the engine says it
-/// once more.
+/// The store is restored from a copy in which the engine is not leaving yet, and an entry VM restarts and reads that copy before the engine
+/// writes its entry again.
 #[test]
 fn started_by_the_copy() {
     for vms in [9, 65] {
@@ -167,8 +168,9 @@
     }
 }
 
-/// An engine is removed in the moments after a drill, so that all wait for it to come back, and a second drill brings its entry back. Seen on a
-/// random day: the leader, which waited for it, told nobody that it was removed again, and the others came to believe in its entry.
+/// Guards against using a removed engine, as found by a random scenario. An engine is removed just after a restore, so that all entry VMs wait
+/// for it to register again, and a second restore brings its entry back. The hub, which was already waiting, did not tell the others that
+/// the engine was removed once more, and they used its entry.
 #[test]
 fn removed_while_waited_for() {
     for seed in 0..12 {
@@ -185,8 +187,8 @@
     }
 }
 
-/// The leader is lost, or stands still, some moments before or after the store takes the row, while entry VMs of each zone read the store for
-/// a leader that it turned away until then.
+/// The hub is lost or suspended just before or after the store's write of the row, in some cases after the store had rejected it so that readers
+/// in each zone read the store instead.
 #[test]
 fn leader_lost_beside_it() {
     for vms in [9, 65, 300] {
@@ -220,7 +222,7 @@
     }
 }
 
-/// Logs and metrics tell by which road each entry VM knew first, and whom the leader told.
+/// Logs and metrics show from which source each entry VM learned of a departure first, and whom the hub notified.
 #[test]
 fn road_is_counted() {
     let (mut world, mut watch) = (world(9, 9), watch(9));
@@ -234,7 +236,7 @@
     assert_eq!(world.state(leader).departures_told().get(&Audience::All), Some(&1));
 }
 
-/// The leader is lost as it tells the others: some have heard of it, also of those that read the store for their zone.
+/// The hub is lost while it pushes to the others: some have received the push, among them some of the readers.
 #[test]
 fn leader_lost_amid_pushes() {
     for vms in [9, 65, 300] {
@@ -263,7 +265,7 @@
     }
 }
 
-/// A word of an engine that leaves, by one road.
+/// Lets an engine leave, by one of four ways to announce it.
 fn say(world: &mut World, watch: &mut Departures, kind: u8, vm: usize, number: usize) {
     let leader = world.leader().unwrap_or(vm);
     match kind {
@@ -280,13 +282,13 @@
     }
 }
 
-/// Time to the next step: together with the one before, soon after it, or later.
+/// Random time to the next step: none, short or long.
 fn gap(u: &mut Unstructured<'_>) -> arbitrary::Result<Duration> {
     let most = *u.choose(&[0, 40, 40, 400, 400, 3_000])?;
     u.int_in_range(0..=most).map(Duration::from_millis)
 }
 
-/// Plays one day. Returns what was wrong, with what had been done until then.
+/// Plays one random scenario. Returns the violations found and the steps played.
 fn play(
     u: &mut Unstructured<'_>,
     sizes: &[usize],
@@ -307,24 +309,24 @@
             1..=3 => {
                 let number = u.int_in_range(0..=ENGINES - 1)?;
                 let kind = u.int_in_range(0..=3)?;
-                // Whoever is gone says nothing more.
+                // A removed engine announces nothing more.
                 if gone[number] {
                     continue;
                 }
                 gone[number] = kind == 3;
                 say(&mut world, &mut watch, kind, at, number);
-                format!("word of g{number} by road {kind}, vm {at}, leader {:?}", world.leader())
+                format!("g{number} leaves, kind {kind}, vm {at}, hub {:?}", world.leader())
             }
             4 => {
                 let back = Duration::from_millis(u.int_in_range(0..=6_000)?);
                 world.drill(back);
                 watch.drilled(&world);
-                format!("the store comes back from {back:?} before")
+                format!("the store is restored from {back:?} before")
             }
             _ => {
                 let (kind, leader) = (u.int_in_range(0..=12)?, world.leader());
                 disturb(&mut world, kind, at);
-                format!("disturbance {kind}, vm {at}, leader {leader:?}")
+                format!("disturbance {kind}, vm {at}, hub {leader:?}")
             }
         };
         steps.push(format!("{:?}: {step}", world.now));
@@ -342,20 +344,21 @@
     Ok(())
 }
 
-/// Whatever the order and the road of the words, with lost leaders, cuts, suspensions, restarts and a store that turns some away.
+/// All learn of departures from any source in any order, with lost hubs, partitions, suspensions, restarts and a store that rejects some of the
+/// entry VMs.
 #[test]
 fn all_hear() {
     arbtest(check_day).budget_ms(world::budget_ms(6_000));
 }
 
-/// Days of the same kind, always the same ones.
+/// Plays the scenario of a fixed seed.
 fn day(seed: u64, sizes: &[usize], mute: Option<Mute>) -> (Vec<String>, Vec<String>) {
     let mut bytes = vec![0; 4_096];
     fastrand::Rng::with_seed(seed).fill(&mut bytes);
     play(&mut Unstructured::new(&bytes), sizes, mute).expect("bytes enough")
 }
 
-/// The same for hundreds of entry VMs, and for a thousand.
+/// The same with hundreds of entry VMs and with about a thousand.
 #[test]
 fn hundreds_hear() {
     let days = (0..6).map(|seed| (seed, 300)).chain([(0, 984)]);
@@ -365,7 +368,8 @@
     }
 }
 
-/// Broken copies in which nobody tells the leader, the leader tells nobody, or its answers to frames leave it out: the check has to find each.
+/// Checks the test itself: it has to find violations if no frame reports departures to the hub, if the hub notifies nobody, or if its replies to
+/// frames omit departures.
 #[test]
 fn check_bites() {
     for mute in [Mute::Frames, Mute::Hub, Mute::Replies] {
@@ -374,7 +378,7 @@
     }
 }
 
-/// A broken copy that leaves it out of pushes: answers to frames alone come too late for a thousand entry VMs.
+/// Checks that pushes are necessary: with a thousand entry VMs, replies to frames alone are too late.
 #[test]
 fn pushes_are_needed() {
     let vms = 984;
@@ -386,8 +390,8 @@
     assert!(!watch.faults.is_empty());
 }
 
-/// Guards against an engine that left being believed in again: three returns of the store in 25 ms, then an outage for all, after which a leader that
-/// had only its lease answered told what it knew from before.
+/// Guards against using a leaving engine again: after three restores of the store within 25 ms and an outage for all, a hub that had only
+/// reached its lease again passed on its old view of the engines.
 #[test]
 fn copies_in_a_row() {
     arbtest(check_day).seed(0x246d_3ba8_0000_0078);
--- a/fleet/tests/departures_spread.rs
+++ b/fleet/tests/departures_spread.rs
@@ -1,6 +1,6 @@
-//! How soon all entry VMs know that an engine leaves, at the size of a deployment.
+//! How soon all entry VMs of a large deployment know that an engine is leaving.
 //!
-//! Frames of 300 entry VMs are 1.5 s apart, so that the hub's answers to them take most of the two seconds that operators allow.
+//! With 300 entry VMs frames are 1.5 s apart, so that the replies to them alone would take most of the two seconds that operators allow.
 
 mod links;
 mod node;
@@ -15,9 +15,10 @@
 use links::{LARGE, Links, SMALL};
 use node::{WRITER, config, entry, listing, millis, removed, row};
 
-/// Time in which all are to know: a quarter of what operators allow, since the store's answer and a request's way come on top.
+/// Maximum time until all entry VMs know: a quarter of what operators allow, because the store's answer and the time a request takes to its
+/// engine come on top.
 const BOUND: Duration = Duration::from_millis(500);
-/// How long a word that is late is waited for.
+/// Time limit of a test that waits for a departure to be known.
 const PATIENCE: Duration = Duration::from_secs(6);
 
 fn writer(id: &str) -> Entry {
@@ -28,7 +29,7 @@
     Entry { leaving: true, ..writer(id) }
 }
 
-/// Two large entry VMs in each of three zones, and small ones, which all know two engines.
+/// Two large entry VMs in each of three zones, and a number of small ones. All know two engines.
 fn deployment(small: usize) -> Links {
     let rates = [vec![LARGE; 6], vec![SMALL; small]].concat();
     let mut links = Links::new(&rates, &Arc::new(config(1)));
@@ -39,7 +40,7 @@
     links
 }
 
-/// Entry VMs that run and would send requests to an engine.
+/// Number of running entry VMs that would send requests to an engine.
 fn believers(links: &Links, engine: &str) -> usize {
     let believes = |at: &usize| {
         links.runs(*at)
@@ -48,7 +49,7 @@
     (0..links.len()).filter(believes).count()
 }
 
-/// The hub reads a row. Returns how long it takes until nobody believes in its engine.
+/// Lets the hub read a row. Returns how long it takes until no entry VM would send requests to its engine.
 fn known_after(links: &mut Links, row: Row) -> Option<Duration> {
     let (begin, version, engine) = (links.now, row.version, row.id.clone());
     links.feed(0, listing(vec![row], version, false));
@@ -84,7 +85,7 @@
     Event::Pushed(Box::new(Message { departures: vec![row], ..Message::default() }))
 }
 
-/// One that reads the store for its zone tells the hub and that zone alone, just before the hub reads the row itself.
+/// A reader of the store pushes the row to the hub and its own zone only, just before the hub reads the row itself.
 #[test]
 fn reader_told_the_hub() {
     let mut links = deployment(294);
@@ -94,7 +95,8 @@
     assert_soon(known_after(&mut links, row));
 }
 
-/// The hub was told of it, and has not read the table up to there. Whoever missed its push, since it was suspended, hears of it once it goes on.
+/// The hub received the row by a push and has not read the table up to it. An entry VM that missed the hub's push because it was suspended
+/// learns of it after it resumes.
 #[test]
 fn beyond_the_last_reading() {
     let mut links = deployment(20);
@@ -102,13 +104,14 @@
     links.suspend(late, true);
     links.feed(0, pushed(row(9, leaving("w1"))));
     links.pass(Duration::from_secs(3));
-    assert_eq!(believers(&links, "w1"), 0, "of those that run");
+    assert_eq!(believers(&links, "w1"), 0, "no running entry VM uses it");
     links.suspend(late, false);
     links.pass(Duration::from_secs(2));
     assert_eq!(believers(&links, "w1"), 0);
 }
 
-/// Some that are to pass it on are suspended: the others know all the same, if later, and those that go on then hear of it.
+/// Some entry VMs that have to forward the push are suspended: the others still learn of it, if later, and so do the suspended ones after they
+/// resume.
 #[test]
 fn some_are_suspended() {
     let mut links = deployment(94);
@@ -120,7 +123,7 @@
     assert_eq!(believers(&links, "w1"), 0);
 }
 
-/// Word that comes late, after the engine has registered anew, changes nothing.
+/// A push that arrives after the engine has registered again has no effect.
 #[test]
 fn late_word() {
     let mut links = deployment(3);
@@ -130,7 +133,7 @@
             messages.push(message);
         }
     }
-    assert!(!messages.is_empty(), "the hub says so at once");
+    assert!(!messages.is_empty(), "the hub pushes at once");
     links.pass(millis(300));
     links.feed(0, listing(vec![row(12, writer("w1"))], 12, false));
     links.pass(Duration::from_secs(1));
--- a/fleet/tests/engine/mod.rs
+++ b/fleet/tests/engine/mod.rs
@@ -1,4 +1,4 @@
-//! An engine in a test, which loses answers, runs orders late and may start again under its id.
+//! A fake engine that loses answers, executes orders late and can restart under the same id.
 
 #![allow(dead_code, reason = "each test uses what it needs")]
 
@@ -10,16 +10,16 @@
 
 use crate::node::{WRITER, entry, millis, model, pool};
 
-/// An engine as the platform describes it, which loses answers and runs orders late.
+/// An engine that behaves as the platform specifies, but loses answers and executes orders late.
 #[derive(Debug, Default)]
 pub struct Engine {
     pub id: Name,
-    /// When it started; a later start has a larger number.
+    /// The time of its start; a later start has a larger number.
     pub incarnation: Incarnation,
     pub sequence: u64,
     pub models: Vec<(Name, Vec<Name>)>,
     pub busy_until: Option<(Time, Order)>,
-    /// Orders that it has not answered, with the times at which it takes them.
+    /// Unanswered orders, with the times at which they arrive.
     pub late: Vec<(Time, Dispatch)>,
 }
 
@@ -38,8 +38,7 @@
         self.models.iter().map(|(_, adapters)| adapters.len()).sum()
     }
 
-    /// Starts again under the id that it had: it holds nothing and counts from zero. Orders that are on their way reach
-    /// it all the same.
+    /// Restarts under the same id: it holds no models and its order sequence starts at zero. Orders that are under way still reach it.
     pub fn restart(&mut self, now: Time) {
         self.incarnation = Incarnation(Some(now.as_millis()));
         self.sequence = 0;
@@ -47,7 +46,7 @@
         self.busy_until = None;
     }
 
-    /// What it registers of itself.
+    /// The entry that it writes to the store.
     pub fn entry(&self) -> Entry {
         let models: Vec<&str> = self.models.iter().map(|(name, _)| &**name).collect();
         Entry { incarnation: self.incarnation, ..entry(&self.id, WRITER, "zone-a", &models) }
@@ -77,7 +76,7 @@
         let receipt = match &dispatch.order {
             Order::Load { model } => {
                 self.busy_until = Some((now + millis(400), dispatch.order.clone()));
-                assert!(!self.models.iter().any(|(name, _)| name == model), "{model} is there");
+                assert!(!self.models.iter().any(|(name, _)| name == model), "{model} is loaded already");
                 Receipt::Accepted
             }
             Order::Unload { .. } => {
--- a/fleet/tests/engine_restarts.rs
+++ b/fleet/tests/engine_restarts.rs
@@ -1,4 +1,4 @@
-//! An engine that starts again under the id that it had knows and holds nothing of before.
+//! An engine that restarts under the same id has lost its models and its order sequence.
 
 mod engine;
 mod node;
@@ -33,7 +33,7 @@
     }
 }
 
-/// What the hub said of an engine's earlier start says nothing of the new one.
+/// The hub's data on the models of an engine's earlier start is not applied to the new start.
 #[test]
 fn earlier_holdings_are_void() {
     let mut node = Node::ready("a");
@@ -53,12 +53,13 @@
     assert!(node.effects.iter().any(restarted), "{:?}", node.effects);
     assert_eq!(engine_of(&mut node, "m3"), None);
     node.feed(Event::Replied(Some(Box::new(told(Incarnation(Some(100)))))));
-    assert_eq!(engine_of(&mut node, "m3"), None, "the hub has not heard of the new start yet");
+    assert_eq!(engine_of(&mut node, "m3"), None, "the hub does not know of the new start yet");
     node.feed(Event::Replied(Some(Box::new(told(Incarnation(Some(700)))))));
     assert_eq!(engine_of(&mut node, "m3").as_deref(), Some("w1"));
 }
 
-/// Guards against what the hub says of an engine, or of a start of it, whose row has not come here yet: it is not said again until it changes.
+/// Guards against losing what the hub reports about an engine, or a start of it, whose row has not arrived yet: the hub reports it again only
+/// when it changes.
 #[test]
 fn told_before_its_row() {
     for id in ["w1", "w9"] {
@@ -78,14 +79,14 @@
         node.feed(Event::Replied(Some(Box::new(told(8, 700)))));
         node.feed(listing(vec![row(12, started(id, 700, &[]))], 12, false));
         assert_eq!(engine_of(&mut node, "m3").as_deref(), Some(id));
-        // Of a start that is over by then nothing is kept.
+        // Data on a start that has ended by the time of the row is dropped.
         node.feed(Event::Replied(Some(Box::new(told(9, 800)))));
         node.feed(listing(vec![row(13, started(id, 900, &[]))], 13, false));
         assert_eq!(engine_of(&mut node, "m3"), None);
     }
 }
 
-/// An entry that an earlier start wrote late does not replace that of the newest one.
+/// An entry written late by an earlier start does not replace the entry of the newest start.
 #[test]
 fn late_entry_is_ignored() {
     let mut node = Node::ready("a");
@@ -95,7 +96,7 @@
     assert_eq!(engine_of(&mut node, "m1").as_deref(), Some("w1"));
 }
 
-/// Suspicion of an engine ends with its start.
+/// A restart ends the suspicion of an engine.
 #[test]
 fn trusted_anew() {
     let mut node = Node::ready("a");
@@ -106,8 +107,8 @@
     assert_eq!(engine_of(&mut node, "m1").as_deref(), Some("w1"));
 }
 
-/// Random orders to engines that restart under their ids, lose answers and take orders seconds late, also those for an
-/// earlier start. Their entries and reports arrive late. The fake asserts that it is never overfilled.
+/// Random orders to engines that restart under their ids, lose answers and execute orders seconds late, including those for an earlier
+/// start. Their entries and reports arrive late. The fake engine asserts that it is never overfilled.
 #[test]
 fn never_overfilled_after_restarts() {
     arbtest(|u| {
@@ -127,7 +128,7 @@
         for step in 0..500 {
             node.now = node.now + millis(20);
             let lease = node.now.as_millis() - node::START_MS;
-            // Demand moves, so that models are loaded and dropped all the time.
+            // Demand shifts between models, so that models are loaded and dropped continuously.
             let model = format!("m{}", (step / 40 + u.int_in_range(0..=1)?) % 4);
             let model = model.as_str();
             let adapter = *u.choose(&[None, None, Some("a1"), Some("a2"), Some("a3"), Some("a4")])?;
@@ -186,7 +187,7 @@
     .budget_ms(3_000);
 }
 
-/// The answer to an order for the earlier start does not count for the new one.
+/// The answer to an order for the earlier start is not attributed to the new one.
 #[test]
 fn earlier_answer_is_void() {
     let mut node = Node::ready("a");
@@ -202,15 +203,15 @@
         receipt: Some(Receipt::Accepted),
     };
     node.feed(answer);
-    assert!(orders(&node.effects).is_empty(), "its count of orders is not known yet");
+    assert!(orders(&node.effects).is_empty(), "its order sequence is not known yet");
 }
 
 fn adapter_order(effects: &[Effect]) -> Option<Dispatch> {
     orders(effects).into_iter().find(|dispatch| matches!(dispatch.order, Order::LoadAdapter { .. }))
 }
 
-/// An order that was not answered may reach the engine's next start once that has accepted as many orders. Nothing is
-/// ordered then that leaves no room for it.
+/// An unanswered order may still reach the engine's next start and be accepted once the sequence numbers match. Until that is ruled out, no
+/// order is sent that would leave no room for it.
 #[test]
 fn late_load_keeps_its_room() {
     let mut node = Node::bare("a");
@@ -254,13 +255,13 @@
     assert_eq!(
         adapter_order(&node.effects),
         None,
-        "a3 may take the last place once two orders were accepted"
+        "the late order for a3 may take the last slot once two orders were accepted"
     );
     let engine = Name::from("w1");
     node.feed(Event::Ordered { engine, incarnation: Incarnation(Some(700)), receipt: None });
     node.pass(millis(10));
     node.feed(Event::Reported { engine: "w1".into(), report: Some(report(2)) });
     node.arrive(streamed("/brief/1", "m1", Some("a7")));
-    let sent = adapter_order(&node.effects).expect("whichever comes first makes the other void");
+    let sent = adapter_order(&node.effects).expect("whichever order arrives first invalidates the other");
     assert_eq!((sent.sequence, sent.incarnation), (2, Incarnation(Some(700))));
 }
--- a/fleet/tests/evacuated_zones.rs
+++ b/fleet/tests/evacuated_zones.rs
@@ -1,4 +1,4 @@
-//! Availability zones that are evacuated: who knows of it, how soon, and what is sent there meanwhile.
+//! Evacuated availability zones: how soon entry VMs learn of an evacuation, and which requests are still sent there.
 
 mod links;
 mod node;
@@ -20,7 +20,7 @@
 use node::{GATEWAY, Node, WRITER, brief, config, entry, exchange, hub_row, millis, plain, row};
 use world::{Backends, World, ZONES};
 
-/// Time from the operator's word to when nothing is sent there any more, by the users' bound.
+/// Required limit on the time from the operator's write until no request is sent to the zone any more.
 const BOUND: Duration = Duration::from_secs(5);
 
 fn word(zone: &str, version: impl Into<Revision>, evacuated: bool) -> Word {
@@ -42,10 +42,10 @@
     }
     node.feed(read(vec![word("zone-a", 10, false)], 10, false));
     let engines: Vec<_> = (0..20).map(|_| node.sent(plain("/ack/1")).1.engine).collect();
-    assert!(engines.iter().any(|engine| **engine == *"g1"), "it gets work again");
+    assert!(engines.iter().any(|engine| **engine == *"g1"), "the zone gets work again");
 }
 
-/// What has a place there and has not gone out yet goes elsewhere.
+/// A request that is scheduled for an engine there but not sent yet is withdrawn.
 #[test]
 fn waiting_is_withdrawn() {
     let mut node = Node::ready("a");
@@ -59,7 +59,7 @@
             break;
         }
     }
-    let id = later.expect("one that waits for its place");
+    let id = later.expect("a request scheduled for later");
     let effects = node.feed(read(vec![word("zone-a", 9, true)], 9, false)).to_vec();
     let steps: Vec<&Step> = effects
         .iter()
@@ -71,7 +71,7 @@
     assert!(matches!(steps.first(), Some(Step::Wait)), "{steps:?}");
 }
 
-/// Older news changes nothing, whichever way it comes.
+/// An older revision has no effect, whether it comes from a delta or a complete read.
 #[test]
 fn older_news() {
     let mut node = Node::ready("a");
@@ -79,12 +79,12 @@
     node.feed(read(vec![word("zone-a", 7, false)], 7, false));
     assert_eq!(node.state.evacuated().count(), 1);
     node.feed(read(Vec::new(), 12, true));
-    assert_eq!(node.state.evacuated().count(), 0, "a whole reading does not name it");
+    assert_eq!(node.state.evacuated().count(), 0, "a complete read does not list it");
     node.feed(read(vec![word("zone-a", 9, true)], 9, false));
     assert_eq!(node.state.evacuated().count(), 0);
 }
 
-/// A copy of the store lacks the row: it holds until the operator has had time to write it again.
+/// If a restored copy of the store lacks the row, the evacuation stays until the operator has had time to write the row again.
 #[test]
 fn copy_lacks_it() {
     for rewritten in [false, true] {
@@ -100,7 +100,7 @@
     }
 }
 
-/// One that is not the hub has read it: the hub knows with the next frame, and whoever knows nothing with the next answer.
+/// An entry VM other than the hub reads the row: the hub learns of it from the next frame, and the others from the reply to their next frame.
 #[test]
 fn told_both_ways() {
     let (mut hub, mut asker, mut third) = (Node::ready("hub"), Node::ready("a"), Node::ready("b"));
@@ -115,10 +115,10 @@
     exchange(&mut hub, &mut third);
     assert_eq!(third.state.evacuated().count(), 1);
     let reply = exchange(&mut hub, &mut third);
-    assert!(reply.evacuations.is_empty(), "once it knows, nothing more is told");
+    assert!(reply.evacuations.is_empty(), "an entry VM that is up to date is sent nothing");
 }
 
-/// The hub reads it: all know within a tenth of the bound, at the size of a large deployment, and it costs one message for each.
+/// The hub reads the row: in a large deployment all know within a tenth of the limit, at the cost of at most one message for each.
 #[test]
 fn hundreds_of_entry_vms() {
     for small in [294, 978] {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Two engines with each model in each zone but the last, and one of the plain service in each.
+/// In each zone two engines that hold the same two of three models, and one engine of the plain HTTP service.
 fn engines() -> Vec<Row> {
     let writer = |at: usize| {
         let held = [["m0", "m1"], ["m1", "m2"], ["m0", "m2"]][at % 3];
@@ -167,12 +167,12 @@
     }
 }
 
-/// The leader is lost just after the operator's word, or the store turns it away, or its zone is cut off.
+/// The hub is lost just before the operator's write, or the store rejects it, or its zone is cut off.
 #[test]
 fn leader_lost() {
     for (seed, kind) in [(1, 0), (2, 1), (3, 2)] {
         let mut world = world(9, seed);
-        let leader = world.leader().expect("there is one");
+        let leader = world.leader().expect("a hub");
         match kind {
             0 => world.kill(leader),
             1 => world.serve(leader, false),
@@ -187,7 +187,7 @@
         run(&mut world, Duration::from_secs(6));
         let since = world.now;
         run(&mut world, Duration::from_secs(3));
-        assert!(world.reached(&format!("g{zone}"), since) > 0, "it gets work again");
+        assert!(world.reached(&format!("g{zone}"), since) > 0, "the zone gets work again");
     }
 }
 
@@ -213,7 +213,7 @@
     Ok(world.sent_to_evacuated(BOUND))
 }
 
-/// Whoever is in touch sends nothing there after the bound, whatever is lost, cut off, suspended or restarted.
+/// With any combination of losses, partitions, suspensions and restarts, no connected entry VM sends requests there after the limit.
 #[test]
 fn evacuation_bound_holds() {
     arbtest(|u| {
@@ -224,7 +224,7 @@
     .budget_ms(world::budget_ms(6_000));
 }
 
-/// A broken copy that hears nothing of evacuations: the check has to find it.
+/// Checks the test itself: it has to find violations if entry VMs ignore evacuations.
 #[test]
 fn check_bites() {
     let mut world = world(6, 1);
@@ -234,7 +234,7 @@
     assert!(world.sent_to_evacuated(BOUND) > 0);
 }
 
-/// An operator says it twice and takes it back once: work sent there from then on is no breach.
+/// The operator evacuates a zone twice and revokes that once: requests sent there afterwards are no violation.
 #[test]
 fn said_twice() {
     arbtest(|u| {
--- a/fleet/tests/key_withdrawal.rs
+++ b/fleet/tests/key_withdrawal.rs
@@ -1,4 +1,4 @@
-//! Keys that are taken away: served nowhere after the bound, whatever is lost, cut off, suspended or restarted meanwhile.
+//! Withdrawn keys are accepted nowhere after the time limit, with any combination of losses, partitions, suspensions and restarts.
 
 mod node;
 mod world;
@@ -17,7 +17,7 @@
 use node::{GATEWAY, entry, millis, plain, row};
 use world::{World, ZONES};
 
-/// The users' bound.
+/// Required limit on the time until a withdrawn key is refused everywhere.
 const BOUND: Duration = Duration::from_secs(5);
 const VMS: usize = 13;
 
@@ -25,7 +25,7 @@
     Digest::from_hash([number; 32])
 }
 
-/// One workspace with a key that stays, and one with a key that is taken away.
+/// One workspace whose key stays, and one whose key is withdrawn.
 fn config(version: u64, withdrawn: bool) -> Config {
     let workspace = |name: &str| {
         Arc::new(Workspace { name: name.into(), priority: None, limit: None, ..Workspace::default() })
@@ -51,7 +51,7 @@
     world
 }
 
-/// Lets time pass, in which each entry VM gets a request with either key several times a second.
+/// Lets time pass while each entry VM gets a request with each key several times a second.
 fn run(world: &mut World, time: Duration) {
     let end = world.now + time;
     while world.now < end {
@@ -65,7 +65,7 @@
     }
 }
 
-/// How long after the key was taken away the last request was sent that an engine got with it, beyond the bound.
+/// Returns by how much the last request that an engine got with the withdrawn key exceeded the limit.
 fn excess(world: &World, withdrawn: boragecove_core::time::Time) -> Duration {
     let sent = world.outcomes.iter().filter(|done| done.refused.is_none() && *done.workspace == *"goes");
     let latest = sent.map(|done| done.asked.since(withdrawn)).max().unwrap_or_default();
@@ -91,7 +91,7 @@
     Ok(())
 }
 
-/// Plays one day, and returns by how much the bound was broken.
+/// Plays one random scenario, and returns by how much the limit was exceeded.
 fn play(u: &mut Unstructured<'_>, revocation: Option<Duration>) -> arbitrary::Result<Duration> {
     let mut world = world(u.arbitrary()?, revocation);
     for _ in 0..u.int_in_range(0..=2)? {
@@ -115,29 +115,29 @@
 fn bound_holds() {
     arbtest(|u| {
         let excess = play(u, Some(BOUND))?;
-        assert!(excess.is_zero(), "a key is served {excess:?} beyond the bound");
+        assert!(excess.is_zero(), "a key was accepted {excess:?} beyond the limit");
         Ok(())
     })
     .budget_ms(world::budget_ms(5_000));
 }
 
-/// Days of the same kind, always the same ones.
+/// Plays the scenario of a fixed seed.
 fn day(seed: u64, revocation: Option<Duration>) -> Duration {
     let mut bytes = vec![0; 4_096];
     fastrand::Rng::with_seed(seed).fill(&mut bytes);
     play(&mut Unstructured::new(&bytes), revocation).expect("bytes enough")
 }
 
-/// The same without the proof: the check has to find it, however busy the machine is.
+/// Checks the test itself: it has to find violations if no proof is required. Fixed seeds make this independent of the load of the machine.
 #[test]
 fn check_bites() {
     let found = (0..200).find(|seed| !day(*seed, None).is_zero());
     println!("{found:?}");
-    assert!(found.is_some(), "no day breaks the bound without a proof");
+    assert!(found.is_some(), "no scenario exceeds the limit without a proof");
 }
 
-/// The store comes back from a copy of before the key was taken away, and all entry VMs start anew and read that. Returns by how much the
-/// bound was broken.
+/// The store is restored from a copy from before the key was withdrawn, and all entry VMs restart and read that copy. Returns by how much the
+/// limit was exceeded.
 fn withdrawal_lost(blind: bool) -> Duration {
     let mut world = world(8, Some(BOUND));
     world.blind = blind;
@@ -149,18 +149,18 @@
     (0..VMS).for_each(|vm| world.restart(vm));
     run(&mut world, Duration::from_secs(4));
     let served = world.outcomes.iter().rev().find(|done| *done.workspace == *"stays").expect("some");
-    assert_eq!(served.refused, None, "the other key is served again");
+    assert_eq!(served.refused, None, "the other key is accepted again");
     excess(&world, withdrawn)
 }
 
-/// Guards against a key that is served because a copy of the store still has it.
+/// Guards against accepting a withdrawn key because a restored copy of the store still contains it.
 #[test]
 fn copy_brings_no_key_back() {
     assert_eq!(withdrawal_lost(false), Duration::ZERO);
-    assert!(!withdrawal_lost(true).is_zero(), "the check has to find it where nobody sees the era");
+    assert!(!withdrawal_lost(true).is_zero(), "the check has to find it if no process sees the era");
 }
 
-/// While all are in touch, nobody is refused; one that the store turns away keeps its proof through the leader.
+/// While all entry VMs are connected, no caller is refused: those rejected by the store keep their proof through the hub.
 #[test]
 fn nobody_in_touch_is_refused() {
     let mut world = world(5, Some(BOUND));
@@ -172,17 +172,17 @@
     assert!(refused.is_empty(), "{refused:?}");
 }
 
-/// The leader is lost: the proof lasts until there is another.
+/// The hub is lost: the proof lasts until there is another hub.
 #[test]
 fn leader_lost() {
     let mut world = world(6, Some(BOUND));
-    world.kill(world.leader().expect("there is one"));
+    world.kill(world.leader().expect("a hub"));
     run(&mut world, Duration::from_secs(9));
     let refused = world.outcomes.iter().filter(|done| done.refused == Some(Code::KeyUnproven)).count();
     assert_eq!(refused, 0, "of {}", world.outcomes.len());
 }
 
-/// A zone that is cut off serves keys until its proof is too old, and then says that it has not run what it refuses.
+/// A zone that is cut off accepts keys until its proof expires. After that its refusals state that the request has not run.
 #[test]
 fn cut_zone_ages_out() {
     let mut world = world(7, Some(BOUND));
--- a/fleet/tests/lapsed_entries.rs
+++ b/fleet/tests/lapsed_entries.rs
@@ -1,4 +1,4 @@
-//! Engines that the store no longer names: gone at once, but for those that lapse around an outage of the store.
+//! Engines that the store no longer lists are removed at once, unless their entries expired around an outage of the store.
 
 mod node;
 
@@ -37,12 +37,12 @@
     node.pass(millis(300));
     node.feed(Event::StoreUp(true));
     node.feed(listing(vec![removed(9, "w1"), removed(10, "w2")], 10, false));
-    assert!(known(&node, "w1"), "a sound engine is back within two seconds");
+    assert!(known(&node, "w1"), "a healthy engine registers again within two seconds");
     node.pass(millis(500));
     node.feed(listing(vec![row(11, entry("w1", WRITER, "zone-a", &["m0"]))], 11, false));
     node.pass(Duration::from_secs(2));
-    assert!(known(&node, "w1"), "it came back");
-    assert!(!known(&node, "w2"), "it did not");
+    assert!(known(&node, "w1"), "w1 registered again");
+    assert!(!known(&node, "w2"), "w2 did not");
 }
 
 #[test]
@@ -61,12 +61,12 @@
     let mut node = Node::ready("a");
     node.feed(listing(vec![removed(9, "w1")], 9, false));
     node.feed(listing(vec![row(8, entry("w1", WRITER, "zone-a", &["m0"]))], 9, false));
-    assert!(!known(&node, "w1"), "it was removed after that");
+    assert!(!known(&node, "w1"), "the removal is newer");
     node.feed(listing(vec![row(12, entry("w1", WRITER, "zone-a", &["m0"]))], 12, false));
-    assert!(known(&node, "w1"), "it registered anew");
+    assert!(known(&node, "w1"), "it registered again");
 }
 
-/// Whoever looks for an engine that is sent to although it leaves has to see that its row came, and why it was not taken.
+/// To explain why a leaving engine still gets requests, the log has to show that its row arrived and why it was not applied.
 #[test]
 fn passed_over_is_told() {
     let mut node = Node::ready("a");
@@ -78,11 +78,11 @@
     assert!(told);
     assert_eq!(node.state.rows_passed_over(), 1);
     node.feed(listing(vec![row(9, entry("w1", WRITER, "zone-a", &["m0"]))], 9, true));
-    assert_eq!(node.state.rows_passed_over(), 1, "what is read once more is not older");
+    assert_eq!(node.state.rows_passed_over(), 1, "a row that is read again is not older");
 }
 
-/// Each change of an engine's entry was logged by every entry VM: 200,000 lines on a day with 295 of them and 204 engines. The
-/// holder of the lease names each engine; the others say how far they have read.
+/// Only the holder of the lease logs each changed engine; the others log the revision that they have read. When every entry VM logged each
+/// change, 295 entry VMs and 204 engines produced 200,000 lines a day.
 #[test]
 fn one_names_each_engine() {
     let lines = |effects: &[Effect]| {
@@ -100,8 +100,8 @@
     assert_eq!(lines(other.feed(listing(vec![removed(62, "w10")], 62, false))), (0, 1));
 }
 
-/// An entry is removed just after an outage: the hub, which reads the table, waits for it to come back. An entry VM that hears of it by
-/// the hub alone sent to that engine for good.
+/// Guards against a removed engine staying in use. An entry is removed just after an outage, and the hub waits for it to be written again. An
+/// entry VM that learned of this only from the hub never ended its own wait, and sent requests to the engine forever.
 #[test]
 fn lapse_ends_everywhere() {
     let mut hub = Node::ready("hub");
@@ -114,12 +114,12 @@
     hub.feed(Event::StoreUp(true));
     hub.feed(listing(vec![removed(9, "w1"), removed(10, "w2")], 10, false));
     exchange(&mut hub, &mut asker);
-    assert!(known(&asker, "w1"), "a sound engine is back within two seconds");
+    assert!(known(&asker, "w1"), "a healthy engine registers again within two seconds");
     hub.feed(listing(vec![row(11, entry("w1", WRITER, "zone-a", &["m0"]))], 11, false));
     for _ in 0..8 {
         exchange(&mut hub, &mut asker);
     }
-    assert!(known(&hub, "w1") && known(&asker, "w1"), "it came back");
-    assert!(!known(&hub, "w2"), "it did not");
-    assert!(!known(&asker, "w2"), "the others know that too");
+    assert!(known(&hub, "w1") && known(&asker, "w1"), "w1 registered again");
+    assert!(!known(&hub, "w2"), "w2 did not");
+    assert!(!known(&asker, "w2"), "w2 is removed at other entry VMs too");
 }
