--- a/fleet/tests/large_changes.rs
+++ b/fleet/tests/large_changes.rs
@@ -1,17 +1,13 @@
-//! Large changes of the configuration, at the size of a deployment.
+//! Large changes of the configuration in a large deployment.
 //!
-//! Seen: 90 entry VMs, of which 84 have links of 10 Mbit/s, went on by an older version for more than 3 s after a change to
-//! 4,250 routes had been confirmed, on a day without a fault in the way of it.
+//! Guards against a delay in which 90 entry VMs, 84 of them with links of 10 Mbit/s, kept an older version for more than 3 s after a change to
+//! 4,250 routes had been confirmed, without any fault in the network. The hub answered each frame of an entry VM that lacked the version with
+//! the full configuration. 89 such replies shared the hub's link, and none was complete within the time limit of 0.5 s for a reply: 470 calls
+//! were cut off after 180 of 288 KB. The partial data was discarded and requested again. Without a reply from the hub, the entry VMs read the
+//! same document from the store over the same links, and 448 of these calls were cut off at their limit of 0.7 s after 573 of 977 KB.
 //!
-//! How it came about: the hub answered each frame of an entry VM that lacked the version with the whole configuration.
-//! 89 such answers share the hub's link; none came whole within the half second that a frame's answer had. What had come
-//! was thrown away and asked for again, and the entry VMs, without a word of the hub, asked the store for the same
-//! document over the same links, with a limit that it could not meet either.
-//!
-//! Cause: time limits on whole transfers that do not grow with them, each retried from its beginning, and all copies sent
-//! over the link of one machine.
-//!
-//! Proof: of the calls in these seconds 470 were cut at 0.5 s after 180 KB of 288 KB and 448 at 0.7 s after 573 KB of 977 KB.
+//! The causes were time limits on whole transfers that did not grow with their size, retries from the beginning, and all copies passing through
+//! the link of one machine.
 
 mod links;
 mod node;
@@ -24,12 +20,12 @@
 use links::{LARGE, Links, SMALL};
 use node::{GATEWAY, millis};
 
-/// A confirmed change is to be in force everywhere within two seconds of its confirmation on the strictest deployment.
+/// Required limit of the strictest deployment on the time from the confirmation of a change until it is in force everywhere.
 const BOUND: Duration = Duration::from_secs(2);
-/// How long a change that is late is waited for.
+/// Time limit of a test that waits for a change to be in force.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A configuration with this many routes, named as at random.
+/// A configuration with this many routes and pseudorandom names.
 fn config(version: u64, routes: u32) -> Arc<Config> {
     let route = |number: u32| {
         let drawn = u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -42,7 +38,7 @@
     Arc::new(Config { routes: (0..routes).map(route).collect(), ..node::config(version) })
 }
 
-/// Two large entry VMs in each of three zones, and small ones.
+/// Two large entry VMs in each of three zones, and a number of small ones.
 fn deployment(small: usize) -> Vec<f64> {
     [vec![LARGE; 6], vec![SMALL; small]].concat()
 }
@@ -69,20 +65,20 @@
     assert_soon(change(&deployment(294), 2_800, 7_800));
 }
 
-/// All large entry VMs are lost, so that the hub's own link is a small one.
+/// All large entry VMs are lost, so that the hub has a small link.
 #[test]
 fn hub_on_a_small_link() {
     assert_soon(change(&[SMALL; 84], 1_450, 3_850));
 }
 
-/// What holds while configurations are small.
+/// The same limit with a small configuration.
 #[test]
 fn few_routes() {
     assert_soon(change(&deployment(84), 49, 60));
 }
 
-/// Small changes in quick succession while thousands of routes are declared: each is whole in the store's row, and none
-/// may cost the links as much as the first.
+/// Small changes in quick succession to a configuration of thousands of routes. The store's row always contains the full configuration, but each
+/// change may only cost the links its own size.
 #[test]
 fn quick_succession() {
     let mut links = Links::new(&deployment(84), &config(4, 3_850));
@@ -94,8 +90,8 @@
     assert_soon(links.in_force(24, PATIENCE));
 }
 
-/// A ninth of the entry VMs is suspended: the parts of the tree below them go on without them, and they have the version
-/// soon after they wake.
+/// A ninth of the entry VMs is suspended: the parts of the push tree below them get the version without them, and they get it soon after they
+/// resume.
 #[test]
 fn some_are_suspended() {
     let mut links = Links::new(&deployment(84), &config(4, 1_450));
@@ -109,7 +105,7 @@
     assert_soon(links.in_force(7, PATIENCE));
 }
 
-/// A third of the entry VMs starts anew at once, with nothing: each gets all of a long configuration.
+/// A third of the entry VMs restarts at once without any state: each gets the full large configuration.
 #[test]
 fn many_start_anew() {
     let mut links = Links::new(&deployment(84), &config(4, 7_800));
--- a/fleet/tests/request_homes.rs
+++ b/fleet/tests/request_homes.rs
@@ -1,4 +1,4 @@
-//! Requests that may be served in some regions only: to which engines they are sent, whatever changes meanwhile.
+//! Requests that may be served only in some regions are sent only to engines there, whatever changes meanwhile.
 
 mod node;
 
@@ -30,7 +30,7 @@
     Homes::of(regions.iter().copied().map(Name::from))
 }
 
-/// A configuration in which requests of one route may be served in some regions only.
+/// A configuration in which one route allows only some regions.
 fn bound(version: u64, route: &str, regions: &[&str]) -> Config {
     let mut config = config(version);
     let of = |known: &&mut Arc<Route>| *known.name == *route;
@@ -43,7 +43,7 @@
     entry(id, WRITER, zone, &["m0", "m1"])
 }
 
-/// A process with engines of both services in two regions.
+/// An entry VM with engines of both services in two regions.
 fn ready(config: Config) -> Node {
     let mut node = Node::with("a", settings());
     node.feed(Event::Configured(Arc::new(config)));
@@ -67,16 +67,19 @@
     }
 }
 
-/// Repeats stay at home too.
+/// A retry stays in the allowed regions, too.
 #[test]
 fn repeats_stay_home() {
     let mut node = ready(bound(1, "list", &["south"]));
     let (id, attempt) = node.sent(plain("/list/1"));
     let step = node.ended(id, attempt.number, End::Broken);
-    assert!(matches!(step, Some(Step::Refuse(_))), "no other engine is at home: {step:?}");
+    assert!(
+        matches!(step, Some(Step::Refuse(_))),
+        "there is no other engine in the allowed region: {step:?}"
+    );
 }
 
-/// Where route and workspace both have homes, both bind.
+/// If route and workspace both restrict the regions, both restrictions apply.
 #[test]
 fn both_bind() {
     let (north, south) = (homes(&["north"]), homes(&["south"]));
@@ -84,7 +87,7 @@
     assert!(north.permit(Some(&region)).is_some());
     assert!(north.and(&south).permit(Some(&region)).is_none());
     assert!(north.and(&Homes::default()).permit(Some(&region)).is_some());
-    assert!(north.permit(None).is_none(), "nobody knows the region");
+    assert!(north.permit(None).is_none(), "an unknown region is not allowed");
     assert!(Homes::default().permit(None).is_some());
 }
 
@@ -94,10 +97,10 @@
     node.feed(listing(vec![removed(9, "g2")], 9, false));
     let refusal = node.refused(plain("/ack/1"));
     assert_eq!(refusal.code, Code::NoBackend);
-    assert!(refusal.retry_after.is_some(), "it may come back");
+    assert!(refusal.retry_after.is_some(), "an engine may appear there later");
 }
 
-/// What is declared counts at once, and can be taken back.
+/// A change of the allowed regions applies at once and can be reverted.
 #[test]
 fn homes_change() {
     let mut node = ready(config(1));
@@ -113,7 +116,7 @@
     assert_eq!(*attempt.engine, *"g1");
 }
 
-/// One step of a day.
+/// Configures random allowed regions, or none for `deaf`, and returns them.
 fn step(
     u: &mut Unstructured<'_>,
     node: &mut Node,
@@ -133,7 +136,7 @@
     Ok(declared)
 }
 
-/// Plays one day. Returns whether a request was sent to an engine outside its homes.
+/// Plays one random scenario. Returns whether a request was sent to an engine outside its allowed regions.
 fn strays(u: &mut Unstructured<'_>, deaf: bool) -> arbitrary::Result<bool> {
     let mut node = ready(config(1));
     let zones: BTreeMap<&str, &str> = BTreeMap::from(REGIONS);
@@ -190,17 +193,17 @@
     Ok(false)
 }
 
-/// Whatever is declared, lost, repeated and suspected, no request leaves its homes.
+/// With any combination of configurations, losses, retries and suspicions, no request leaves its allowed regions.
 #[test]
 fn never_strays() {
     arbtest(|u| {
-        assert!(!strays(u, false)?, "a request was sent outside its homes");
+        assert!(!strays(u, false)?, "a request was sent outside its allowed regions");
         Ok(())
     })
     .budget_ms(3_000);
 }
 
-/// A broken copy that does not see homes: the check has to find it.
+/// Checks the test itself: it has to find violations if the configuration restricts no regions.
 #[test]
 fn check_bites() {
     let found = std::cell::Cell::new(0);
--- a/fleet/tests/restored_store.rs
+++ b/fleet/tests/restored_store.rs
@@ -1,4 +1,4 @@
-//! A store that comes back from an older copy: what was written since is gone, versions are given out again, its era has risen.
+//! A store that is restored from an older copy: later writes are lost, versions are assigned again, and the era has risen.
 
 mod node;
 
@@ -37,7 +37,7 @@
     Entry { leaving: true, ..writer(id) }
 }
 
-/// The entries of the other engines that each process of these tests knows, as the copy has them.
+/// The rows of the engines other than `w1` that each process in these tests knows, as in the restored copy.
 fn others(version: Revision) -> Vec<Row> {
     vec![
         row(version, entry("w2", WRITER, "zone-b", &["m0", "m2"])),
@@ -46,14 +46,14 @@
     ]
 }
 
-/// All entries in the copy, with this one of `w1` if there is one.
+/// A listing of all entries in the restored copy, with the given entry of `w1` if there is one.
 fn copy(version: Revision, w1: Option<Entry>) -> Event {
     let mut rows = others(version);
     rows.extend(w1.map(|entry| row(version, entry)));
     listing(rows, version, true)
 }
 
-/// A process that knows four engines up to version 100 of the first era.
+/// A process that has read four engines as of version 100 of the first era.
 fn ready(vm: &str) -> Node {
     let mut node = Node::with(vm, Settings::default());
     node.feed(Event::Configured(Arc::new(config(1))));
@@ -69,8 +69,8 @@
     node.state.engines().any(|engine| *engine.entry.id == *id)
 }
 
-/// Guards against the incident: the row that said an engine leaves had a lower version than the one known from before the store came
-/// back, and was passed over.
+/// Guards against ignoring a row after a restore: the row that marked an engine as leaving had a lower version than the row known from
+/// before the restore, and was skipped as older.
 #[test]
 fn lower_version_is_news() {
     let mut node = ready("a");
@@ -85,22 +85,22 @@
     let mut node = ready("a");
     node.feed(listing(vec![row(at(1, 104), leaves("w1"))], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
-    assert!(!serves(&node, "w1"), "the copy is from before it said so");
+    assert!(!serves(&node, "w1"), "the copy is from before it was marked as leaving");
     node.feed(listing(vec![row(at(2, 95), writer("w1"))], at(2, 95), false));
-    assert!(!serves(&node, "w1"), "a heartbeat from before it said so may come late");
+    assert!(!serves(&node, "w1"), "a heartbeat from before it was marked as leaving may be late");
     let again = Entry { incarnation: Incarnation(Some(9)), ..writer("w1") };
     node.feed(listing(vec![row(at(2, 96), again)], at(2, 96), false));
-    assert!(serves(&node, "w1"), "another start of it does not leave");
+    assert!(serves(&node, "w1"), "its next start is not leaving");
 }
 
-/// Its removal is lost with the rest: it may still run for a while, and its address may be another's by now.
+/// The removal of an engine is lost in the restore. The engine may still run for a while, or another one may have its address by now.
 #[test]
 fn removed_is_doubted() {
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     node.pass(Duration::from_secs(3));
-    assert!(!serves(&node, "w1"), "the store has not missed three of its heartbeats yet");
+    assert!(!serves(&node, "w1"), "three of its heartbeats cannot have been missed yet");
     node.feed(listing(vec![removed(at(2, 99), "w1")], at(2, 99), false));
     node.pass(Duration::from_secs(5));
     assert!(!known(&node, "w1"));
@@ -113,7 +113,7 @@
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     let mut written = node;
     written.feed(listing(vec![row(at(2, 93), writer("w1"))], at(2, 93), false));
-    assert!(serves(&written, "w1"), "it has registered since");
+    assert!(serves(&written, "w1"), "it has registered since the restore");
     let mut node = ready("b");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
@@ -122,7 +122,7 @@
     node.feed(listed(early, Vec::new(), at(2, 95), false));
     assert!(
         !serves(&node, "w1"),
-        "an answer that lay in the socket of a suspended machine says nothing of now"
+        "an answer that was in the socket of a suspended machine does not count as current"
     );
     node.feed(listed(node.now, Vec::new(), at(2, 96), false));
     assert!(serves(&node, "w1"), "the store would have removed it by now");
@@ -130,26 +130,26 @@
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     let again = Entry { incarnation: Incarnation(Some(9)), ..writer("w1") };
     node.feed(copy(at(2, 90), Some(again)));
-    assert!(serves(&node, "w1"), "it has started since");
+    assert!(serves(&node, "w1"), "it has restarted since");
 }
 
-/// An engine whose entry is younger than the copy: it writes it again.
+/// An engine whose entry is newer than the copy writes it again.
 #[test]
 fn lacking_is_waited_for() {
     let mut node = ready("a");
     node.feed(copy(at(2, 90), None));
     node.pass(millis(1_800));
-    assert!(serves(&node, "w1"), "writers have two seconds");
+    assert!(serves(&node, "w1"), "writers have two seconds to repeat lost writes");
     node.feed(listing(vec![row(at(2, 97), writer("w1"))], at(2, 97), false));
     node.pass(Duration::from_secs(3));
     assert!(serves(&node, "w1"));
     let mut node = ready("b");
     node.feed(copy(at(2, 90), None));
     node.pass(millis(2_100));
-    assert!(!known(&node, "w1"), "an entry that is still missing then is to be taken as gone");
+    assert!(!known(&node, "w1"), "an engine whose entry is still missing then counts as gone");
 }
 
-/// An answer that was made before the store came back, and came after another of the new era.
+/// An answer from before the restore is ignored if it arrives after one of the new era.
 #[test]
 fn late_answer_changes_nothing() {
     let mut node = ready("a");
@@ -162,22 +162,23 @@
     assert_eq!(node.state.answers_outdated(), 2);
 }
 
-/// It was removed just after one return, and is waited for, as the store comes back from a copy of before that once more.
+/// An engine is removed just after a restore and is in its grace period when the store is restored once more, from a copy made before the
+/// removal.
 #[test]
 fn lapsing_over_a_second_return() {
     let mut node = ready("a");
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     node.pass(millis(300));
     node.feed(listing(vec![removed(at(2, 95), "w1")], at(2, 95), false));
-    assert!(serves(&node, "w1"), "entries of sound engines lapse around an outage");
+    assert!(serves(&node, "w1"), "entries of healthy engines expire around an outage");
     node.feed(copy(at(3, 80), Some(writer("w1"))));
     node.pass(millis(1_600));
     assert!(!serves(&node, "w1"), "the copy is from before its removal");
     node.feed(listing(vec![row(at(3, 99), writer("w1"))], at(3, 99), false));
-    assert!(serves(&node, "w1"), "it has registered since");
+    assert!(serves(&node, "w1"), "it has registered since the restore");
 }
 
-/// Two returns, the second while engines still write again what the first one lost.
+/// A second restore while engines are still repeating the writes lost in the first one.
 #[test]
 fn second_return() {
     let mut node = ready("a");
@@ -191,10 +192,10 @@
     node.feed(listing(vec![row(at(3, 72), leaves("w2"))], at(3, 72), false));
     assert!(!serves(&node, "w2"));
     node.pass(Duration::from_secs(5));
-    assert!(serves(&node, "g1") && serves(&node, "g2"), "the others were there all along");
+    assert!(serves(&node, "g1") && serves(&node, "g2"), "the other engines were present all along");
 }
 
-/// One line says what is given up with the old era, one when the table is whole again.
+/// One log line describes the state at the change of the era, and another one the first complete listing after it.
 #[test]
 fn era_is_logged() {
     let mut node = ready("a");
@@ -217,10 +218,10 @@
     };
     assert_eq!(told.iter().filter(|effect| reread(effect)).count(), 1);
     let again = node.feed(Event::Era(2)).to_vec();
-    assert!(!again.iter().any(era), "it is known");
+    assert!(!again.iter().any(era), "the era is known already");
 }
 
-/// What an entry VM that starts hears first is no return.
+/// The first era that a starting entry VM sees does not count as a restore.
 #[test]
 fn first_word_is_no_return() {
     let mut node = Node::bare("a");
@@ -230,7 +231,7 @@
     assert_eq!(node.state.era().number(), 7);
 }
 
-/// A process that holds the lease of the first era, and knows four engines.
+/// A process that holds the lease in the first era and knows four engines.
 fn leader() -> Node {
     let mut hub = ready("hub");
     hub.pass(Duration::from_secs(3));
@@ -256,7 +257,7 @@
     node
 }
 
-/// The others hear of the return by the hub, with what differs from before alone: 300 of them ask within a second or two.
+/// The others learn of the restore from the hub, which sends only the differences, because 300 of them ask within a second or two.
 #[test]
 fn hub_tells_what_differs() {
     let (mut hub, mut asker) = (leader(), asker());
@@ -272,7 +273,7 @@
     assert!(!serves(&asker, "w1"));
 }
 
-/// An entry VM may know more of the old era than the hub did: what differs from the hub's knowledge is not enough for it.
+/// An entry VM that had read more of the old era than the hub gets the whole table, since differences from the hub's view are not enough.
 #[test]
 fn who_knew_more_is_told_all() {
     let (mut hub, mut asker) = (leader(), asker());
@@ -285,7 +286,7 @@
     assert!(serves(&asker, "w2"));
 }
 
-/// The number of the frame that an entry VM sends once the one before went unanswered.
+/// Returns the number of the frame that an entry VM sends after an unanswered one.
 fn frame_number(asker: &mut Node) -> u64 {
     asker.feed(Event::Replied(None));
     let wanted = asker.pass(millis(300));
@@ -296,8 +297,8 @@
     frame.expect("a frame")
 }
 
-/// Guards against an engine that left being sent requests again: a leader which the store serves again after an outage, and which has not read the
-/// engines' table yet, vouches for no entry of a copy.
+/// Guards against sending requests to a removed engine again. A hub that reaches the store again after an outage but has not read the engines'
+/// table yet does not confirm the entries of a restored copy.
 #[test]
 fn unread_leader_vouches_for_nothing() {
     let (mut hub, mut asker) = (leader(), asker());
@@ -316,13 +317,13 @@
         ..told.clone()
     };
     asker.feed(Event::Replied(Some(Box::new(unread.clone()))));
-    assert!(!serves(&asker, "w1"), "what the leader knows is from before the store would have removed it");
+    assert!(!serves(&asker, "w1"), "the hub's view is from before the store would have removed it");
     let read = Reply { number: frame_number(&mut asker), listed_age: Some(Duration::ZERO), ..unread };
     asker.feed(Event::Replied(Some(Box::new(read))));
     assert!(serves(&asker, "w1"), "the store would have removed it by now");
 }
 
-/// Guards against the same by other roads: whoever passes a row on may doubt it itself.
+/// Guards against the same through pushed rows: the sender may have the row in doubt itself.
 #[test]
 fn passed_on_is_doubted() {
     let mut node = ready("a");
@@ -336,7 +337,8 @@
     assert!(serves(&node, "w1"), "the store would have removed it by now");
 }
 
-/// Guards against an engine that left being sent requests again where the leader says that all was written again: the store removes the entry of an engine that is gone later than that.
+/// Guards against sending requests to a removed engine again once the hub reports that all lost writes were repeated: the store removes the
+/// entry of an engine that is gone only later.
 #[test]
 fn settled_era_is_doubted() {
     let mut node = ready("a");
@@ -350,25 +352,25 @@
     node.lease(0, Outcome::Read(Some(hub)));
     node.pass(millis(300));
     node.feed(listed(node.now, Vec::new(), at(2, 95), false));
-    assert!(!serves(&node, "w1"), "the store has not missed three of its heartbeats yet");
+    assert!(!serves(&node, "w1"), "three of its heartbeats cannot have been missed yet");
     node.pass(millis(2_000));
     node.feed(listed(node.now, Vec::new(), at(2, 96), false));
     assert!(serves(&node, "w1"), "the store would have removed it by now");
 }
 
-/// An entry VM that has seen the new era tells the hub, which gives no more orders under the old one's number.
+/// An entry VM that has seen the new era reports it to the hub, which sends no more orders under a term of the old one.
 #[test]
 fn frame_tells_the_hub() {
     let mut hub = leader();
     let before = hub.state.lease().holds(hub.now);
     let told = Frame { vm: "b".into(), era: 2, ..Frame::default() };
     hub.feed(Event::Framed(Box::new(told)));
-    assert_eq!(lease_calls(&hub.effects), [Call::Read], "it looks for the new era's row at once");
+    assert_eq!(lease_calls(&hub.effects), [Call::Read], "it reads the lease of the new era at once");
     assert_eq!(hub.state.lease().orders(hub.now), None);
-    assert_eq!(hub.state.lease().holds(hub.now), before, "nobody else can have taken it yet");
+    assert_eq!(hub.state.lease().holds(hub.now), before, "no other process can have taken the lease yet");
 }
 
-/// Whoever held the lease as the store was lost goes on under the new era's number.
+/// The process that held the lease when the store was lost continues as the hub under a term of the new era.
 #[test]
 fn holder_goes_on() {
     let mut hub = leader();
@@ -384,7 +386,7 @@
     }));
     let taken = lease_calls(&hub.effects);
     let [Call::Write { expected, row }] = &*taken else { panic!("{taken:?}") };
-    assert_eq!(*expected, at(2, 0), "the copy's row is none of this era");
+    assert_eq!(*expected, at(2, 0), "the lease in the copy is not of this era");
     assert_eq!((row.term, era_of(row.term)), (first_term(2), 2));
     hub.feed(Event::Lease(Answer { store_ms: Some(2_110), era: Some(2), outcome: Outcome::Written(61) }));
     assert_eq!(hub.state.lease().holds(hub.now), Some(first_term(2)));
@@ -394,11 +396,15 @@
         .any(|effect| matches!(effect, Effect::Record(Record::Lease { state: "kept", .. })));
     assert!(kept);
     let after = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
-    assert_eq!(after.view, before.view, "what it has said of engines is not to be told to hundreds again");
+    assert_eq!(
+        after.view, before.view,
+        "hundreds of entry VMs would otherwise fetch its view of the engines again"
+    );
     assert_eq!(after.membership.map(|own| own.listed), before.membership.map(|own| own.listed));
 }
 
-/// The row that the copy has names a holder of some moments ago, or none: whoever led since may still believe that it does.
+/// The lease in the restored copy names an earlier holder, or none. A process that acquired the lease after that may still consider itself the
+/// holder, so that others wait for a whole lease.
 #[test]
 fn others_wait_for_a_lease() {
     let settings = Settings::default();
@@ -421,7 +427,7 @@
                 break;
             }
         }
-        assert!(node.now.since(first) < Duration::from_secs(4), "nobody ever takes it");
+        assert!(node.now.since(first) < Duration::from_secs(4), "nobody takes the lease");
     }
     assert!(node.now.since(first) >= settings.lease_length + settings.lease_margin);
     node.feed(answer(store_ms + 5, Outcome::Written(101)));
@@ -432,7 +438,7 @@
     assert_eq!(node.state.lease().holds(node.now), Some(first_term(2)));
 }
 
-/// A write into the row of the era before, which the store did after it had come back, is no lease.
+/// A write to the lease row of the previous era that the store accepts after the restore does not give a lease.
 #[test]
 fn late_write_is_no_lease() {
     let mut hub = leader();
@@ -442,10 +448,14 @@
     hub.feed(Event::Lease(Answer { store_ms: Some(2_700), era: Some(2), outcome: Outcome::Written(100) }));
     assert_eq!(hub.state.lease().orders(hub.now), None);
     hub.now = hub.now + Duration::from_secs(2);
-    assert_eq!(hub.state.lease().holds(hub.now), None, "its lease ends when the one before the return does");
+    assert_eq!(
+        hub.state.lease().holds(hub.now),
+        None,
+        "its lease ends when the one from before the restore ends"
+    );
 }
 
-/// A late answer of the old era gives no lease back to whoever knows the new one.
+/// A late answer from the old era does not restore the lease of a process that knows the new one.
 #[test]
 fn late_lease_answer() {
     let mut hub = leader();
@@ -460,7 +470,7 @@
     Digest::from_hash([number; 32])
 }
 
-/// A configuration with one key, or with none once it is taken away.
+/// A configuration with one key, or without it once it is withdrawn.
 fn with_keys(version: u64, withdrawn: bool) -> Config {
     let workspace = Workspace { name: "w".into(), priority: None, limit: None, ..Workspace::default() };
     let key = Key { digest: digest(1), workspace: "w".into() };
@@ -480,7 +490,7 @@
     Event::Declared { version, config, asked }
 }
 
-/// A process that needs proofs that are younger than three seconds, and knows the first era.
+/// A process in the first era that accepts keys only with a proof younger than three seconds.
 fn proving(vm: &str, config: Config) -> Node {
     let mut node =
         Node::with(vm, Settings { revocation: Some(Duration::from_secs(3)), ..Settings::default() });
@@ -494,8 +504,8 @@
     node
 }
 
-/// A key was taken away after the copy was made, and this entry VM has not heard of it: the copy is the newest that the store has, which
-/// proves nothing until the operator has written again.
+/// A key was withdrawn after the copy was made, and this entry VM does not know it. The copy is the store's newest configuration, but does not
+/// count as a proof until the operator has had time to write again.
 #[test]
 fn copy_proves_nothing() {
     let mut node = proving("a", with_keys(4, false));
@@ -503,15 +513,15 @@
         node.pass(millis(100));
         node.feed(declared(at(2, 90), 4, node.now));
     }
-    let age = node.state.proof().age(node.now).expect("one of the era before");
+    let age = node.state.proof().age(node.now).expect("a proof from the previous era");
     assert!(age >= millis(1_850), "{age:?}");
     node.pass(millis(1_000));
     assert_eq!(keyed(&mut node), Some(Code::KeyUnproven), "the old proof is too old by now");
     node.feed(declared(at(2, 95), 4, node.now));
-    assert_eq!(keyed(&mut node), None, "what the operator wrote is written again by now");
+    assert_eq!(keyed(&mut node), None, "the operator has had time to repeat lost writes");
 }
 
-/// The configuration in force is newer than the copy's: it stays, and the store proves it only once it has it again.
+/// A current configuration that is newer than the one in the copy is kept, and proved only once the store has it again.
 #[test]
 fn configuration_stays() {
     let mut node = proving("a", with_keys(5, true));
@@ -527,7 +537,7 @@
     assert_eq!(node.state.proof().age(node.now), Some(Duration::ZERO));
 }
 
-/// A process that starts cannot know whether the era has just begun, unless whoever leads says so.
+/// A starting process cannot know whether the era has just begun, unless the lease row says that it is settled.
 #[test]
 fn start_in_a_new_era() {
     let start = |settled: Option<bool>| {
@@ -555,8 +565,8 @@
     assert_eq!(start(Some(true)), None);
 }
 
-/// The load of 300 entry VMs that lose their leader as the store comes back: each reads whole tables at a moment of its own, within a time
-/// that grows with their number. The leader reads at once.
+/// When 300 entry VMs lose their hub while the store is restored, each reads the whole tables at a random time within an interval that grows
+/// with their number. The hub reads at once.
 #[test]
 fn whole_reads_are_spread() {
     let follow = |effects: &[Effect]| {
@@ -569,16 +579,17 @@
     node.pass(millis(200));
     let word = Reply { leads: true, nodes: 300, era: 1, listed: at(1, 100), ..Reply::default() };
     node.feed(Event::Replied(Some(Box::new(word))));
-    let alone = follow(&node.pass(Duration::from_secs(9))).expect("the leader is lost");
+    let alone =
+        follow(&node.pass(Duration::from_secs(9))).expect("it follows the store once the hub is lost");
     assert_eq!(alone.spread, Duration::from_secs(3));
     let mut hub = ready("hub");
     hub.pass(Duration::from_secs(3));
     hub.lease(2_000, Outcome::Read(None));
-    let leads = follow(hub.lease(2_005, Outcome::Written(101))).expect("it reads for all");
+    let leads = follow(hub.lease(2_005, Outcome::Written(101))).expect("the hub follows the store");
     assert_eq!(leads.spread, Duration::ZERO);
 }
 
-/// Requests that crash engines are known from the row of the era before, too: a process that starts with nothing has no other source.
+/// A starting process takes over quarantined requests from a lease row of the previous era, because it has no other source.
 #[test]
 fn copy_keeps_quarantine() {
     let mut node = Node::bare("b");
--- a/fleet/tests/route_table.rs
+++ b/fleet/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Requests find their route by host and longest prefix, and routes find one of their services.
+//! Lookup of a request's route by host and longest prefix, and the choice of one of the route's services.
 
 mod node;
 
@@ -23,7 +23,7 @@
     assert_eq!(table.find("other.example", "/ack/1").map(|route| &route.name), None);
 }
 
-/// Whatever routes there are: the one found is the longest of those whose prefix begins the path.
+/// For any routes and path, the lookup finds the route with the longest prefix of the path.
 #[test]
 fn any_routes_and_path() {
     arbtest::arbtest(|data| {
--- a/fleet/tests/store/mod.rs
+++ b/fleet/tests/store/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's store in a test: the lease's rows, the engines' table and the configuration, each write with a version of its own. It
-//! can come back from an older copy: what was written since is gone, versions are given out again, and its era has risen.
+//! A fake of the platform's store with the lease rows, the engines' table and the configuration; each write gets a new version. It can be
+//! restored from an older copy: later writes are lost, versions are assigned again, and the era rises.
 
 #![allow(dead_code, reason = "each test uses what it needs")]
 
@@ -16,22 +16,22 @@
 use boragecove_fleet::lease::{self, Call, Outcome, Seen};
 use boragecove_fleet::revision::Revision;
 
-/// How long copies are kept.
+/// How long backup copies are kept.
 const KEPT: Duration = Duration::from_secs(8);
-/// Time between two copies.
+/// Time between two backup copies.
 const COPY_EVERY: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Debug, Default)]
 struct Content {
     version: u64,
-    /// The last version in which anything but a lease was written.
+    /// The version of the last write to anything but a lease.
     tables: u64,
-    /// By the era that each row is of.
+    /// Version and row of the lease, by era.
     leases: BTreeMap<u64, (u64, lease::Row)>,
-    /// An entry; none if it was removed.
+    /// Version and entry of each engine; no entry if it was removed.
     engines: BTreeMap<Name, (u64, Option<Entry>)>,
     config: Option<(u64, Arc<Config>)>,
-    /// Whether each availability zone is evacuated.
+    /// Version and evacuation state of each availability zone.
     evacuations: BTreeMap<Name, (u64, bool)>,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Store {
-    /// A store that names an era from the beginning.
+    /// A store that starts in the given era.
     pub fn in_era(era: u64) -> Self {
         Self { era, ..Self::default() }
     }
@@ -66,7 +66,7 @@
         Revision::new(self.era, self.content.version)
     }
 
-    /// A call about the lease.
+    /// Executes a call concerning the lease.
     pub fn lease(&mut self, call: &Call) -> Outcome {
         let seen = |era: u64, (version, row): &(u64, lease::Row)| Seen {
             version: Revision::new(era, *version),
@@ -89,31 +89,31 @@
         }
     }
 
-    /// The last version in which anything but a lease was written.
+    /// The version of the last write to anything but a lease.
     pub fn tables(&self) -> u64 {
         self.content.tables
     }
 
-    /// An engine writes its entry.
+    /// Writes an engine's entry.
     pub fn put(&mut self, entry: Entry) {
         let version = self.write();
         self.content.tables = version;
         self.content.engines.insert(entry.id.clone(), (version, Some(entry)));
     }
 
-    /// An engine's entry is removed.
+    /// Removes an engine's entry.
     pub fn remove(&mut self, engine: &Name) {
         let version = self.write();
         self.content.tables = version;
         self.content.engines.insert(engine.clone(), (version, None));
     }
 
-    /// What stands there of an engine.
+    /// Returns the entry of an engine.
     pub fn entry(&self, engine: &Name) -> Option<&Entry> {
         self.content.engines.get(engine).and_then(|(_, entry)| entry.as_ref())
     }
 
-    /// The operator writes a configuration.
+    /// Writes a configuration as the operator.
     pub fn declare(&mut self, config: Arc<Config>) {
         let version = self.write();
         self.content.tables = version;
@@ -124,12 +124,12 @@
         self.content.config.as_ref().map(|(_, config)| config)
     }
 
-    /// The version up to which the store can be read, with its era.
+    /// The current revision.
     pub fn read_up_to(&self) -> Revision {
         self.revision()
     }
 
-    /// The engines' table, or what has changed in it; all of it for who knows it from another era.
+    /// Reads the changes of the engines' table since `known`, or the whole table if `known` is of another era.
     pub fn engines(&self, asked: Time, known: Option<Revision>) -> Listing {
         let after = known.filter(|known| known.era == self.era && known.version <= self.content.version);
         let rows = self.content.engines.iter().filter_map(|(id, (version, entry))| {
@@ -143,14 +143,14 @@
         Listing { rows: rows.collect(), version: self.revision(), whole: after.is_none(), as_of: Some(asked) }
     }
 
-    /// The operator evacuates a zone, or takes that back.
+    /// Evacuates a zone as the operator, or revokes that.
     pub fn evacuate(&mut self, zone: &str, evacuated: bool) {
         let version = self.write();
         self.content.tables = version;
         self.content.evacuations.insert(zone.into(), (version, evacuated));
     }
 
-    /// What operators say of zones, or what has changed in it.
+    /// Reads the changes of the zones' evacuation state since `known`, or the whole state if `known` is of another era.
     pub fn evacuations(&self, known: Option<Revision>) -> evacuation::Listing {
         let after = known.filter(|known| known.era == self.era && known.version <= self.content.version);
         let words = self.content.evacuations.iter().filter_map(|(zone, (version, evacuated))| {
@@ -161,7 +161,7 @@
         evacuation::Listing { words: words.collect(), version: self.revision(), whole: after.is_none() }
     }
 
-    /// Keeps a copy of now, if the last one is old.
+    /// Makes a backup copy if the last one is old enough.
     pub fn keep(&mut self, now: Time) {
         if self.copies.last().is_none_or(|(at, _)| now.since(*at) >= COPY_EVERY) {
             self.copies.push((now, self.content.clone()));
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Comes back from a copy of so long ago, or the oldest there is.
+    /// Restores the store from a copy that is at least `back` old, or from the oldest one.
     pub fn restore(&mut self, now: Time, back: Duration) {
         let at = self.copies.iter().rposition(|(at, _)| now.since(*at) >= back).unwrap_or_default();
         if let Some((_, copy)) = self.copies.get(at) {
--- a/fleet/tests/store_drills.rs
+++ b/fleet/tests/store_drills.rs
@@ -1,4 +1,5 @@
-//! Drills of the store, alone and with lost leaders, cuts, suspensions and restarts: who may give orders, and which engines are believed in.
+//! Restores of the store (drills), alone and combined with lost hubs, partitions, suspensions and restarts: which process may send orders, and
+//! which engines are used.
 
 mod node;
 mod world;
@@ -13,11 +14,11 @@
 use world::departures::Departures;
 use world::{Store, World, ZONES};
 
-/// The users' rule: time between two machines' orders.
+/// Required minimum time between the orders of two different machines.
 const GAP: Duration = Duration::from_secs(3);
-/// The users' rule: how long after the store took it an engine that leaves may still be sent to,
+/// Required limit on how long after the store's write a leaving engine may still get requests.
 const LEAVES_WITHIN: Duration = Duration::from_secs(2);
-/// by machines that nothing has been done to for this long, nor to the store.
+/// The limit applies to machines that, like the store, have been undisturbed for this long.
 const CONTACT: Duration = Duration::from_secs(3);
 const ENGINES: usize = 9;
 
@@ -40,7 +41,7 @@
     world
 }
 
-/// How two machines may have given orders too close to each other, or under numbers that do not rise.
+/// Returns the cases in which two machines sent orders too close to each other, or under terms that do not increase.
 fn order_faults(world: &World) -> Vec<String> {
     let mut faults = Vec::new();
     let mut turns = world.orderers.clone();
@@ -74,7 +75,7 @@
     }
 }
 
-/// An engine begins to leave, or its entry is removed.
+/// Marks an engine as leaving, or removes its entry.
 fn leave(world: &mut World, watch: &mut Departures, number: usize, removed: bool) {
     if !watch.stays(&id(number)) {
         return;
@@ -87,7 +88,7 @@
     watch.take(world, &id(number));
 }
 
-/// Plays one day. Returns what was wrong, with what had been done until then.
+/// Plays one random scenario. Returns the violations found and the steps played.
 fn play(u: &mut Unstructured<'_>, blind: bool) -> arbitrary::Result<(Vec<String>, Vec<String>)> {
     let mut world = world(u.int_in_range(3..=10)?, u.arbitrary()?);
     world.blind = blind;
@@ -124,8 +125,9 @@
     Ok((faults, steps))
 }
 
-/// Whatever is lost, cut off, suspended or restarted beside drills: one machine orders at a time, with the gap between two, under numbers
-/// that rise; whoever knows that an engine leaves never sends there again; sound engines are used again soon.
+/// With any combination of restores, losses, partitions, suspensions and restarts: one machine sends orders at a time, with a gap between two
+/// machines and under increasing terms; a process that knows that an engine is leaving never sends to it again; healthy engines are used
+/// again soon.
 #[test]
 fn drills_among_faults() {
     arbtest(|u| {
@@ -136,8 +138,9 @@
     .budget_ms(world::budget_ms(6_000));
 }
 
-/// The leader knows that an engine was removed, finds it in the copy, and is suspended before it hears that it was removed again. Seen on a
-/// random day: as it went on, the time for that was over by its clock, and it believed in the engine until its next reading.
+/// Guards against using a removed engine after a suspension, as found by a random scenario. The hub knows that an engine was removed, finds it
+/// in the restored copy, and is suspended before it reads that the engine was removed again. When it resumed, the time in which it doubts
+/// such entries was over by its clock, so that it used the engine until its next read.
 #[test]
 fn suspended_while_doubting() {
     let mut world = world(6, 5);
@@ -155,14 +158,14 @@
     assert!(watch.faults.is_empty(), "{:#?}", &watch.faults[..watch.faults.len().min(5)]);
 }
 
-/// Days of the same kind, always the same ones.
+/// Plays the scenario of a fixed seed.
 fn day(seed: u64, blind: bool) -> Vec<String> {
     let mut bytes = vec![0; 4_096];
     fastrand::Rng::with_seed(seed).fill(&mut bytes);
     play(&mut Unstructured::new(&bytes), blind).expect("bytes enough").0
 }
 
-/// The same where nobody sees the era: the checks have to find it, of engines and of orders.
+/// Checks the test itself: if no process sees the era, both checks, of engines and of orders, have to find violations.
 #[test]
 fn check_bites() {
     let mut found = [false; 2];
@@ -174,14 +177,11 @@
             return;
         }
     }
-    panic!(
-        "engines that leave are believed in again: {}, orders too close or under one number: {}",
-        found[0], found[1]
-    );
+    panic!("leaving engines used again: {}, orders too close or under the same term: {}", found[0], found[1]);
 }
 
-/// The load of a drill before 300 entry VMs that loses the leader too: one of them orders again, engines that leave are known to, and what
-/// each reads of the store and of the leader is bounded.
+/// Restores the store of 300 entry VMs and loses the hub too. Afterwards one of them sends orders again and no leaving or removed engine is
+/// used.
 #[test]
 fn many_entry_vms() {
     let mut world = world(300, 3);
--- a/fleet/tests/update_bytes.rs
+++ b/fleet/tests/update_bytes.rs
@@ -1,4 +1,4 @@
-//! Updates of the configuration: what they lead to, and how large they are on their way.
+//! Configuration updates: the result of applying them, and their size on the wire.
 
 mod node;
 
@@ -21,7 +21,7 @@
     Config { routes: routes.into_iter().collect(), ..node::config(version) }
 }
 
-/// Routes that were drawn: some of sixty, each in one of two forms.
+/// A configuration with a random subset of sixty routes, each in one of two variants.
 fn drawn(version: u64, data: &mut Unstructured<'_>) -> Result<Config> {
     let mut routes = Vec::new();
     for number in 0..60 {
@@ -58,11 +58,15 @@
     let update = through(&Update::between(None, &after));
     assert_eq!(update.base, 0);
     let old = config(3, (0..7).map(|number| route(number, 2)));
-    assert_eq!(update.clone().apply(Some(&old)).expect("any base"), after, "whatever was there before");
+    assert_eq!(
+        update.clone().apply(Some(&old)).expect("any base"),
+        after,
+        "a full update replaces any configuration"
+    );
     assert_eq!(update.apply(None).expect("no base"), after);
 }
 
-/// Names that stand twice cannot tell what has changed: all is told.
+/// With duplicate names no delta can be computed, so that the update contains the full configuration.
 #[test]
 fn names_that_repeat() {
     let twice = config(3, [route(1, 1), route(1, 2)]);
@@ -86,8 +90,7 @@
     assert!(matches!(packed.unpack(), Err(Error::Pack(pack::Error::Compress(_) | pack::Error::Decode(_)))));
 }
 
-/// The load of thousands of routes at once: the update is a small part of the document, and as small for a long
-/// configuration as for a short one.
+/// An update that adds thousands of routes is much smaller than the encoded configuration, and its size depends only on the changed routes.
 #[test]
 fn bytes_of_a_change() {
     let before = config(3, (0..4_000).map(|number| route(number, 1)));
@@ -95,7 +98,7 @@
     let bytes = |before: Option<&Config>| Update::between(before, &after).pack().expect("packs").bytes.len();
     let (change, whole) = (bytes(Some(&before)), bytes(None));
     let document = rmp_serde::to_vec(&after).expect("encodes").len();
-    println!("2,400 routes more: {change} bytes; all 6,400: {whole}; encoded but not packed: {document}");
+    println!("2,400 more routes: {change} bytes; all 6,400: {whole}; encoded but not compressed: {document}");
     assert!(change < 2_400 * 24, "{change} bytes");
     assert!(whole < 6_400 * 24, "{whole} bytes");
 }
--- a/fleet/tests/world/departures.rs
+++ b/fleet/tests/world/departures.rs
@@ -1,4 +1,5 @@
-//! Engines that leave in a deployment of a test: when the store took that, who heard it from the engine itself, and who would still send there.
+//! Checks for leaving engines in a simulated deployment: when the store accepted the departure, which entry VM learned of it from the engine
+//! itself, and which entry VMs would still send requests to the engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,23 +12,23 @@
 
 use super::World;
 
-/// Time between two looks at what all believe.
+/// Time between two checks of all entry VMs.
 const LOOK_EVERY: Duration = Duration::from_millis(20);
 
-/// What entry VMs leave out in a broken copy.
+/// Which messages omit departures, to check that a test detects this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mute {
-    /// Of what is pushed down the trees, all that says of engines that they leave.
+    /// Pushes omit departures.
     Pushes,
-    /// The same of frames to the hub.
+    /// Frames to the hub omit departures.
     Frames,
-    /// The same of the hub's answers.
+    /// The hub's replies omit departures.
     Replies,
-    /// The same of pushes and of the hub's answers.
+    /// Both pushes and the hub's replies omit departures.
     Hub,
 }
 
-/// The first entry VM that heard from an engine that it leaves.
+/// The first entry VM that received an engine's own announcement.
 #[derive(Clone, Copy, Debug)]
 struct Hearer {
     vm: usize,
@@ -35,27 +36,27 @@
     at: Time,
 }
 
-/// What is checked of engines while a day is played.
+/// Checks the departures of engines while a scenario is played.
 #[derive(Debug)]
 pub struct Departures {
-    /// The users' rule: how long after the store took its word an engine that leaves may still be sent to,
+    /// Required limit on how long after the store's write a leaving engine may still get requests.
     drain: Duration,
-    /// by entry VMs that nothing has been done to for this long, nor to the store.
+    /// The limit applies to entry VMs that, like the store, have been undisturbed for this long.
     contact: Duration,
-    /// When the store took that an engine leaves or is gone.
+    /// When the store accepted that an engine is leaving or gone.
     taken: BTreeMap<String, Time>,
     heard: BTreeMap<String, Hearer>,
-    /// Engines that stay all day.
+    /// Engines that never leave.
     stay: BTreeSet<String>,
-    /// Which start of which entry VM has believed in which engine.
+    /// Entry VMs, with the number of their start, that have used an engine.
     believed: BTreeSet<(usize, u64, String)>,
-    /// Which of them knows that the engine leaves.
+    /// Those of them that have learned that the engine is leaving.
     knows: BTreeSet<(usize, u64, String)>,
     pub faults: Vec<String>,
 }
 
 impl Departures {
-    /// Before anybody has left.
+    /// Creates the checks for engines that are all present.
     pub fn new(engines: impl Iterator<Item = String>, drain: Duration, contact: Duration) -> Self {
         Self {
             drain,
@@ -69,23 +70,23 @@
         }
     }
 
-    /// An engine leaves, and only the store's word is to count for others.
+    /// Notes that an engine will leave. No time limit applies until the store accepts the departure.
     pub fn leaves(&mut self, engine: &str) {
         self.stay.remove(engine);
     }
 
-    /// Whether nothing has been said of an engine's leaving.
+    /// Whether no departure of the engine was noted.
     pub fn stays(&self, engine: &str) -> bool {
         self.stay.contains(engine)
     }
 
-    /// The store takes now that an engine leaves or is gone.
+    /// Notes that the store accepts now that an engine is leaving or gone.
     pub fn take(&mut self, world: &World, engine: &str) {
         self.stay.remove(engine);
         self.taken.entry(engine.to_owned()).or_insert(world.now);
     }
 
-    /// An entry VM hears from an engine that it leaves.
+    /// Lets an entry VM receive an engine's announcement that it is leaving.
     pub fn hear(&mut self, world: &mut World, vm: usize, engine: &str) {
         self.stay.remove(engine);
         let hearer = Hearer { vm, start: world.start_of(vm), at: world.now };
@@ -93,13 +94,13 @@
         world.hear_leaving(vm, engine);
     }
 
-    /// The store comes back from a copy: what it lost counts from the moment on at which entry VMs are in touch with it again.
+    /// Handles a restore of the store: the time limits start again once entry VMs have been connected to it long enough.
     pub fn drilled(&mut self, world: &World) {
         let again = world.now + self.contact;
         self.taken.values_mut().for_each(|taken| *taken = again.max(*taken));
     }
 
-    /// Lets time pass, and looks at what all believe meanwhile.
+    /// Lets time pass, and checks all entry VMs meanwhile.
     pub fn pass(&mut self, world: &mut World, time: Duration) {
         let end = world.now + time;
         while world.now < end {
@@ -139,14 +140,14 @@
         }
     }
 
-    /// Time since the store took its word, if the entry VM is to know by now.
+    /// Time since the store accepted the departure, if the entry VM has to know of it by now.
     fn late_by_store(&self, world: &World, at: usize, engine: &str) -> Option<Duration> {
         let late = world.now.since(*self.taken.get(engine)?);
         let calm = world.calm_since(at).map(|since| world.now.since(since))?;
         (late > self.drain && calm >= self.contact).then_some(late)
     }
 
-    /// Time since an entry VM that can tell the others heard of it, if they are to know by now.
+    /// Time since the announcement to an entry VM that can notify the others, if they have to know of it by now.
     fn late_by_word(&self, world: &World, at: usize, engine: &str) -> Option<Duration> {
         let heard = self.heard.get(engine)?;
         let late = world.now.since(heard.at);
@@ -163,14 +164,14 @@
                 self.believed.insert((at, world.start_of(at), engine.clone()));
             } else if calm >= self.contact * 2 {
                 self.faults
-                    .push(format!("{:?}: vm {at} does not believe in {engine}, which is sound", world.now));
+                    .push(format!("{:?}: vm {at} does not believe in {engine}, which is healthy", world.now));
             }
         }
     }
 }
 
 impl World {
-    /// An answer of an engine says to an entry VM that it leaves.
+    /// Lets an entry VM receive a response in which an engine announces that it is leaving.
     pub fn hear_leaving(&mut self, at: usize, engine: &str) {
         if !self.vms[at].running || self.vms[at].suspended {
             return;
@@ -184,7 +185,7 @@
         self.feed(at, Event::Noticed { from, notice, asked: None });
     }
 
-    /// Entry VMs that run and would send requests to an engine.
+    /// Number of running entry VMs that would send requests to an engine.
     pub fn believers(&self, engine: &str) -> usize {
         (0..self.len()).filter(|at| self.is_running(*at) && self.believes_in(*at, engine)).count()
     }
