--- a/fleet/benches/hub.rs
+++ b/fleet/benches/hub.rs
@@ -1,5 +1,5 @@
-//! Time that the holder of the lease takes to hear a frame and to answer it, and for a plan, while callers everywhere wait for
-//! adapters that have no room: with few and with many entry VMs.
+//! Time that the holder of the lease takes to process a frame, to answer it, and to make a plan, while callers of all
+//! entry VMs wait for adapters for which there is no room. Measured with few and with many entry VMs.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -22,18 +22,18 @@
 
 const START: Time = Time::from_millis(1_000_000);
 const SERVICE: &str = "writer";
-/// Model engines, and the models of which each holds two.
+/// Number of model engines, and number of models. Each engine holds two.
 const ENGINES: usize = 204;
 const MODELS: usize = 136;
-/// Adapters that an engine has room for, and adapters that a model has.
+/// Number of adapters that an engine has room for, and number of adapters of a model.
 const ADAPTERS_MAX: usize = 8;
 const ADAPTERS: usize = 64;
-/// Adapters that callers of all entry VMs together wait for, and those that one entry VM's callers wait for.
+/// Number of adapters that callers of all entry VMs together wait for, and that callers of one entry VM wait for.
 const WAITED_FOR: usize = 200;
 const WAITED_FOR_AT_EACH: usize = 4;
-/// Targets of which one entry VM has requests under way, and engines at which it has some.
+/// Number of targets for which one entry VM has requests under way, and number of engines on which it has load.
 const OPEN_AT_EACH: usize = 30;
-/// Entry VMs.
+/// Numbers of entry VMs.
 const SIZES: [usize; 2] = [30, 295];
 
 fn main() {
@@ -79,7 +79,7 @@
     format!("i-{number:08x}").into()
 }
 
-/// Every place for an adapter is taken.
+/// All adapter slots of an engine are taken.
 fn held(number: usize) -> Vec<Held> {
     let held = |place: usize| Held {
         model: model((number * 2 + place) % MODELS),
@@ -110,7 +110,7 @@
     Target { service: SERVICE.into(), model, adapter }
 }
 
-/// What one entry VM tells. All adapters that are held are in use, so that none makes way.
+/// The frame of one entry VM. All adapters that engines hold are in use, so that none can be replaced.
 fn frame(vm: usize) -> Frame {
     let waited_for = |at: usize| {
         let number = (vm * WAITED_FOR_AT_EACH + at) % WAITED_FOR;
@@ -145,7 +145,7 @@
 }
 
 impl Hub {
-    /// The holder of the lease, which has heard all entry VMs and knows what all engines hold.
+    /// The holder of the lease after it has processed the frames of all entry VMs and learned what all engines hold.
     fn new(vms: usize) -> Self {
         let me = Identity {
             vm: "front-hub".into(),
@@ -172,7 +172,7 @@
         boragecove_fleet::apply(&mut self.state, self.now, event)
     }
 
-    /// Lets time pass; the store takes each renewal of the lease.
+    /// Advances the clock. The store accepts each renewal of the lease.
     fn pass(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
         let effects = self.feed(Event::Wake);
--- a/fleet/src/bound.rs
+++ b/fleet/src/bound.rs
@@ -1,46 +1,51 @@
-//! The time within which a change has to be in force everywhere, by the operators, and how it is divided over the way of the news.
+//! The time by which a change has to be in force on every entry VM, set by operators, and its division over the steps
+//! by which the change travels.
 //!
-//! Each wait on that way may be in vain once, for an answer, a connection or a process that is lost: the sum of the waits, with one of them in
-//! vain, is less than the bound.
+//! Each step may lose one response, connection or process. The sum of all waits, with one of them used up by such a
+//! loss, is less than the bound.
 
 use std::time::Duration;
 
-/// A bound on how long a change may take to be in force everywhere.
+/// Upper bound on the time until a change is in force everywhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bound(pub Duration);
 
 impl Bound {
-    /// How long the store may hold a call for changes until it answers that there are none.
+    /// How long the store may hold a long poll for changes before it answers that there are none.
     #[must_use]
     pub fn wait(self) -> Duration {
         self.0 / 4
     }
 
-    /// How much later that answer may begin before the call is made anew on another connection: this one may deliver nothing more.
+    /// How much later than the end of the long poll its response may begin. After that the call is repeated on
+    /// another connection, since the current one may never deliver anything again.
     #[must_use]
     pub fn overdue(self) -> Duration {
         self.0 / 10
     }
 
-    /// The longest pause between two calls for changes of those that nobody tells, and after a call that failed.
+    /// The longest pause between two calls for changes that no other entry VM reports, and after a failed call.
     #[must_use]
     pub fn pause(self) -> Duration {
         self.0 / 5
     }
 
-    /// How long after its time an attempt may still be written: later, what it was decided by may be too old.
+    /// How long after its scheduled time an attempt may still be sent. Later, the data on which its engine was chosen
+    /// may be too old.
     #[must_use]
     pub fn write(self) -> Duration {
         self.0 * 3 / 20
     }
 
-    /// How old the word of others on the store may be, where all goes well and one answer is overdue.
+    /// Greatest age of the store's data as relayed by other entry VMs, if nothing fails but one response that is
+    /// overdue.
     #[must_use]
     pub fn word(self) -> Duration {
         self.wait() + self.overdue() + self.pause()
     }
 
-    /// How late a process may wake before what it knows is in doubt: it stood still, and was told nothing meanwhile.
+    /// How late a process may wake before its data is in doubt: the process stalled and received nothing in that
+    /// time.
     #[must_use]
     pub fn standstill(self) -> Duration {
         self.0 / 4
--- a/fleet/src/frame.rs
+++ b/fleet/src/frame.rs
@@ -1,5 +1,5 @@
-//! Frames: what each entry VM tells the hub several times a second, and what the hub answers. The cost
-//! grows with the number of entry VMs, not with its square.
+//! Frames: the report that each entry VM sends to the hub several times a second, and the hub's reply. The cost grows
+//! linearly with the number of entry VMs, not with its square.
 
 mod answered;
 mod follow;
@@ -48,73 +48,75 @@
 use crate::timer::Timer;
 use crate::trust;
 
-/// Times between frames without an answer after which the hub is taken as gone.
+/// Number of frame intervals without a reply after which the hub counts as lost.
 const FRAMES_MISSED: f64 = 2.5;
-/// Time between frames of those that read the store for the others where the hub does not, at most: they are few, and find out for all
-/// that the hub is lost or turned away.
+/// Longest time between frames of the entry VMs that read the store when the hub doesn't. They are few, and they
+/// detect for all others that the hub is lost or rejected by the store.
 const READER_EVERY: Duration = Duration::from_millis(500);
-/// How often the time doubles after which a process that starts asks the hub again.
+/// How often the interval doubles at which a starting process asks the hub again.
 const START_DOUBLINGS: u32 = 4;
-/// Loads that are known later than this say nothing any more.
+/// Upper limit of the staleness of loads. Older loads carry no information.
 const LATENESS_MAX: Duration = Duration::from_secs(2);
-/// Refusals that are told once more, at most: an engine that is asked about one says all that it holds.
+/// Maximum number of refusals that are reported again. An engine that is asked about one of them lists all that it
+/// holds.
 const ABSENT_MAX: usize = 64;
 
-/// What this process knows of the hub, and as the hub of the others.
+/// What this process knows about the hub, and, as the hub, about the other entry VMs.
 #[derive(Debug, Default)]
-#[expect(clippy::struct_excessive_bools, reason = "each is a belief of its own")]
+#[expect(clippy::struct_excessive_bools, reason = "independent flags")]
 pub struct Hub {
-    /// Whether the hub said that it holds the lease.
+    /// Whether the hub reported that it holds the lease.
     pub(crate) leads: bool,
-    /// Whether the store has answered the hub lately, so that the hub's word is as good as the store's.
+    /// Whether the store has answered the hub recently, so that the hub's data is as good as the store's.
     fresh: bool,
-    /// Entry VMs, as the hub counted them.
+    /// Number of entry VMs as counted by the hub.
     pub(crate) nodes: u32,
-    /// What is known of what engines hold.
+    /// Version of the engines' residencies known here.
     pub(crate) view: View,
-    /// What it said of engines, or of starts of engines, whose rows are not known here yet.
+    /// Residencies reported by the hub for engines, or starts of engines, whose rows haven't arrived yet.
     early: BTreeMap<Name, Resident>,
-    /// When the hub last answered.
+    /// When the hub last replied.
     answered: Option<Time>,
-    /// Whether this process reads the store for the others where the hub does not.
+    /// Whether this process reads the store for other entry VMs when the hub doesn't.
     pub(crate) reads: bool,
-    /// What the hub knew when it answered last: its configuration, and up to where the engines' table.
+    /// What the hub had when it last replied: its configuration version, and the revision of its engine table.
     pub(crate) known_there: (u64, Revision),
-    /// As the hub, when the store last answered one that reads it.
+    /// As the hub: when the store last answered an entry VM that reads it.
     read_at: Option<Time>,
-    /// Whether the last frame had no answer.
+    /// Whether the last frame got no reply.
     unanswered: bool,
-    /// The frame under way.
+    /// The frame that is waiting for its reply.
     asking: Option<Asking>,
-    /// The number of the last frame.
+    /// Number of the last frame.
     number: u64,
-    /// How often the hub was asked by a process that starts, as far as that counts.
+    /// Number of times that this process has asked the hub since its start, up to the limit of the backoff.
     start_asks: u32,
-    /// What those are told who know nothing yet.
+    /// As the hub: packed tables for entry VMs that have no data yet.
     snapshots: Snapshots,
-    /// Refusals to be told.
+    /// Refusals that are still to be reported.
     pub(crate) absent: Vec<Absent>,
-    /// The others' last frames, as the hub.
+    /// As the hub: the last frame of each other entry VM.
     peers: BTreeMap<Name, Peer>,
-    /// As a new hub, entry VMs that the one before named and that have not sent a frame yet, and until when they count.
+    /// As a new hub: entry VMs that the previous hub listed and that haven't sent a frame here yet, and the time
+    /// until which they count.
     inherited: BTreeMap<Name, Member>,
     inherited_until: Time,
 }
 
-/// A frame that was not answered yet.
+/// A frame that is waiting for its reply.
 #[derive(Debug)]
 struct Asking {
-    /// Its number.
+    /// Number of the frame.
     number: u64,
     /// When it was sent.
     at: Time,
-    /// Whether requests have begun to wait since it was sent.
+    /// Whether requests have started to wait since then, which the frame doesn't report.
     unsaid: bool,
-    /// The refusals that it tells.
+    /// The refusals that it reports.
     absent: Vec<Absent>,
-    /// The last change of engines' limits that it tells.
+    /// The last change of engine limits that it reports.
     limits: u64,
-    /// The last change of what engines say of their leaving that it tells.
+    /// The last change of engine departures that it reports.
     departures: u64,
 }
 
@@ -125,67 +127,67 @@
 }
 
 impl Hub {
-    /// A process that knows nobody yet: it reads the store itself.
+    /// The state of a process that has no data yet and reads the store itself.
     pub(crate) fn new() -> Self {
         Self { reads: true, ..Self::default() }
     }
 
-    /// Whether the hub has answered lately.
+    /// Whether the hub has replied recently.
     #[must_use]
     pub fn alive(&self, now: Time, settings: &Settings) -> bool {
         let silence = settings.hub_silence.max(self.pace(settings).mul_f64(FRAMES_MISSED));
         self.answered.is_some_and(|at| now.since(at) < silence)
     }
 
-    /// Whether the hub's word stands for the store's. Frames of hundreds of entry VMs are seconds apart, so that a hub is
-    /// counted as gone long after it was lost; its word is doubted as soon as it is older than the silence that few
-    /// entry VMs allow and a frame had no answer. The store is then read besides, which neither asks more of a hub
-    /// that may only be busy nor gives its place to another.
+    /// Whether the hub's data can replace reading the store. With hundreds of entry VMs frames are seconds apart, and
+    /// a hub counts as lost only long after it was. Its data is in doubt earlier: as soon as a frame got no reply and
+    /// the data is older than `hub_silence`. The store is then read in addition, which neither puts more load on a
+    /// hub that may only be busy nor replaces it.
     fn speaks_for_store(&self, now: Time, settings: &Settings) -> bool {
         let doubted = self.unanswered && self.age(now) >= settings.hub_silence;
         self.fresh && !doubted && self.alive(now, settings)
     }
 
-    /// By how much longer each entry VM waits, since there are so many; one for few.
+    /// Factor by which this entry VM's intervals are longer in a large fleet; 1 in a small one.
     fn many(&self, settings: &Settings) -> f64 {
         (f64::from(self.nodes) / f64::from(settings.frame_nodes)).max(1.0)
     }
 
-    /// Time between this process's frames.
+    /// Time between frames of this process.
     fn pace(&self, settings: &Settings) -> Duration {
         let every = settings.frame_every.mul_f64(self.many(settings));
         if self.reads { every.min(READER_EVERY.max(settings.frame_every)) } else { every }
     }
 
-    /// Time since the hub last answered.
+    /// Time since the hub last replied.
     #[must_use]
     pub fn age(&self, now: Time) -> Duration {
         self.answered.map_or(Duration::MAX, |at| now.since(at))
     }
 
-    /// How often, as the hub, all of something was told at once, by why.
+    /// As the hub: number and size of full snapshots sent, by reason.
     pub(crate) const fn told_whole(&self) -> &BTreeMap<Reason, Told> {
         &self.snapshots.told
     }
 
-    /// Entry VMs that this one knows of as the hub, itself among them.
+    /// Number of entry VMs known to this one as the hub, itself included.
     pub(crate) fn known(&self) -> u32 {
         (self.peers.len() + self.inherited.len()) as u32 + 1
     }
 
-    /// A number that no frame of this process has had.
+    /// A frame number that this process hasn't used yet.
     pub(crate) const fn next_number(&mut self) -> u64 {
         self.number += 1;
         self.number
     }
 
-    /// The frames of the other entry VMs.
+    /// The last frames of the other entry VMs.
     pub(crate) fn frames(&self) -> impl Iterator<Item = &Frame> {
         self.peers.values().map(|peer| &peer.frame)
     }
 }
 
-/// The next frame is due.
+/// Sends the next frame.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let wait = pace(state);
     state.timers.set(now + wait.mul_f64(0.9 + 0.2 * state.rng.f64()), Timer::Frame);
@@ -198,34 +200,34 @@
     follow(state, now, out);
 }
 
-/// Whether this process has what it needs to serve.
+/// Whether this process has the data that it needs to serve requests.
 pub(crate) fn knows(state: &State) -> bool {
     state.listed.is_known() && state.config.is_some()
 }
 
-/// By how much longer this entry VM waits, since there are so many.
+/// Factor by which this entry VM's intervals are longer in a large fleet; 1 in a small one.
 pub(crate) fn many(state: &State) -> f64 {
     state.hub.many(&state.settings)
 }
 
-/// Time between this process's frames.
+/// Time between frames of this process.
 pub(crate) fn pace(state: &State) -> Duration {
     state.hub.pace(&state.settings)
 }
 
-/// Time between frames: longer where there are many entry VMs, since the hub answers them all.
+/// Time between frames. It grows with the number of entry VMs, since the hub replies to all of them.
 pub(crate) fn every(state: &State) -> Duration {
     state.settings.frame_every.mul_f64(many(state))
 }
 
-/// For how long, on average, requests that other entry VMs send are not known here: since the hub's last answer, and
-/// for the time between their frames to it.
+/// Mean time for which requests sent by other entry VMs are unknown here: the time since the hub's last reply, plus
+/// half of the interval between frames.
 pub(crate) fn lateness(state: &State, now: Time) -> Duration {
     let told = if state.lease.holds(now).is_some() { Duration::ZERO } else { state.hub.age(now) };
     told.saturating_add(every(state) / 2).min(LATENESS_MAX)
 }
 
-/// Sends a frame now, unless one is under way.
+/// Sends a frame now, unless one is waiting for its reply.
 pub(crate) fn send(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.lease.holds(now).is_some() {
         state.hub.leads = true;
@@ -260,7 +262,7 @@
     out.push(Effect::Frame { address, frame });
 }
 
-/// A request has begun to wait: the hub is told at once, or as soon as it has answered the frame that is under way.
+/// Informs the hub that a request has started to wait: now, or as soon as the hub has replied to the frame under way.
 pub(crate) fn tell_wait(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     match &mut state.hub.asking {
         Some(asking) => asking.unsaid = true,
@@ -268,13 +270,13 @@
     }
 }
 
-/// The frame that is under way goes to a process that is no hub any more, and is not waited for.
+/// Stops waiting for the reply to the frame under way, since its receiver is no longer the hub.
 pub(crate) fn forget_asking(state: &mut State) {
     let asked = state.hub.asking.take();
     tell_again(state, asked);
 }
 
-/// A frame may not have reached the hub: what it told once is told with the next.
+/// Queues the refusals of a frame that may not have reached the hub for the next frame.
 fn tell_again(state: &mut State, asked: Option<Asking>) {
     let absent = asked.map(|asked| asked.absent).unwrap_or_default();
     let room = ABSENT_MAX.saturating_sub(state.hub.absent.len());
@@ -315,20 +317,20 @@
     }
 }
 
-/// The configuration's version in force; 0 for none.
+/// Version of the configuration in force; 0 for none.
 pub(crate) fn version(state: &State) -> u64 {
     state.config.as_ref().map_or(0, |config| config.version)
 }
 
-/// Engines that this process does not trust.
+/// Engines that this process doesn't trust.
 fn suspects(state: &State, now: Time) -> Vec<Name> {
-    // What others reach is no reason for anybody to look.
+    // An engine that other entry VMs reach gives them no reason to probe it.
     let suspected =
         state.engines.values().filter(|engine| engine.health.suspected(now) && !engine.path.is_relayed());
     suspected.map(|engine| engine.entry.id.clone()).collect()
 }
 
-/// Another entry VM told what it has under way.
+/// Processes the frame of another entry VM.
 pub(crate) fn heard(state: &mut State, now: Time, frame: Frame, out: &mut Vec<Effect>) {
     era::heard(state, now, frame.era, out);
     for refused in &frame.absent {
@@ -349,13 +351,14 @@
     rollout::heard(state, now, &frame, out);
     budget::told(state, now, &frame.asked);
     state.appetite.touch(now, &frame.demand);
-    // Only what this frame says: with all that others wait for, the time for a frame would grow with the square of them.
+    // Looks at this frame only. Looking at everything that other entry VMs wait for would make the time per frame
+    // grow with the square of their number.
     let wanted = adapter::waited_for(&frame.demand);
     peers::replace(state, now, frame);
     adapter::wanted(state, now, &wanted, out);
 }
 
-/// What the hub answers to an entry VM's last frame.
+/// The hub's reply to the last frame of an entry VM.
 pub(crate) fn reply(state: &mut State, now: Time, asker: &Frame) -> Reply {
     let config = rollout::inline(state, asker);
     let quota = quota::allot(state, now, &asker.vm, asker.number, &asker.quota);
@@ -363,7 +366,7 @@
     let whole = state.needs_all_rows(asker.listed);
     let packed = if whole { snapshot::rows(state, now, asker.listed) } else { None };
     let (rows, listed, rows_packed) = match packed {
-        // Who leaves is told as of now: the asker's next frame may be seconds away.
+        // Departed engines are reported as of now, because the asker's next frame may be seconds away.
         Some((listed, packed)) => (state.departed_after(now, listed), listed, packed),
         None => (state.rows_for(now, asker.listed), state.listed, Bytes::new()),
     };
@@ -385,7 +388,7 @@
         era: state.era.number(),
         store_age: now.since(state.store_heard),
         read_age: reading::age(state, now),
-        // One that has just become the hub, or is none, may know of nobody yet.
+        // A process that is no hub, or has just become one, may have an empty list.
         members: (holds && outdated && !state.members.list().is_empty())
             .then(|| state.members.list().to_vec()),
         membership: holds.then(|| state.members.membership(now, &asker.vm, outdated)),
--- a/fleet/src/frame/answered.rs
+++ b/fleet/src/frame/answered.rs
@@ -1,4 +1,4 @@
-//! What an entry VM takes over of the hub's answer to its frame.
+//! Processing of the hub's reply to a frame.
 
 use std::time::Duration;
 
@@ -29,10 +29,10 @@
 use crate::timer::Timer;
 use crate::trust;
 
-/// Engines whose rows are still to come, and of which it is kept what they hold, at most.
+/// Maximum number of engines whose residency is kept until their row arrives.
 const EARLY_MAX: usize = 1_000;
 
-/// The hub answered, or could not be reached.
+/// The hub has replied, or could not be reached (`None`).
 pub(crate) fn replied(state: &mut State, now: Time, reply: Option<Reply>, out: &mut Vec<Effect>) {
     let asked = state.hub.asking.take();
     if !knows(state) {
@@ -62,11 +62,11 @@
     }
     state.evacuations.hear_digest(reply.evacuations_known);
     evacuation::told(state, now, &reply.evacuations, out);
-    // What stands in the operators' table up to that version is known now.
+    // The operator table is known up to that revision now.
     if reply.declared.config == version(state) {
         state.declared = state.declared.max(reply.declared.store);
     }
-    // An answer to an earlier frame would count from too late a moment.
+    // A reply to an earlier frame would be dated too late.
     let sent = asked.as_ref().filter(|asked| asked.number == reply.number).map(|asked| asked.at);
     let told = sent.and(asked.as_ref()).map_or(0, |asked| asked.limits);
     if let Some((sent, membership)) = sent.zip(reply.membership.take()) {
@@ -82,7 +82,7 @@
     }
     state.hub.known_there = (reply.declared.config, reply.listed);
     let fresh = |age: Duration| age < state.settings.hub_store_age;
-    // Those that read for the hub go on while the store turns it away.
+    // Entry VMs that read the store for the hub continue while the store rejects it.
     let read = !state.hub.reads && reply.read_age.is_some_and(fresh);
     state.hub.fresh = reply.leads && (fresh(reply.store_age) || read);
     learn_engines(state, now, &mut reply, sent, out);
@@ -120,14 +120,14 @@
     follow(state, now, out);
     let waited = state.waiting.len();
     flow::stir(state, now, out);
-    // An answer that brought something was not held for the rest.
+    // A reply that brought something wasn't held until the remaining adapters were ready.
     let more = asked.is_some_and(|asked| asked.unsaid) || state.waiting.len() < waited;
     if (more && !state.waiting.is_empty()) || (reply.leads && state.departures.is_any_untold()) {
         send(state, now, out);
     }
 }
 
-/// The hub did not answer.
+/// The hub didn't reply.
 fn unanswered(state: &mut State, now: Time, asked: Option<Asking>, out: &mut Vec<Effect>) {
     tell_again(state, asked);
     departure::tell_without_hub(state, out);
@@ -138,11 +138,11 @@
     follow(state, now, out);
 }
 
-/// Takes over what the hub knows of the engines' table, and of what is under way at engines. `sent`: when it was asked.
+/// Applies the hub's engine table and the loads of engines. `sent` is the time of the request.
 fn learn_engines(state: &mut State, now: Time, reply: &mut Reply, sent: Option<Time>, out: &mut Vec<Effect>) {
     let by_name = reply.placed.is_empty();
     if !by_name {
-        // Rows change which engines are known, and so their positions.
+        // Positions refer to the engines known before the new rows.
         loads::take_placed(state, reply.engines, &reply.placed);
     }
     let word = sent.zip(reply.listed_age);
@@ -155,8 +155,8 @@
     }
 }
 
-/// Takes over what the hub knows of the engines' table: all that the store had taken by `as_of`, if that is known. Returns whether all of it
-/// could be read.
+/// Applies the hub's engine table, which contains all that the store had taken by `as_of`, if that time is known.
+/// Returns whether all of it could be decoded.
 fn take_rows(
     state: &mut State,
     now: Time,
@@ -173,7 +173,7 @@
         entries::listed(state, now, listing, Road::Reply, out);
         return true;
     }
-    // The hub may know some rows beyond its last reading.
+    // The hub may have received some rows after its last reading of the table.
     entries::told(state, now, rows, Road::Reply, out);
     departure::leave_to_others(state, out);
     if let Some(as_of) = as_of.filter(|_| state.hub.fresh && reply.era == state.era.number()) {
@@ -182,7 +182,7 @@
     true
 }
 
-/// What an answer tells, packed and beside that; none if it cannot be read.
+/// The packed and the plain items of a reply; `None` if the packed ones can't be decoded.
 fn unpacked<T: DeserializeOwned>(
     plain: Vec<T>,
     packed: &[u8],
@@ -204,24 +204,25 @@
     }
 }
 
-/// This process does not know what it needs yet. A hub that knows no more is asked again; one that is none, or does not answer, is looked
-/// for anew: where all were restarted at once, the next one is there within 30 ms. Each time it takes longer, since all entry VMs
-/// may do so at once, and there may be nothing to know yet.
+/// This process doesn't have the data yet that it needs to serve. If the hub has no data either, it is asked again.
+/// If the process asked is not the hub or doesn't answer, the hub is looked up again: after a restart of all entry
+/// VMs the next one is there within 30 ms. The interval doubles each time, since all entry VMs may be asking, and
+/// there may be no data yet.
 fn ask_again(state: &mut State, now: Time, leads: bool) {
     let wait = state.settings.start_look.mul_f64(many(state)) * (1 << state.hub.start_asks);
     state.hub.start_asks = (state.hub.start_asks + 1).min(START_DOUBLINGS);
     state.timers.set(now + wait, if leads { Timer::Greet } else { Timer::Look });
 }
 
-/// Takes over what the hub says of what engines hold. What another hub said before stays true of the others: nobody gives them
-/// orders until the new one has asked them.
+/// Applies the residencies reported by the hub. Those reported by an earlier hub remain valid for all other engines:
+/// no orders are given to them until the new hub has asked them what they hold.
 fn learn(state: &mut State, view: View, residencies: Vec<Resident>) {
     state.hub.view = view;
     for resident in residencies {
         let known = state.engines.get_mut(&resident.engine);
         match known.filter(|known| known.entry.incarnation >= resident.incarnation) {
             Some(engine) => engine.learn(resident.incarnation, resident.residency),
-            // Its row is still to come, and the hub says it once.
+            // The row is still to come, and the hub reports the residency only once.
             None if state.hub.early.len() < EARLY_MAX => {
                 state.hub.early.insert(resident.engine.clone(), resident);
             }
@@ -230,7 +231,7 @@
     }
 }
 
-/// The row of an engine came: what the hub has said of that start of it is known by now.
+/// Applies the residency that the hub reported for this start of an engine before the engine's row arrived.
 pub(crate) fn learn_early(state: &mut State, engine: &Name) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
--- a/fleet/src/frame/follow.rs
+++ b/fleet/src/frame/follow.rs
@@ -1,4 +1,4 @@
-//! Whether this process follows the store's tables itself, and how.
+//! Whether this process follows the store's tables itself, and at which intervals.
 
 use std::time::Duration;
 
@@ -11,22 +11,25 @@
 use crate::settings::Settings;
 use crate::state::State;
 
-/// The longest pause of the hub between calls for changes, which go from the hub to all others.
+/// The longest pause of the hub between calls for changes. All other entry VMs receive changes through it.
 const HUB_PAUSE_MAX: Duration = Duration::from_millis(150);
-/// The longest pause of others, who need no word of the hub, whatever operators allow.
+/// The longest pause of an entry VM that doesn't rely on the hub, whatever bound operators set.
 const ALONE_PAUSE_MAX: Duration = Duration::from_millis(800);
-/// Calls a second for each table that entry VMs make together which need not read the store for others and are not told by the hub.
+/// Total rate of calls for each table from entry VMs that neither read the store for others nor get its data from the
+/// hub.
 const ALONE_CALLS_PER_S: f64 = 100.0;
-/// Engines up to which a process that starts waits no longer: a link of 10 Mbit/s carries their rows in a fifth of a second.
+/// Number of engines up to which the initial wait for the hub stays at its minimum: a link of 10 Mbit/s transfers
+/// their rows in a fifth of a second.
 const START_ENGINES: f64 = 600.0;
-/// The longest time for which a process that starts waits for the hub: a lost lease is over by then, and another entry VM leads and has read
-/// the tables.
+/// The longest time for which a starting process waits for the hub. By then a lost lease has expired, and another
+/// entry VM leads and has read the tables.
 const START_WAIT_MAX: Duration = Duration::from_secs(4);
-/// Entry VMs a second that read whole tables where the hub does not read them for all: a tenth of what the store answers in a second.
+/// Rate at which entry VMs read whole tables when the hub doesn't read them for all: a tenth of what the store can
+/// answer.
 const WHOLE_READS_PER_S: f64 = 100.0;
 
-/// Follows the store's tables only where the hub does not do it for all: calls of the store are rationed, and
-/// their number would grow with that of the entry VMs.
+/// Starts, adjusts or stops following the store's tables. An entry VM follows them only if the hub doesn't do it for
+/// all: the rate of calls to the store is limited, and it would grow with the number of entry VMs.
 pub(crate) fn follow(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let follows = pause(state, now);
     if follows != state.follows {
@@ -54,24 +57,25 @@
     }
 }
 
-/// How long an answer of the store counts of one that reads it for the others: changes come at once until it has to ask again.
+/// How long an answer of the store remains valid for an entry VM that reads it for others: changes arrive at once
+/// until it has to ask again.
 pub(super) fn read_lasts(settings: &Settings) -> Duration {
     let bound = strictest(settings);
     bound.wait() + bound.overdue() + alone_pause_max(settings)
 }
 
-/// The longest pause between calls of those that need no word of the hub.
+/// The longest pause between calls of an entry VM that doesn't rely on the hub.
 fn alone_pause_max(settings: &Settings) -> Duration {
     strictest(settings).pause().min(ALONE_PAUSE_MAX)
 }
 
-/// The bound that is the shorter one: both tables are followed with the same pauses.
+/// The shorter of the two bounds, since both tables are followed at the same intervals.
 fn strictest(settings: &Settings) -> Bound {
     Bound(settings.departure.0.min(settings.config.0))
 }
 
-/// The pause between calls for the store's changes, if this process is to make any. More engines change more often
-/// and more entry VMs ask, so that both pauses grow with their number.
+/// The pause between calls for the store's changes; `None` if this process makes none. Both pauses grow: with the
+/// number of engines, which change more often, and with the number of entry VMs that ask.
 fn pause(state: &State, now: Time) -> Option<Duration> {
     let settings = &state.settings;
     if state.lease.holds(now).is_some() {
@@ -84,14 +88,15 @@
         && !(state.needs_keys() && proof::is_doubtful(state, now));
     let asking = !known && now.since(state.started) < start_wait(state);
     let pause = settings.follow_alone.mul_f64(many(state)).min(alone_pause_max(settings));
-    // Whoever knows enough to serve leaves it to those that read for all.
+    // An entry VM that can serve leaves the reading to those that read for all.
     let needs = !known || state.hub.reads || (state.needs_keys() && proof::is_doubtful(state, now));
     let rare = Duration::from_secs_f64(f64::from(state.hub.nodes) / ALONE_CALLS_PER_S);
     (!told && !asking).then(|| if needs { pause } else { pause.max(rare) })
 }
 
-/// How long a process that starts waits for the hub's word before it reads whole tables of the store: longer where there are many
-/// engines, by the last holder of the lease. After a restart of all, all entry VMs would read them, and be served later for it.
+/// How long a starting process waits for the hub before it reads whole tables from the store. It grows with the
+/// number of engines that the last holder of the lease reported. Otherwise, after a restart of all entry VMs, all of
+/// them would read the tables, and each would be served later.
 fn start_wait(state: &State) -> Duration {
     let engines = state.lease.hub().map_or(0, |row| row.engines);
     let many = f64::from(engines) / START_ENGINES;
--- a/fleet/src/frame/hold.rs
+++ b/fleet/src/frame/hold.rs
@@ -1,4 +1,5 @@
-//! Which answers of the hub are worth holding for a moment: those to frames whose callers wait for an adapter that is on its way.
+//! Replies of the hub that are held back for a moment: those to frames whose callers wait for an adapter that is
+//! being loaded.
 
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
@@ -8,7 +9,7 @@
 use crate::demand::Target;
 use crate::state::State;
 
-/// Whether an adapter that the frame's callers wait for is on its way, and at no engine yet.
+/// Whether an adapter that callers of this frame wait for is being loaded, and no engine has it ready yet.
 pub(crate) fn awaits(state: &State, now: Time, frame: &Frame) -> bool {
     if state.lease.orders(now).is_none() {
         return false;
@@ -19,12 +20,12 @@
     })
 }
 
-/// Whether an engine can run now what the frame's callers wait for.
+/// Whether an engine can now serve something that callers of this frame wait for.
 pub(crate) fn meets(state: &State, now: Time, engine: &Name, frame: &Frame) -> bool {
     wanted(frame).any(|target| serves(state, now, engine, target))
 }
 
-/// The adapters that a frame's callers wait for.
+/// The adapters that callers of this frame wait for.
 fn wanted(frame: &Frame) -> impl Iterator<Item = &Target> {
     let waiting = frame.demand.iter().filter(|demand| demand.waiting > 0);
     waiting.map(|demand| &demand.target).filter(|target| target.adapter.is_some())
--- a/fleet/src/frame/loads.rs
+++ b/fleet/src/frame/loads.rs
@@ -1,7 +1,8 @@
-//! What the hub tells of engines' loads: by position among the engines that both sides know, or by name where they know others.
+//! Loads of engines in the hub's reply: by position if both sides know the same engines, else by name.
 //!
-//! An answer tells of all engines that have any load, whatever the asker needs, so that its bytes are what grows with engines times
-//! entry VMs: 3 for each engine by position, and 20 by name (test `answers_by_kind`).
+//! A reply lists all engines that have any load, whatever the asker needs, so that its size is the part of the
+//! traffic that grows with the number of engines times the number of entry VMs: 3 bytes for each engine by position,
+//! and 20 by name (test `answers_by_kind`).
 
 use boragecove_core::name::Name;
 use rustc_hash::FxHashMap;
@@ -11,26 +12,27 @@
 use crate::engine::Load;
 use crate::state::State;
 
-/// The unit in which times to read prompts are told by position, in us: choices go by ms.
+/// Unit of prompt reading times sent by position, in µs. Choices between engines depend on milliseconds.
 const READING_UNIT_US: u64 = 1_000;
-/// Numbers for each engine: how many engines without any load stand before it, requests, and the time to read prompts.
+/// Numbers for each engine: the count of engines without load before it, its requests, and the time to read their
+/// prompts.
 const NUMBERS: usize = 3;
 
-/// What one engine counts in the digest of all engines' ids, which is a sum: it does not depend on their order.
+/// Hash of one engine id. The digest of all ids is the sum of these hashes, so that it doesn't depend on their order.
 pub(crate) fn digest_of(engine: &Name) -> u64 {
     xxh3_64(engine.as_bytes())
 }
 
-/// Loads as an answer tells them.
+/// Loads in the form in which a reply contains them.
 #[derive(Debug, Default)]
 pub(super) struct Told {
-    /// By name.
+    /// Loads by engine name.
     pub(super) named: Vec<EngineLoad>,
-    /// By position.
+    /// Loads by position of the engine.
     pub(super) placed: Vec<u32>,
 }
 
-/// All that has load, beside what the asker has told of its own.
+/// All loads, less those that the asker reported as its own.
 pub(super) fn tell(state: &State, own: &[EngineLoad], engines: u64) -> Told {
     let own: FxHashMap<&Name, Load> = own.iter().map(|entry| (&entry.engine, entry.load)).collect();
     let beside = |engine: &Name, load: Load| load.minus(own.get(engine).copied().unwrap_or_default());
@@ -54,8 +56,8 @@
     told
 }
 
-/// Takes over what was told by position among engines of this digest. Nothing is known of an engine of which nothing is told. If other
-/// engines are known by now, what was known before stays.
+/// Applies loads by position among the engines with this digest. An engine that isn't listed has no load from others.
+/// Loads known before are kept if the set of engines known here differs.
 pub(super) fn take_placed(state: &mut State, engines: u64, placed: &[u32]) {
     if engines != state.engine_ids {
         return;
@@ -75,7 +77,7 @@
     }
 }
 
-/// Takes over what was told by name.
+/// Applies loads by engine name.
 pub(super) fn take_named(state: &mut State, named: Vec<EngineLoad>) {
     for engine in state.engines.values_mut() {
         engine.others = Load::default();
--- a/fleet/src/frame/message.rs
+++ b/fleet/src/frame/message.rs
@@ -1,4 +1,4 @@
-//! What an entry VM tells the hub, and what the hub answers.
+//! Message types: the frame that an entry VM sends to the hub, and the hub's reply.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,98 +21,98 @@
 use crate::revision::Revision;
 use crate::update::Packed;
 
-/// What an entry VM tells the hub.
+/// Report of an entry VM to the hub.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Frame {
-    /// Its number among those of this process.
+    /// Number of the frame, counted per process.
     pub number: u64,
     /// The entry VM's name.
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where it listens.
+    /// Where it listens for other entry VMs.
     pub address: Option<SocketAddr>,
-    /// Whether its machine is too small for more than its callers.
+    /// Whether its machine is too small for work beyond that of its own callers.
     pub weak: bool,
-    /// Whether it stops, and is not to be asked anything.
+    /// Whether it is stopping and is not to be sent queries.
     pub stopping: bool,
-    /// Which entry VMs it knows, by the number of their list.
+    /// Version of its list of entry VMs.
     pub members: u64,
-    /// The configuration that it goes by; 0 for none.
+    /// Version of its configuration; 0 for none.
     pub config: u64,
-    /// The store's era, as it knows it.
+    /// The store's era known to it.
     pub era: u64,
-    /// The store's version up to which it knows the engines' table.
+    /// The revision of its engine table.
     pub listed: Revision,
-    /// The term and the version of the hub's word on what engines hold that it knows.
+    /// Version of its residencies.
     pub view: View,
-    /// A digest of the ids of the engines that it knows.
+    /// Digest of the ids of the engines that it knows.
     pub engines: u64,
-    /// What it has under way, by engine.
+    /// Its own load on each engine.
     pub loads: Vec<EngineLoad>,
-    /// What its callers asked for.
+    /// What its callers requested.
     pub demand: Vec<Demand>,
-    /// What engines refused as absent since the last frame.
+    /// Models and adapters that engines refused as absent since the last frame.
     pub absent: Vec<Absent>,
     /// Engines that it could not reach, or that have gone silent.
     pub suspects: Vec<Name>,
-    /// A digest of what it knows operators to say of availability zones.
+    /// Digest of the evacuations known to it.
     pub evacuations_known: u64,
-    /// All of that, if the hub's digest was another.
+    /// All evacuations known to it, if the hub's digest was another.
     pub evacuations: Vec<evacuation::Word>,
-    /// Engines that have said to it that they leave, as far as the hub has not been told.
+    /// Engine starts that have announced to it that they leave, as far as they weren't reported to the hub yet.
     pub departures: Vec<Start>,
-    /// The term and the version of the hub's word on such engines that it knows.
+    /// Version of the departures that it has from the hub.
     pub departures_known: View,
-    /// What engines have said of their limits that the hub has not been told.
+    /// Limits announced by engines that weren't reported to the hub yet.
     pub limits: Vec<intake::Advert>,
-    /// The term and the version of the hub's word on limits that it knows.
+    /// Version of the limits that it has from the hub.
     pub limits_known: View,
-    /// What it has read in the store itself and the hub has not.
+    /// What it has read from the store itself and the hub doesn't have.
     pub reading: Reading,
-    /// A digest of what it is certain of, as to requests that crash engines.
+    /// Digest of its confirmed facts on requests that crash engines.
     pub digest: u64,
-    /// All of that, if the hub's digest was another.
+    /// All of these facts, if the hub's digest was another.
     pub crashing: Vec<crash::Entry>,
     /// The shares of workspaces' limits that it holds.
     pub quota: quota::Report,
-    /// Requests that came since the last frame, by service.
+    /// Number of requests since the last frame, by service.
     #[serde(default)]
     pub asked: Vec<budget::Asked>,
 }
 
-/// What an entry VM has read in the store itself, for a hub that the store turns away.
+/// Data that an entry VM has read from the store itself, for a hub that the store rejects.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reading {
-    /// Time since the store last answered; none from one that does not read it.
+    /// Time since the store last answered; none from an entry VM that doesn't read it.
     pub store_age: Option<Duration>,
-    /// What leads from the hub's configuration to a newer one.
+    /// Update from the hub's configuration to a newer one.
     pub config: Option<Packed>,
-    /// Rows of the engines' table that are newer than what the hub knows up to a version.
+    /// Rows of the engine table newer than `rows_after`, up to which the hub has the table.
     pub rows: Vec<Row>,
-    /// That version.
+    /// The hub's revision of the engine table.
     pub rows_after: Revision,
 }
 
-/// A version of the hub's word on what engines hold.
+/// Version of the residencies that the leader distributes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// The term of the lease under which it holds.
+    /// Term of the lease under which it was set.
     pub term: u64,
-    /// Grows with each change.
+    /// Number that grows with each change within a term.
     pub version: u64,
 }
 
-/// What is under way at an engine.
+/// Load on one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EngineLoad {
     /// The engine's id.
     pub engine: Name,
-    /// What is under way.
+    /// The requests under way at the engine.
     pub load: Load,
 }
 
-/// A model or an adapter that an engine was thought to hold, and did not.
+/// A model or an adapter that an engine was expected to hold, and refused as absent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Absent {
     /// The engine's id.
@@ -123,95 +123,97 @@
     pub adapter: Option<Name>,
 }
 
-/// What the hub answers.
+/// The hub's reply to a frame.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Reply {
     /// The number of the frame that it answers.
     pub number: u64,
-    /// Whether it holds the lease; if not, another is to be found.
+    /// Whether the sender holds the lease. If not, the asker has to find another hub.
     pub leads: bool,
-    /// The store's era, as the hub knows it.
+    /// The store's era known to the hub.
     pub era: u64,
     /// Time since the store last answered the hub.
     pub store_age: Duration,
-    /// The same by those that read the store for the hub; none if nobody does.
+    /// Time since the store last answered an entry VM that reads it for the hub; none if none does.
     pub read_age: Option<Duration>,
-    /// All entry VMs, if the asker knows others.
+    /// All entry VMs, if the asker's list differs.
     pub members: Option<Vec<Member>>,
-    /// The asker's place in that list, if this is the holder of the lease.
+    /// The asker's membership in that list, if the sender holds the lease.
     pub membership: Option<Membership>,
-    /// Entry VMs that it hears, itself among them.
+    /// Number of entry VMs counted by the hub, itself included.
     pub nodes: u32,
-    /// What all others have under way, by engine, if the asker knows other engines than the hub.
+    /// Loads from all other entry VMs, by engine name, if the asker's set of engines differs from the hub's.
     pub loads: Vec<EngineLoad>,
-    /// The digest of the engines that the asker named.
+    /// The asker's digest of engine ids.
     pub engines: u64,
-    /// What all others have under way, by the position of each engine in the order of their ids: for each that has any load the number of
-    /// those without since the one before, its requests, and the time to read their prompts in ms, rounded up.
+    /// Loads from all other entry VMs, by the position of each engine in the order of ids. Each engine with any load
+    /// has three numbers: the count of engines without load since the one before, its requests, and the time to read
+    /// their prompts in ms, rounded up.
     pub placed: Vec<u32>,
-    /// The version of its word on what engines hold.
+    /// Version of the hub's residencies.
     pub view: View,
-    /// What those engines hold for which that has changed.
+    /// Residencies that have changed since the asker's version.
     pub residencies: Vec<Resident>,
-    /// The same, packed: what all engines hold, as of some moments before.
+    /// The residencies of all engines, packed, as of a short time ago.
     pub residencies_packed: Bytes,
-    /// What leads from the asker's configuration to a newer one, if it is to come this way.
+    /// Update from the asker's configuration to a newer one, if it is delivered by replies.
     pub config: Option<Packed>,
-    /// The hub's configuration, and how new it is.
+    /// The hub's configuration version, and how recent it is.
     pub declared: Declared,
-    /// Rows of the engines' table that are newer than the asker's; beside packed ones those of engines that leave or are gone since.
+    /// Rows of the engine table newer than the asker's. Beside packed rows: those of engines that have left or are
+    /// leaving since.
     pub rows: Vec<Row>,
-    /// All rows there are, packed, as of some moments before.
+    /// All rows of the engine table, packed, as of a short time ago.
     pub rows_packed: Bytes,
-    /// The store's version up to which the hub knows that table.
+    /// The revision of the hub's engine table.
     pub listed: Revision,
-    /// Time since all was known there that the store had taken of that table; none if that is not known.
+    /// Time since the hub's engine table contained all that the store had taken; none if unknown.
     pub listed_age: Option<Duration>,
-    /// Whether the rows are all there are: the hub does not know of each removal since the asker's.
+    /// Whether the rows are the complete table, because the hub may not know each removal since the asker's revision.
     pub whole: bool,
     /// Engines that the hub could not reach.
     pub suspects: Vec<Name>,
-    /// A digest of what the hub knows operators to say of availability zones.
+    /// Digest of the evacuations known to the hub.
     pub evacuations_known: u64,
-    /// All of that, if the asker's digest is another.
+    /// All evacuations known to the hub, if the asker's digest is another.
     pub evacuations: Vec<evacuation::Word>,
-    /// Engines that have said that they leave, as far as the asker does not know the hub's word.
+    /// Engine starts that have announced that they leave, as far as the asker doesn't have them yet.
     pub departures: Vec<Start>,
-    /// The version of that word.
+    /// Version of the hub's departures.
     pub departures_version: u64,
-    /// What engines have said of their limits, as far as the asker does not know the hub's word.
+    /// Limits announced by engines, as far as the asker doesn't have them yet.
     pub limits: Vec<intake::Advert>,
-    /// The version of that word.
+    /// Version of the hub's limits.
     pub limits_version: u64,
-    /// A digest of what it is certain of, as to requests that crash engines.
+    /// Digest of the hub's confirmed facts on requests that crash engines.
     pub digest: u64,
-    /// All of that, if the asker's digest is another.
+    /// All of these facts, if the asker's digest is another.
     pub crashing: Vec<crash::Entry>,
-    /// The shares of workspaces' limits that the asker may hold from now on; none if nothing can be said of them.
+    /// The shares of workspaces' limits that the asker may hold from now on; none if the sender can't allot any.
     pub quota: Option<Vec<quota::Allotment>>,
-    /// Which builds have served, as far as the hub knows.
+    /// The builds known to the hub to have served requests.
     #[serde(default)]
     pub builds: Option<pin::Report>,
 }
 
-/// A version of the configuration, and up to when it is the newest.
+/// A configuration version, and the revision and time up to which it is known to be the newest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Declared {
     /// The configuration's version; 0 for none.
     pub config: u64,
-    /// The store's version up to which no newer one was written; 0 if that is not known.
+    /// The store's revision up to which no newer one was written; 0 if unknown.
     pub store: Revision,
-    /// Time since it was certainly the newest; none if that is not known.
+    /// Time since it was last known to be the newest; none if unknown.
     pub age: Option<Duration>,
 }
 
-/// What an engine holds.
+/// The residency of one engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resident {
     /// The engine's id.
     pub engine: Name,
-    /// The start of the engine for which that is so.
+    /// The start of the engine to which it applies.
     pub incarnation: Incarnation,
-    /// What it holds.
+    /// The models and adapters that the engine holds.
     pub residency: Residency,
 }
--- a/fleet/src/frame/peers.rs
+++ b/fleet/src/frame/peers.rs
@@ -1,4 +1,4 @@
-//! What the hub knows of the other entry VMs: which there are, and what they have under way.
+//! The hub's data on the other entry VMs: which ones exist, and their load on each engine.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 use crate::members::Member;
 use crate::state::{Identity, State};
 
-/// Time after which an entry VM that sends no frames no longer counts; longer where frames are further apart.
+/// Time after which an entry VM that sends no frames no longer counts. It is longer if frames are further apart.
 const PEER_SILENCE: Duration = Duration::from_secs(2);
 
-/// Puts a frame in the place of the one before, in all sums.
+/// Replaces the last frame of an entry VM, and its part in the sums of loads.
 pub(super) fn replace(state: &mut State, now: Time, frame: Frame) {
     let before = state.hub.peers.get(&frame.vm).map(|peer| peer.frame.loads.clone()).unwrap_or_default();
     for EngineLoad { engine, load } in before {
@@ -29,20 +29,21 @@
     state.hub.peers.insert(frame.vm.clone(), Peer { heard: now, frame });
 }
 
-/// For how long an entry VM counts that sends no frames.
+/// How long an entry VM that sends no frames still counts.
 fn silence_max(state: &State) -> Duration {
     PEER_SILENCE.max(every(state).mul_f64(FRAMES_MISSED))
 }
 
-/// This process has become the hub. Until they send frames of their own the entry VMs that the one before named count: their
-/// number says how often frames come and how many repeats each may make, and the owners of schedules stay the same.
+/// Takes over the member list of the previous hub, as this process has become the hub. The entry VMs in it count
+/// until they send frames of their own: their number determines the frame interval and the repeats allowed to each,
+/// and the owners of schedules don't change.
 pub(crate) fn inherit(state: &mut State, now: Time) {
     let others = state.members.list().iter().filter(|member| member.vm != state.me.vm);
     state.hub.inherited = others.map(|member| (member.vm.clone(), member.clone())).collect();
     state.hub.inherited_until = now + silence_max(state);
 }
 
-/// Forgets entry VMs that have fallen silent.
+/// Removes entry VMs that have fallen silent.
 pub(super) fn expire(state: &mut State, now: Time) {
     let longest = silence_max(state);
     if now >= state.hub.inherited_until {
@@ -56,7 +57,7 @@
     }
 }
 
-/// Counts anew what the others have under way.
+/// Recomputes the sums of the other entry VMs' loads.
 fn recount(state: &mut State) {
     for engine in state.engines.values_mut() {
         engine.others = Load::default();
@@ -70,7 +71,7 @@
     }
 }
 
-/// The entry VMs that the hub can reach: those that it hears, and where it is a new hub also those that the one before named.
+/// The entry VMs that the hub can reach: those whose frames arrive, and those inherited from the previous hub.
 pub(crate) fn reached(state: &State) -> Vec<Member> {
     let heard = state.hub.peers.values().filter_map(|peer| member(&peer.frame));
     heard.chain(state.hub.inherited.values().cloned()).collect()
@@ -85,14 +86,14 @@
     })
 }
 
-/// The entry VMs that there are by the hub's word, itself among them, in the order of their names.
+/// The list of entry VMs as the hub distributes it, itself included, in the order of their names.
 pub(super) fn counted(state: &State) -> Vec<Member> {
     let Identity { vm, zone, address } = state.me.clone();
     let mut list = Vec::with_capacity(state.hub.peers.len() + 1);
     if !state.stopping {
         list.push(Member { vm, zone, address, weak: state.settings.weak });
     }
-    // One that stops is not to be asked.
+    // A stopping entry VM must not be sent queries.
     let serving = state.hub.peers.values().filter(|peer| !peer.frame.stopping);
     list.extend(serving.filter_map(|peer| member(&peer.frame)));
     list.extend(state.hub.inherited.values().cloned());
--- a/fleet/src/frame/reading.rs
+++ b/fleet/src/frame/reading.rs
@@ -1,8 +1,9 @@
-//! What those tell who read the store where the hub does not: some entry VMs of each availability zone, however many there are.
+//! Data read from the store by a few entry VMs of each availability zone while the hub doesn't read it.
 //!
-//! The load that this answers: the store turns the hub away, or the hub is lost, before hundreds of entry VMs. Each would read the store
-//! for itself, and hear of a change as late as its own turn comes. Instead a few read it. A hub that is there has their news with their
-//! next frames and tells the others as usual; where there is none they push to their own zone.
+//! The store may reject the hub, or the hub may be lost, in a fleet of hundreds of entry VMs. If each of them read
+//! the store, each would receive a change only at its own turn, because the rate of calls is limited. Instead a few
+//! of them read it. If there is a hub, they send what they read with their next frames and the hub distributes it as
+//! usual. If there is none, they push it to their own zone.
 
 use std::time::Duration;
 
@@ -18,14 +19,14 @@
 use crate::rollout;
 use crate::state::State;
 
-/// What this process has read and the hub has not, as far as it has said.
+/// What this process has read and the hub doesn't have, judged by the hub's last reply.
 pub(super) fn gather(state: &mut State, now: Time) -> Reading {
     if state.follows.is_none() || state.lease.holds(now).is_some() {
         return Reading::default();
     }
     let (config, listed) = state.hub.known_there;
     let newest = state.config.clone().filter(|newest| config > 0 && newest.version > config);
-    // One that cannot be packed is logged where it is pushed.
+    // An update that can't be packed is logged when it is pushed.
     let update = newest.and_then(|newest| state.updates.prepare(config, &newest).ok().cloned());
     let behind = listed.is_known() && state.newest_row > listed && !state.needs_all_rows(listed);
     Reading {
@@ -36,7 +37,7 @@
     }
 }
 
-/// As the hub, takes over what an entry VM has read.
+/// As the hub: applies what an entry VM has read.
 pub(super) fn heard(state: &mut State, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
     let Reading { store_age, config, rows, rows_after } = &frame.reading;
     if let Some(age) = store_age {
@@ -57,13 +58,14 @@
     }
 }
 
-/// As the hub, how old its word is by those that read the store: what they hear from it counts until they have to ask again.
+/// As the hub: age of the data received from entry VMs that read the store. What they hear from it is valid until
+/// they have to ask again.
 pub(super) fn age(state: &State, now: Time) -> Option<Duration> {
     let lasts = read_lasts(&state.settings);
     state.hub.read_at.map(|at| now.since(at).saturating_sub(lasts))
 }
 
-/// This process has read something new: a hub that may not have is told at once.
+/// Sends a frame at once if this process has read something that the hub may not have.
 pub(crate) fn tell_hub(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let (config, listed) = state.hub.known_there;
     let newer = config < version(state) || listed < state.listed;
@@ -72,12 +74,12 @@
     }
 }
 
-/// Whether this process tells its availability zone what it reads: no hub does, or it does not answer.
+/// Whether this process pushes what it reads to its availability zone, because there is no hub or it doesn't answer.
 pub(crate) fn speaks_for_zone(state: &State, now: Time) -> bool {
     reads_for_others(state, now) && !is_answered(state, now)
 }
 
-/// Whether a hub answers this process.
+/// Whether the hub answers this process.
 pub(crate) fn is_answered(state: &State, now: Time) -> bool {
     !state.hub.unanswered && state.hub.alive(now, &state.settings)
 }
--- a/fleet/src/frame/snapshot.rs
+++ b/fleet/src/frame/snapshot.rs
@@ -1,7 +1,8 @@
-//! What the hub tells whoever knows nothing of it yet: all rows of the engines' table, and what all engines hold, packed.
+//! Full snapshots that the hub sends to an entry VM without data: all rows of the engine table, and the residencies
+//! of all engines, packed.
 //!
-//! The load that this answers: all entry VMs are killed at once, or a new one leads, and hundreds of them ask for all of it within a second.
-//! So it is packed once for all who ask within a moment; what has changed since follows with each one's next frame.
+//! When all entry VMs are killed at once, or a new one leads, hundreds of them ask for all of it within a second. So
+//! a snapshot is packed once for all who ask within a short time. Later changes follow with the next frame of each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,14 +16,15 @@
 use crate::revision::Revision;
 use crate::state::State;
 
-/// From so many engines on it is packed: fewer fit into some KB.
+/// Number of engines from which on a snapshot is packed. Fewer fit into a few KB.
 const PACKED_FROM: usize = 64;
-/// For how long a packed form is told that is older than what is known.
+/// How long a snapshot that is older than the current data is sent.
 const KEPT: Duration = Duration::from_millis(500);
-/// For how long one is told that is as new as what is known: it also says how much longer some are waited for.
+/// How long a snapshot that equals the current data is sent. It also contains remaining waiting times, which go out
+/// of date.
 const KEPT_UNCHANGED: Duration = Duration::from_secs(5);
 
-/// A packed form, and of which version it is.
+/// Packed data, and its version.
 #[derive(Clone, Debug)]
 struct Snapshot<V> {
     made: Time,
@@ -30,21 +32,21 @@
     bytes: Bytes,
 }
 
-/// Why all of something is told, packed.
+/// Why a full snapshot is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// Rows, to one that knows none.
+    /// Rows, to an entry VM without any.
     RowsAtStart,
-    /// Rows, to one that may lack removals.
+    /// Rows, to an entry VM that may lack removals.
     RowsGap,
-    /// What engines hold, to one that knows no leader's word.
+    /// Residencies, to an entry VM without any leader's data.
     HeldAtStart,
-    /// What engines hold, to one that knows another leader's word.
+    /// Residencies, to an entry VM with the data of another leader.
     HeldTerm,
 }
 
 impl Reason {
-    /// Its name in metrics.
+    /// The reason's name in metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
@@ -56,16 +58,16 @@
     }
 }
 
-/// How often all of something was told, and in how many bytes.
+/// Number and size of the snapshots sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Told {
-    /// Answers.
+    /// Replies that contained a snapshot.
     pub answers: u64,
-    /// Bytes.
+    /// Bytes of these snapshots.
     pub bytes: u64,
 }
 
-/// What was packed last, and what was told of it.
+/// The last snapshots, and counts of those sent.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshots {
     rows: Option<Snapshot<Revision>>,
@@ -82,7 +84,7 @@
 }
 
 impl<V: Copy + PartialEq> Snapshot<V> {
-    /// The one that there is, or a new one; none if there is too little to pack.
+    /// The current snapshot, or a new one; `None` if there is too little data to pack.
     fn of<T: Serialize>(
         kept: &mut Option<Self>,
         now: Time,
@@ -99,14 +101,14 @@
         if content.len() < PACKED_FROM {
             return None;
         }
-        // What cannot be packed is told as it is.
+        // Data that can't be packed is sent as it is.
         let bytes = pack::pack(&content).ok()?;
         *kept = Some(Self { made: now, version, bytes: bytes.clone() });
         Some((version, bytes))
     }
 }
 
-/// All rows of the engines' table, and up to which version of the store they hold, for one that knows them up to `known`.
+/// All rows of the engine table and their revision, for an entry VM that has the table up to `known`.
 pub(super) fn rows(state: &mut State, now: Time, known: Revision) -> Option<(Revision, Bytes)> {
     let mut kept = state.hub.snapshots.rows.take().filter(|kept| kept.version.era == state.listed.era);
     let told = Snapshot::of(&mut kept, now, state.listed, || state.rows_after(now, Revision::default()));
@@ -118,7 +120,7 @@
     told
 }
 
-/// What all engines hold, and of which version of the hub's word that is, for one that knows the word of another term or none.
+/// The residencies of all engines and their version, for an entry VM with those of another term or none.
 pub(super) fn residencies(state: &mut State, now: Time, known: View) -> Option<(View, Bytes)> {
     let view = state.view();
     let mut kept = state.hub.snapshots.residencies.take().filter(|kept| kept.version.term == view.term);
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -1,13 +1,22 @@
-//! The decisions of an entry VM that forwards requests by routes to engines that all entry VMs share.
+//! The decisions of an entry VM that forwards requests by routes to engines shared by all entry VMs.
 //!
-//! [`apply`] takes the [`State`] of one process, the time and an [`event::Event`], and returns
-//! [`effect::Effect`]s to carry out. It does no I/O, reads no clock and draws no random numbers but from
-//! the seed it was given.
+//! [`apply`] takes the [`State`] of one process, the time and an [`event::Event`], and returns the
+//! [`effect::Effect`]s to carry out. It does no I/O, reads no clock and draws random numbers only from a generator
+//! seeded by its caller.
 //!
-//! The modules, from the ground up: `bound`, `config`, `engine`, `request`, `revision` and `settings` are the words; `entries`
-//! keeps what the store says, `freshness` how new that is, `era` what of that outlasts an older copy of it, `notice` with `intake` what engines say in their answers; `choose`, `spread`, `share`, `schedule`, `speed`, `budget`, `trust`, `path`, `pin`, `admit`, `flow`, `outcome` and `crash` serve requests;
-//! `access` with `key` and `proof` says whose they are, `homes` and `evacuation` where they may go, `quota` how many a workspace's may be; `frame`,
-//! `members` with `ownership`, `push`, `rollout`, `update` and `pack` join the entry VMs; `lease`, `ledger` with `book` and `order`, `demand`, `plan`, `place` with `tally` and `adapter` decide what engines hold.
+//! The modules, from the bottom up:
+//!
+//! - basic types: `bound`, `config`, `engine`, `request`, `revision` and `settings`;
+//! - data from the store and the engines: `entries` holds the store's tables, `freshness` their age, `era` what
+//!   outlasts a restore of the store from an older copy, `notice` and `intake` what engines report in their
+//!   responses;
+//! - serving of requests: `choose`, `spread`, `share`, `schedule`, `speed`, `budget`, `trust`, `path`, `pin`,
+//!   `admit`, `flow`, `outcome` and `crash`;
+//! - callers: `access` with `key` and `proof` authenticates them, `homes` and `evacuation` restrict where their
+//!   requests may run, `quota` limits the rate of a workspace;
+//! - exchange between entry VMs: `frame`, `members` with `ownership`, `push`, `rollout`, `update` and `pack`;
+//! - placement of models and adapters: `lease`, `ledger` with `book` and `order`, `demand`, `plan`, `place` with
+//!   `tally` and `adapter`.
 
 mod access;
 mod adapter;
--- a/fleet/src/members.rs
+++ b/fleet/src/members.rs
@@ -1,4 +1,4 @@
-//! The entry VMs that there are, as the hub counts them, and which of them owns what (rendezvous hashing).
+//! The list of entry VMs as counted by the hub, and the owner of each shared task by rendezvous hashing.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,79 +15,81 @@
 use crate::request::Stream;
 use crate::state::Identity;
 
-/// How long an entry VM counts that a new list lacks: it may know that list later, and what it has given is used later still.
+/// How long an entry VM that a new list lacks still counts. It may receive that list later, and slots that it has
+/// granted are used later still.
 const DROPPED_KEPT: Duration = Duration::from_secs(3);
 
-/// Entry VMs of each availability zone that read the store for the others where the leader does not: some of them may be frozen, or turned
-/// away.
+/// Number of entry VMs in each availability zone that read the store for the others when the leader doesn't. Some of
+/// them may be frozen, or rejected by the store.
 const READERS: usize = 3;
-/// Entry VMs of each availability zone that keep what began a stream: most may be killed at once.
+/// Number of entry VMs in each availability zone that keep the origin of a stream, since most may be killed at once.
 const KEEPERS: usize = 2;
-/// Entry VMs of each availability zone that keep any of that: one in so many, and this many at least. All others hold connections to them.
+/// The entry VMs in each availability zone that keep stream origins: one in `KEEPING_PART`, but at least
+/// `KEEPING_MIN`. All others hold connections to them.
 const KEEPING_PART: usize = 4;
 const KEEPING_MIN: usize = 8;
-/// What they own, by hashing.
+/// Hash key by which the keepers of stream origins are chosen.
 const KEEPING: &str = "streams";
-/// What those that read the store own, by hashing.
+/// Hash key by which the readers of the store are chosen.
 const READING: &str = "store";
 
 /// An entry VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its name.
+    /// The VM's name.
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
     /// Where it listens for other entry VMs.
     pub address: SocketAddr,
-    /// Whether its machine is too small for more than its callers.
+    /// Whether its machine is too small for work beyond that of its own callers.
     pub weak: bool,
 }
 
-/// All entry VMs.
+/// The entry VMs of the fleet.
 #[derive(Debug, Default)]
 pub struct Members {
     list: Vec<Member>,
-    /// Those that read the store for the others where the leader does not.
+    /// Those that read the store for the others when the leader doesn't.
     readers: Vec<Name>,
-    /// Those of each availability zone that keep what began streams.
+    /// Those that keep stream origins, by availability zone.
     keepers: Vec<Vec<Member>>,
     version: u64,
-    /// Those that an earlier list named, and until when they may still give places.
+    /// Those removed from the list, and until when they may still grant slots.
     dropped: Vec<(Member, Time)>,
-    /// Those that did not answer, and until when they are not asked.
+    /// Those that did not answer, and until when no queries are sent to them.
     silent: Vec<(Name, Time)>,
-    /// As the leader: since when whom the list names.
+    /// As the leader: since when each member is listed.
     roster: Roster,
-    /// This entry VM's own place in the list.
+    /// This entry VM's own membership in the list.
     ownership: Ownership,
 }
 
-/// Whether an entry VM is the only owner of something.
+/// Whether an entry VM is the sole owner of something.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// It is, and no other acts as one.
+    /// It is the owner, and no other acts as one.
     Sole,
-    /// It is by the list that it knows; another may still act, or have begun to.
+    /// It is the owner by its own list, but another may still act as one, or have begun to.
     Uncertain,
-    /// Another is.
+    /// Another is the owner.
     None,
 }
 
 impl Members {
-    /// A number that differs if they do; 0 for none.
+    /// Hash of the list; 0 for an empty one.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// All of them.
+    /// All members.
     #[must_use]
     pub fn list(&self) -> &[Member] {
         &self.list
     }
 
-    /// Takes over who there is.
+    /// Replaces the list.
     pub fn replace(&mut self, now: Time, list: Vec<Member>) {
         let listed: FxHashSet<&Name> = list.iter().map(|member| &member.vm).collect();
         self.dropped.retain(|(member, until)| *until > now && !listed.contains(&member.vm));
@@ -99,18 +101,19 @@
         self.list = list;
     }
 
-    /// Whether an entry VM knows of no other.
+    /// Whether an entry VM knows no other.
     pub(crate) fn is_alone(&self, vm: &Name) -> bool {
         self.list.iter().all(|member| member.vm == *vm)
     }
 
-    /// Whether an entry VM reads the store for the others where the leader does not; each does while nobody is known.
+    /// Whether an entry VM reads the store for the others when the leader doesn't. Each one does while the list is
+    /// empty.
     #[must_use]
     pub fn is_reader(&self, vm: &Name) -> bool {
         self.list.is_empty() || self.readers.contains(vm)
     }
 
-    /// As the leader of this term, takes over who there is.
+    /// As the leader of this term: replaces the list.
     pub(crate) fn lead(&mut self, now: Time, term: u64, vm: &Name, list: Vec<Member>) {
         if list != self.list || !self.roster.is_of(term) {
             self.roster.update(now, term, &self.list, &list);
@@ -120,17 +123,17 @@
         self.ownership.renew(now, now, membership);
     }
 
-    /// As the leader: what an entry VM is told of its place in the list.
+    /// As the leader: the membership that is sent to an entry VM.
     pub(crate) fn membership(&self, now: Time, vm: &Name, with_list: bool) -> Membership {
         self.roster.membership(now, vm, with_list)
     }
 
-    /// A leader answered a frame that was sent then.
+    /// Renews this entry VM's membership: a leader answered a frame sent at `sent`.
     pub(crate) fn confirm(&mut self, now: Time, sent: Time, membership: Membership) {
         self.ownership.renew(now, sent, membership);
     }
 
-    /// Whether an entry VM, this one, is the only owner of something of an availability zone.
+    /// Whether `vm`, which must be this entry VM, is the sole owner of something in an availability zone.
     #[must_use]
     pub fn claim(&self, vm: &Name, what: &Name, zone: &Name, now: Time) -> Claim {
         if self.sole_owner(what, zone).is_none_or(|owner| owner.vm != *vm) {
@@ -141,41 +144,43 @@
         if first && self.ownership.is_settled(now) { Claim::Sole } else { Claim::Uncertain }
     }
 
-    /// Whether an entry VM is the owner of something by the list and was by the lists of late, whoever made them: a new leader's list
-    /// may lack most of the entry VMs for a while.
+    /// Whether an entry VM is the owner of something by the current list and by all recent ones, whoever made them: a
+    /// new leader's list may lack most entry VMs for a while.
     pub(crate) fn is_owner_by_lists(&self, vm: &Name, what: &Name, zone: &Name, now: Time) -> bool {
         let dropped = self.dropped.iter().filter(|(_, until)| *until > now).map(|(member, _)| member);
         let all = self.list.iter().chain(dropped).chain(self.ownership.former(now));
         first(all, what, zone).is_some_and(|owner| owner.vm == *vm)
     }
 
-    /// Who alone owns something of an availability zone, whether it answers or not.
+    /// The sole owner of something in an availability zone, whether it answers or not.
     #[must_use]
     pub fn sole_owner(&self, what: &Name, zone: &Name) -> Option<&Member> {
         first(self.list.iter(), what, zone)
     }
 
-    /// An entry VM is not to be asked until then.
+    /// Sends no queries to an entry VM until then.
     pub fn suspect(&mut self, vm: &Name, until: Time) {
         self.silent.retain(|(name, _)| name != vm);
         self.silent.push((vm.clone(), until));
     }
 
-    /// Who owns something of an availability zone: one of the entry VMs there; of all, if there is none.
+    /// The owner of something in an availability zone among the entry VMs that answer: one of that zone, or of any
+    /// zone if none is there.
     #[must_use]
     pub fn owner(&self, what: &Name, zone: &Name, now: Time) -> Option<&Member> {
         let answers = |member: &Member| !self.is_silent(&member.vm, now);
         self.first(what, zone, answers)
     }
 
-    /// One entry VM of each availability zone that owns a part of something, by the zones' names; also those that do not answer.
+    /// One entry VM of each availability zone that owns a part of something, by zone name. Includes those that don't
+    /// answer.
     #[must_use]
     pub fn owners(&self, what: &Name) -> Vec<&Member> {
         let owners = owners(what, self.list.iter().map(|member| (&member.zone, &member.vm)));
         owners.into_iter().filter_map(|vm| self.list.iter().find(|member| member.vm == *vm)).collect()
     }
 
-    /// The entry VMs that keep what began a stream, also those that do not answer.
+    /// The entry VMs that keep the origin of a stream. Includes those that don't answer.
     pub(crate) fn keepers(&self, stream: Stream) -> Vec<&Member> {
         let what = Name::from(stream.to_string());
         let first = |zone: &Vec<Member>| {
@@ -188,28 +193,29 @@
         picked.collect()
     }
 
-    /// Whether an entry VM is not to be asked now.
+    /// Whether no queries are sent to an entry VM now.
     #[must_use]
     pub fn is_silent(&self, vm: &Name, now: Time) -> bool {
         self.silence(vm, now).is_some()
     }
 
-    /// Whether any entry VM is not to be asked now.
+    /// Whether there is any entry VM to which no queries are sent now.
     #[must_use]
     pub fn is_any_silent(&self, now: Time) -> bool {
         self.silent.iter().any(|(_, until)| *until > now)
     }
 
-    /// For how long an entry VM is not to be asked, if it is not.
+    /// How long no queries will be sent to an entry VM; `None` if they are sent.
     #[must_use]
     pub fn silence(&self, vm: &Name, now: Time) -> Option<Duration> {
         let silent = self.silent.iter().find(|(name, until)| name == vm && *until > now);
         silent.map(|(_, until)| until.since(now))
     }
 
-    /// An entry VM that has not been asked yet for what it sees of something in an availability zone: one of that zone, since across a partition
-    /// others see no more than whoever asks. If `near` says that this one is in that zone too, one of another zone, which has hardly lost the same
-    /// ways, and then any.
+    /// An entry VM to ask how it sees something in an availability zone, among those not asked yet. It is one of that
+    /// zone, because across a partition other zones see no more than the asker. If `near` is set, the asker is in
+    /// that zone too: then one of another zone is preferred, which has hardly lost the same connections, before any
+    /// other.
     #[must_use]
     pub fn prober(&self, what: &Name, zone: &Name, near: bool, asked: &[Name]) -> Option<&Member> {
         let new = |member: &Member| !asked.contains(&member.vm);
@@ -220,8 +226,9 @@
         self.first(what, zone, |member| member.zone != *zone && new(member)).or_else(there)
     }
 
-    /// An entry VM that has not been asked yet whether it reaches an engine of an availability zone: first those that are not known not to reach others, of
-    /// zones of which nobody was asked, of the asker's zone, then of the engine's, then of any. Different askers ask different ones.
+    /// An entry VM to ask whether it reaches an engine in an availability zone, among those not asked yet. In order
+    /// of preference: those that aren't known to be cut off, those of zones of which none was asked, those of the
+    /// asker's zone, then of the engine's, then any. Different askers get different ones.
     #[must_use]
     pub(crate) fn relay(
         &self,
@@ -247,14 +254,14 @@
     }
 }
 
-/// Of entry VMs, the one that owns something of an availability zone: one of those there; of all, if there is none.
+/// The owner of something in an availability zone among `vms`: one of that zone, or of any zone if none is there.
 fn first<'a>(vms: impl Iterator<Item = &'a Member> + Clone, what: &Name, zone: &Name) -> Option<&'a Member> {
     let near = vms.clone().filter(|member| member.zone == *zone);
     let first = near.max_by_key(|member| weight(what, &member.vm));
     first.or_else(|| vms.max_by_key(|member| weight(what, &member.vm)))
 }
 
-/// Of entry VMs, each with its availability zone, the one of each zone that owns a part of something, by the zones' names.
+/// The owner in each availability zone of a part of something, by zone name. `vms` are pairs of zone and entry VM.
 #[must_use]
 pub fn owners<'a>(what: &Name, vms: impl Iterator<Item = (&'a Name, &'a Name)>) -> Vec<&'a Name> {
     let mut by_zone: BTreeMap<&Name, (u64, &Name)> = BTreeMap::new();
@@ -268,7 +275,7 @@
     by_zone.into_values().map(|(_, vm)| vm).collect()
 }
 
-/// Of each availability zone the entry VMs that read the store for the others.
+/// The entry VMs of each availability zone that read the store for the others.
 fn readers(list: &[Member]) -> Vec<Name> {
     let ranked = ranked(list, &Name::from(READING));
     ranked
@@ -277,7 +284,7 @@
         .collect()
 }
 
-/// Of each availability zone the entry VMs that keep what began streams.
+/// The entry VMs of each availability zone that keep stream origins.
 fn keepers(list: &[Member]) -> Vec<Vec<Member>> {
     let first = |zone: Vec<&Member>| {
         let count = zone.len().div_ceil(KEEPING_PART).max(KEEPING_MIN);
@@ -286,7 +293,7 @@
     ranked(list, &Name::from(KEEPING)).into_iter().map(first).collect()
 }
 
-/// The entry VMs of each availability zone in the order in which they own a part of something: strong ones first.
+/// The entry VMs of each availability zone by rank of ownership, those on weak machines last.
 fn ranked<'a>(list: &'a [Member], what: &Name) -> Vec<Vec<&'a Member>> {
     let mut by_zone: BTreeMap<&Name, Vec<&Member>> = BTreeMap::new();
     for member in list {
@@ -299,7 +306,7 @@
     zones
 }
 
-/// A number that differs for different lists, whoever computes it; 0 for none.
+/// Hash of a list of entry VMs, equal on all of them; 0 for an empty list.
 #[must_use]
 pub fn version(list: &[Member]) -> u64 {
     list.iter().fold(0, |seed, member| {
--- a/fleet/src/ownership.rs
+++ b/fleet/src/ownership.rs
@@ -1,10 +1,11 @@
-//! Which entry VM alone owns something, for as long as the leader's word on who there is holds.
+//! Sole ownership of a shared task by one entry VM, for as long as its membership in the leader's list is valid.
 //!
-//! Each entry VM finds the owner by hashing over the leader's list, and lists differ for a while whenever one changes. What
-//! must not have two owners at a time goes by time as well: the leader's answer to a frame holds for [`HOLD`] from when the
-//! frame was sent, and a new owner begins only [`HOLD`] after the change that made it one. Whoever was the owner before has
-//! heard of the change by then, or has heard nothing and stopped. Nothing is written to the store for it, and nothing need
-//! be given to anyone: where the list does not change, its owner owns at once whatever comes to be owned.
+//! Each entry VM finds the owner by hashing over the leader's list, and lists differ for a while whenever one
+//! changes. A task that must not have two owners at a time is therefore protected by time as well. The leader's reply
+//! to a frame is valid for [`HOLD`] from when the frame was sent, and a new owner begins only [`HOLD`] after the
+//! change that made it the owner. By then the former owner has received the change, or has received nothing and
+//! stopped. This needs no write to the store and no handover: while the list doesn't change, an owner owns new tasks
+//! at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -16,36 +17,36 @@
 
 use crate::members::Member;
 
-/// How long the leader's word holds: more than two frames of hundreds of entry VMs.
+/// How long a membership is valid: more than two frame intervals in a fleet of hundreds of entry VMs.
 pub const HOLD: Duration = Duration::from_secs(4);
 
-/// What the leader says of an entry VM's place in its list.
+/// Membership of an entry VM in the leader's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
-    /// For how long it has been in the list without a break, under this leader.
+    /// Time for which it has been in the list without a break, under this leader.
     pub listed: Duration,
-    /// Entry VMs that were in the list within [`HOLD`] and are not now, if the list is told too.
+    /// Entry VMs that were in the list within [`HOLD`] and are not now. Empty unless the list is sent too.
     pub former: Vec<Member>,
 }
 
-/// The leader's side: since when whom its list names.
+/// The leader's record of membership times.
 #[derive(Debug, Default)]
 pub(crate) struct Roster {
     /// The term of the lease.
     term: u64,
-    /// Those in the list, and since when without a break.
+    /// When each member was listed, without a break since.
     listed: FxHashMap<Name, Time>,
-    /// Those that were in it, and until when they count.
+    /// Members removed from the list, and until when they count.
     former: BTreeMap<Name, (Member, Time)>,
 }
 
 impl Roster {
-    /// Whether it is of this term.
+    /// Whether the record belongs to this term.
     pub(crate) const fn is_of(&self, term: u64) -> bool {
         self.term == term
     }
 
-    /// Under this term, the list changes from one to another.
+    /// Records a change of the list from `before` to `list` under a term.
     pub(crate) fn update(&mut self, now: Time, term: u64, before: &[Member], list: &[Member]) {
         if term != self.term {
             *self = Self { term, ..Self::default() };
@@ -62,7 +63,7 @@
         }
     }
 
-    /// What an entry VM is told of itself, with the list or without.
+    /// The membership to send to an entry VM. `with_list` tells whether the list is sent too.
     pub(crate) fn membership(&self, now: Time, vm: &Name, with_list: bool) -> Membership {
         let listed = self.listed.get(vm).map_or(Duration::ZERO, |since| now.since(*since));
         let former = self.former.values().filter(|(_, until)| with_list && *until > now);
@@ -70,19 +71,19 @@
     }
 }
 
-/// An entry VM's own side: what it knows of its place in the leader's list.
+/// This entry VM's own membership in the leader's list.
 #[derive(Debug, Default)]
 pub(crate) struct Ownership {
-    /// When the last frame was sent that a leader answered.
+    /// When the last frame that a leader answered was sent.
     confirmed: Option<Time>,
     /// Since when it has been in the list.
     since: Time,
-    /// Those that were in the list, and until when they may still act.
+    /// Members removed from the list, and until when they may still act as owners.
     former: Vec<(Member, Time)>,
 }
 
 impl Ownership {
-    /// A leader answered a frame that was sent then.
+    /// Renews the membership: a leader answered a frame sent at `sent`.
     pub(crate) fn renew(&mut self, now: Time, sent: Time, membership: Membership) {
         self.confirmed = self.confirmed.max(Some(sent));
         self.since = now - membership.listed;
@@ -94,13 +95,13 @@
         }
     }
 
-    /// Whether what the leader's list says of this entry VM holds, and has held for long enough.
+    /// Whether the membership is valid, and has lasted long enough for any former owner to have stopped.
     pub(crate) fn is_settled(&self, now: Time) -> bool {
         let confirmed = self.confirmed.is_some_and(|sent| now.since(sent) < HOLD);
         confirmed && now.since(self.since) >= HOLD
     }
 
-    /// Those that were in the list a while ago, and may not know yet that they are not now.
+    /// Members removed from the list recently, which may not know this yet.
     pub(crate) fn former(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
         self.former.iter().filter(move |(_, until)| *until > now).map(|(member, _)| member)
     }
--- a/fleet/src/record.rs
+++ b/fleet/src/record.rs
@@ -1,4 +1,4 @@
-//! What is logged of decisions: who decided what, by which inputs, how old they were.
+//! Log records of decisions: which process decided what, by which inputs, and how old these were.
 
 use std::time::Duration;
 
@@ -7,31 +7,31 @@
 
 use crate::order::Order;
 
-/// What a request counts, and for whose limit.
+/// Cost of a request, and the workspace whose limit it counts against.
 #[derive(Clone, Debug, Serialize)]
 pub struct Charge {
     /// The workspace.
     pub workspace: Name,
-    /// What the request counts; 0 where there is no limit.
+    /// Cost of the request; 0 if there is no limit.
     pub cost: f64,
-    /// The limit, in the same units a second.
+    /// The limit, in the same units per second.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub limit_per_s: Option<f64>,
-    /// Credit that is left to be spent here.
+    /// Credit left to spend on this entry VM.
     pub credit: f64,
 }
 
-/// A decision, or a change of what this process believes.
+/// A decision, or a change of the process's view of the fleet.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "decision", rename_all = "snake_case")]
 pub enum Record {
-    /// An availability zone's engines are to get nothing, or are to get work again.
+    /// The engines of an availability zone are excluded from work, or admitted again.
     Evacuation {
         /// The zone.
         zone: Name,
-        /// Whether they are to get nothing.
+        /// Whether they are excluded.
         evacuated: bool,
-        /// The store's version of that word.
+        /// The store's revision of the operators' setting.
         version: u64,
     },
     /// A request was sent to an engine.
@@ -42,45 +42,45 @@
         attempt: u32,
         /// The engine's id.
         engine: Name,
-        /// The version of the engine's software, if it says one.
+        /// The version of the engine's software, if it reports one.
         #[serde(skip_serializing_if = "Option::is_none")]
         build: Option<Name>,
-        /// The route it came by.
+        /// The route that the request matched.
         route: Name,
         /// The configuration's version.
         config: u64,
-        /// What the engine was expected to cost, in ms of waiting.
+        /// Expected cost of the engine, in ms of waiting.
         cost_ms: f64,
-        /// The entry VM that passes it on.
+        /// The entry VM that relays the request.
         #[serde(skip_serializing_if = "Option::is_none")]
         relay: Option<Name>,
-        /// Engines that could have had it.
+        /// Number of engines that could have served it.
         candidates: usize,
         /// Requests under way at the engine.
         open: u32,
-        /// Time since the hub last told of the other entry VMs' requests.
+        /// Age of the loads that the hub reported for other entry VMs.
         hub_age_ms: u64,
-        /// Age of what is known of the engines' table; none before that is known.
+        /// Age of the engine table; none if it isn't known yet.
         listed_age_ms: Option<u64>,
-        /// Time until its place in the engine's schedule.
+        /// Time until its slot in the engine's schedule.
         wait_ms: u64,
-        /// The time to an answer, or to its first event, that the operator aims at.
+        /// The operator's target time to an answer, or to its first event.
         target_ms: u64,
-        /// The pause between two events that the operator allows; none for plain answers.
+        /// The longest pause between two events that the operator allows; none for plain answers.
         pause_max_ms: Option<u64>,
         /// Time left for the answer.
         left_ms: u64,
-        /// The limit that the engine had named, in requests a second; none if it had named none.
+        /// The engine's limit in requests per second; none if it announced none.
         #[serde(skip_serializing_if = "Option::is_none")]
         limit_per_s: Option<f64>,
-        /// Age of that word.
+        /// Age of the announcement of that limit.
         #[serde(skip_serializing_if = "Option::is_none")]
         limit_age_ms: Option<u64>,
-        /// Whose caller it is; none where no key was needed.
+        /// Cost to the caller's workspace; none if no key was needed.
         #[serde(skip_serializing_if = "Option::is_none")]
         charge: Option<Charge>,
     },
-    /// A request waits for a model or an adapter.
+    /// A request is waiting for a model or an adapter.
     Waits {
         /// The request's number.
         request: u64,
@@ -88,53 +88,53 @@
         model: Name,
         /// The adapter.
         adapter: Option<Name>,
-        /// How long it will wait at most.
+        /// Maximum waiting time.
         at_most_ms: u64,
     },
-    /// A request may be sent once more, or not.
+    /// A request was allowed or denied a repeat.
     Repeat {
         /// The request's number.
         request: u64,
         /// The service.
         service: Name,
-        /// Whether it may.
+        /// Whether it was allowed.
         allowed: bool,
-        /// By whose word, or why not.
+        /// Who allowed it, or why it was denied.
         by: &'static str,
         /// Repeats that this process has earned and not used.
         earned: usize,
-        /// Time since the hub last answered.
+        /// Time since the hub last replied.
         hub_age_ms: u64,
-        /// Time since this process began.
+        /// Time since this process started.
         alive_ms: u64,
     },
-    /// A client took a stream up, and it was decided which build may go on with it.
+    /// A client resumed a stream, and the build that may continue it was determined.
     Traced {
         /// The request's number.
         request: u64,
-        /// By what: a word that is kept here, another entry VM's, or that there has been one build only.
+        /// How: from a report stored here, from another entry VM, or because there has been one build only.
         by: &'static str,
-        /// The build; none if it is not known.
+        /// The build; none if unknown.
         build: Option<Name>,
-        /// Streams of which it is kept here what began them.
+        /// Number of streams whose origin is stored here.
         kept: usize,
     },
-    /// The first of an answer's events came.
+    /// The first event of an answer arrived.
     Began {
         /// The request's number.
         request: u64,
         /// The engine's id.
         engine: Name,
-        /// Time since the request came.
+        /// Time since the request arrived.
         after_ms: u64,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         sent_ms: u64,
     },
     /// The owner of an engine's schedule did not answer.
     OwnerSilent {
         /// The entry VM.
         owner: Name,
-        /// How long it is not asked again.
+        /// How long it is sent no queries.
         for_ms: u64,
     },
     /// An attempt ended.
@@ -145,35 +145,36 @@
         attempt: u32,
         /// The engine's id.
         engine: Name,
-        /// How.
+        /// Result of the attempt.
         end: &'static str,
-        /// Whether that proves that nothing ran.
+        /// Whether the result proves that nothing ran.
         not_run: bool,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         after_ms: u64,
         /// The longest pause between two of its events.
         pause_ms: u64,
     },
-    /// A request was answered without an engine, or its answer broken off.
+    /// A request was answered without an engine, or its answer was cut off.
     Refused {
         /// The request's number.
         request: u64,
-        /// The route it came by; none if that is not known.
+        /// The route that the request matched; none if unknown.
         route: Option<Name>,
         /// The result code's number.
         code: u16,
         /// The result code's name.
         label: &'static str,
-        /// Whether it may have run.
+        /// Whether the request may have run.
         outcome: &'static str,
-        /// When the caller may come back.
+        /// When the caller may retry.
         retry_after_ms: Option<u64>,
-        /// Time since it came.
+        /// Time since the request arrived.
         after_ms: u64,
-        /// Whose caller it is; none where no key was needed, or none was known.
+        /// Cost to the caller's workspace; none if no key was needed, or the workspace isn't known.
         #[serde(skip_serializing_if = "Option::is_none")]
         charge: Option<Charge>,
-        /// Age of the proof that the configuration in force is the newest; none where none is needed, or before the first.
+        /// Age of the proof that the configuration in force is the newest; none if none is needed, or there was none
+        /// yet.
         #[serde(skip_serializing_if = "Option::is_none")]
         proof_age_ms: Option<u64>,
     },
@@ -181,25 +182,26 @@
     Configured {
         /// Its version.
         version: u64,
-        /// The version before.
+        /// The previous version.
         before: u64,
-        /// Routes in it.
+        /// Number of routes.
         routes: usize,
-        /// From whom it was learnt.
+        /// Where it came from.
         source: &'static str,
     },
     /// An update of the configuration was pushed to the entry VMs of an availability zone that lack it.
     Pushed {
-        /// The version that it leads to.
+        /// The version after the update.
         version: u64,
-        /// The version that it begins at; 0 for nothing.
+        /// The version before the update; 0 for none.
         base: u64,
-        /// Its bytes, packed.
+        /// Size of the packed update in bytes.
         bytes: usize,
-        /// The entry VMs.
+        /// Number of entry VMs.
         vms: usize,
     },
-    /// Keys are not served any more, for want of a proof that the configuration in force is the newest, or are again.
+    /// Requests with keys are rejected from now on, since there is no proof that the configuration in force is the
+    /// newest, or are served again.
     Proof {
         /// Whether there is a proof.
         state: &'static str,
@@ -208,180 +210,182 @@
         /// Age of the last proof; none if there was none.
         age_ms: Option<u64>,
     },
-    /// What came, or was to be sent, cannot be read or written.
+    /// A message that was received, or was to be sent, can't be decoded or encoded.
     Unusable {
-        /// What it is.
+        /// Kind of the message.
         what: &'static str,
-        /// Why.
+        /// The error.
         error: String,
     },
-    /// The store has come back from an older copy of its data: what was written since is gone, and versions are given out again.
+    /// The store was restored from an older copy of its data: later writes are lost, and their revisions will be used
+    /// again.
     Era {
-        /// Its era now.
+        /// The store's era now.
         era: u64,
-        /// Its era before, as far as it was known here.
+        /// The era known to this process before.
         before: u64,
-        /// The version up to which the engines' table was known in that,
+        /// The revision in that era up to which the engine table was known.
         listed: u64,
-        /// and that up to which the configuration was.
+        /// The revision in that era up to which the configuration was known.
         declared: u64,
-        /// Engines known.
+        /// Number of engines known.
         engines: usize,
-        /// Those of them that leave: they leave whatever the copy says.
+        /// Engines known to leave. They remain so, whatever the copy contains.
         leaving: usize,
-        /// Engines known as removed: the copy's word does not bring them back at once.
+        /// Engines known as removed. The copy doesn't bring them back at once.
         removed: usize,
         /// Whether this process held the lease.
         led: bool,
     },
-    /// The engines' table was read whole for the first time since the store came back from an older copy.
+    /// The whole engine table was read for the first time since the store was restored.
     Reread {
         /// The store's era.
         era: u64,
-        /// The version up to which the table is known.
+        /// The revision up to which the table is known.
         version: u64,
-        /// Time since this process knew of the era.
+        /// Time since this process learned of the era.
         after_ms: u64,
-        /// Engines whose entry the copy lacks: they are waited for.
+        /// Engines whose entry the copy lacks: the process waits for them to be written again.
         lacking: usize,
-        /// Engines in the copy that had been removed before: they are not believed yet.
+        /// Engines in the copy that had been removed before: their entries aren't used yet.
         returned: usize,
     },
-    /// An answer of the store from before it came back from an older copy came after that was known, and changed nothing.
+    /// A response of the store from an earlier era arrived late and was ignored.
     Outdated {
-        /// What it was to.
+        /// Kind of the call.
         what: &'static str,
-        /// Its era.
+        /// Era of the response.
         era: u64,
         /// The store's era.
         now: u64,
     },
-    /// Changes of the engines' table were read. The holder of the lease names each engine in a line of its own, with the version.
+    /// Changes of the engine table were read. The holder of the lease also logs each engine with its revision.
     Listed {
         /// The store's era.
         era: u64,
-        /// The store's version up to which the table is known now.
+        /// The revision up to which the table is known now.
         version: u64,
-        /// Whether all of it was read.
+        /// Whether the whole table was read.
         whole: bool,
-        /// Engines that appeared, changed their state, or went.
+        /// Engines that appeared, changed their state or disappeared.
         changed: usize,
         /// Engines known now.
         engines: usize,
-        /// Those of them that take no more work.
+        /// Engines that accept no more work.
         leaving: usize,
     },
-    /// Rows of the engines' table were passed over, since newer ones are known.
+    /// Rows of the engine table were skipped, since newer ones are known.
     PassedOver {
-        /// How many.
+        /// Number of rows.
         rows: usize,
-        /// The engine of the first.
+        /// The engine of the first one.
         engine: Name,
-        /// The store's version of its row.
+        /// The revision of that row.
         version: u64,
-        /// The version that is known.
+        /// The revision known for this engine.
         known: u64,
         /// The store's era.
         era: u64,
-        /// The store's version up to which the table was read.
+        /// The revision up to which the table was read.
         read: u64,
-        /// Whether all of it was read.
+        /// Whether the whole table was read.
         whole: bool,
     },
-    /// It became known here that an engine leaves or is gone.
+    /// This process learned that an engine is leaving or gone.
     Departure {
         /// Its id.
         engine: Name,
-        /// By which road that came first.
+        /// The source from which it learned so first.
         road: &'static str,
-        /// The store's version of its row that says so, or of the one that does not yet.
+        /// The revision of the row that says so, or of the last row that doesn't yet.
         version: u64,
     },
-    /// Others were told that engines leave or are gone, or were not.
+    /// Other processes were, or were not, notified that engines are leaving or gone.
     DeparturesTold {
-        /// The first of them.
+        /// The first of these engines.
         engine: Name,
-        /// How many.
+        /// Number of engines.
         engines: usize,
-        /// Who was told.
+        /// Who was notified.
         to: &'static str,
     },
-    /// An engine appeared, changed its state, or went.
+    /// An engine appeared, changed its state or disappeared.
     Engine {
         /// Its id.
         engine: Name,
         /// Its service.
         service: Name,
-        /// What is believed of it now.
+        /// Its state now.
         state: &'static str,
-        /// The store's version of its row.
+        /// The revision of its row.
         version: u64,
     },
-    /// An engine named another limit of requests a second than before, or none any more.
+    /// An engine announced another limit in requests per second, or removed it.
     Intake {
-        /// The request whose answer said so; none if it was the answer to a call of this process's own.
+        /// The request whose response contained it; none if it was a call by this process itself.
         request: Option<u64>,
         /// The engine's id.
         engine: Name,
-        /// The limit; none if there is none any more.
+        /// The limit; none if it was removed.
         limit_per_s: Option<f64>,
-        /// The one before.
+        /// The previous limit.
         before_per_s: Option<f64>,
     },
-    /// An engine falls over if it turns away too much, turned a request away then, or is sound again.
+    /// An engine was found to fail under many rejections, rejected a request while in that state, or recovered.
     Brittle {
         /// The engine's id.
         engine: Name,
-        /// Which of these.
+        /// Which of these happened.
         state: &'static str,
-        /// Rejections in a second that it bears.
+        /// Rejections per second that the engine can bear.
         #[serde(skip_serializing_if = "Option::is_none")]
         rejections_per_s: Option<f64>,
     },
-    /// The process was awake long after it had asked for: it stood still, or was busy for as long.
+    /// The process woke up much later than it had asked for: it stalled, or was busy for that long.
     StoodStill {
-        /// By how much later it was.
+        /// How much later it woke up.
         for_ms: u64,
-        /// Age of what is known of the engines' table; none before that is known.
+        /// Age of the engine table; none if it isn't known yet.
         listed_age_ms: Option<u64>,
         /// Whether it held the lease, as far as it knows.
         led: bool,
     },
-    /// What is known of the engines' table is gone by again after a standstill.
+    /// The engine table is in use again after a stall.
     Refreshed {
-        /// Whose word came; `nobody` where none did.
+        /// Where the fresh data came from; `nobody` if none arrived.
         source: &'static str,
-        /// Time since the process went on.
+        /// Time since the process resumed.
         after_ms: u64,
-        /// Age of what is known of the engines' table; none before that is known.
+        /// Age of the engine table; none if it isn't known yet.
         listed_age_ms: Option<u64>,
-        /// Requests that waited for it.
+        /// Requests that waited for fresh data.
         held: usize,
     },
-    /// Requests for an engine take another way from now on.
+    /// Requests to an engine take another path from now on.
     Path {
         /// The engine's id.
         engine: Name,
-        /// Whether it is relayed, or reached from here again.
+        /// Whether it is reached through a relay, or directly again.
         state: &'static str,
-        /// The entry VM that passes requests on.
+        /// The entry VM that relays requests.
         #[serde(skip_serializing_if = "Option::is_none")]
         relay: Option<Name>,
     },
-    /// Most engines that this process uses are reached by other entry VMs alone, or are not any more.
+    /// Most engines that this process uses are reachable only through other entry VMs, or are reachable directly
+    /// again.
     Reach {
-        /// Whether it is cut off.
+        /// Whether this process is cut off.
         state: &'static str,
-        /// Engines that others pass requests on to.
+        /// Engines reached through relays.
         relayed: usize,
-        /// Engines that were heard from here lately.
+        /// Engines that responded to this process recently.
         direct: usize,
     },
-    /// Lines that were not written in the last second, since there were too many.
+    /// Log lines omitted in the last second because there were too many.
     LeftOut {
-        /// On what.
+        /// Kind of the lines.
         what: &'static str,
-        /// How many.
+        /// Number of lines.
         lines: u32,
     },
     /// The lease changed hands, as far as this process knows.
@@ -394,14 +398,14 @@
         era: u64,
         /// Its fencing number.
         term: u64,
-        /// When orders may be given.
+        /// Time until orders may be given.
         orders_in_ms: u64,
     },
     /// The hub was lost or found.
     Hub {
-        /// Whether it answers.
+        /// Whether it replies.
         state: &'static str,
-        /// Entry VMs that it hears.
+        /// Number of entry VMs that it counts.
         nodes: u32,
     },
     /// An order was sent or answered.
@@ -410,12 +414,13 @@
         engine: Name,
         /// The order.
         order: Order,
-        /// How far it is.
+        /// State of the order.
         state: &'static str,
-        /// Orders that the engine had accepted before.
+        /// Number of orders that the engine had accepted before.
         sequence: u64,
     },
-    /// An adapter that an engine was told to load counts as loaded from now on, and whoever asks is told so.
+    /// An adapter that an engine was told to load is treated as loaded from now on, and queries are answered
+    /// accordingly.
     AdapterReady {
         /// The engine's id.
         engine: Name,
@@ -423,33 +428,33 @@
         model: Name,
         /// The adapter.
         adapter: Name,
-        /// By how much later than it was expected.
+        /// Delay after the expected time.
         late_ms: u64,
     },
-    /// How the models that are asked for most are placed.
+    /// Placement of the models that are requested most.
     Placement {
         /// The service.
         service: Name,
         /// The models.
         models: Vec<Placed>,
-        /// Loads from the weight store that may begin now.
+        /// Number of loads from the weight store that may start now.
         cold_left: usize,
         /// Engines that can be given orders.
         idle: usize,
-        /// Engines that serve.
+        /// Engines that can serve requests.
         usable: usize,
     },
-    /// Something was learnt of a request under which engines crash.
+    /// New information on a request under which engines crash.
     Crash {
-        /// The number of a request that is like it, here; none if another entry VM told of it.
+        /// The number of a similar request on this entry VM; none if another entry VM reported it.
         request: Option<u64>,
-        /// What the request asks, as a hash.
+        /// Hash of the request's content.
         fingerprint: String,
-        /// What is believed of it now.
+        /// Its state now.
         state: &'static str,
-        /// The engine that crashed; none if another entry VM told of it.
+        /// The engine that crashed; none if another entry VM reported it.
         engine: Option<Name>,
-        /// Crashes that count against it.
+        /// Number of crashes counted against it.
         crashes: u32,
     },
     /// The store was lost or found.
@@ -464,14 +469,14 @@
     },
 }
 
-/// How a model is placed.
+/// Copies of one model.
 #[derive(Clone, Debug, Serialize)]
 pub struct Placed {
     /// The model.
     pub model: Name,
-    /// Requests under way or waiting, smoothed.
+    /// Smoothed number of requests under way or waiting.
     pub busy: f64,
-    /// Copies that serve.
+    /// Copies that can serve.
     pub ready: usize,
     /// Copies that are being loaded.
     pub loading: usize,
@@ -479,7 +484,7 @@
     pub closing: usize,
 }
 
-/// Whole milliseconds, for records.
+/// A duration in whole milliseconds, as logged.
 pub(crate) fn ms(time: Duration) -> u64 {
     time.as_millis() as u64
 }
--- a/fleet/src/settings.rs
+++ b/fleet/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the reducer goes by besides the configuration. Set once, at a process's start.
+//! Parameters of the reducer besides the configuration. They are set once, when a process starts.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,154 +10,161 @@
 /// Limits, intervals and weights.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Repeats allowed in a window over all entry VMs, as a share of requests (the platform's bound).
+    /// Repeats allowed in a window over all entry VMs, as a fraction of requests (bound of the platform).
     pub repeat_ratio: f64,
-    /// Repeats allowed in a window beyond that share, over all entry VMs (the platform's bound).
+    /// Repeats allowed in a window in addition to that fraction, over all entry VMs (bound of the platform).
     pub repeat_slack: f64,
-    /// The window in which repeats are counted (the platform's bound).
+    /// The window over which repeats are counted (bound of the platform).
     pub repeat_window: Duration,
-    /// Loads from the weight store are counted over this window (the platform's bound).
+    /// The window over which loads from the weight store are counted (bound of the platform).
     pub load_window: Duration,
-    /// Loads allowed in a window beyond the rate. The platform bears a tenth more and three; two are left for
-    /// orders that are carried out late.
+    /// Loads allowed in a window in addition to the rate. The platform allows an excess of a tenth plus three. Two of
+    /// these are left for orders that are carried out late.
     pub load_extra: f64,
-    /// Time between two machines' orders to one engine (the platform's bound).
+    /// Minimum time between the orders of two entry VMs to one engine (bound of the platform).
     pub order_gap: Duration,
-    /// Time after which an engine that has said that it leaves may be sent nothing more (the platform's bound).
+    /// Time after which an engine that has announced its departure may be sent nothing more (bound of the platform).
     pub departure: Bound,
-    /// Time after which a configuration that was accepted is in force everywhere (the platform's bound).
+    /// Time after which an accepted configuration is in force everywhere (bound of the platform).
     pub config: Bound,
-    /// How long a lease lasts without renewal.
+    /// Validity of a lease without renewal.
     pub lease_length: Duration,
-    /// How much longer others wait before they take it, and before they give orders: clocks run at rates
-    /// that differ a little, and orders take time to arrive.
+    /// How much longer other entry VMs wait before they take the lease, and before they give orders: the rates of
+    /// clocks differ slightly, and orders take time to arrive.
     pub lease_margin: Duration,
-    /// Time between renewals.
+    /// Interval between renewals of the lease.
     pub lease_renew: Duration,
-    /// Time between looks at a lease that nobody seems to hold.
+    /// Interval at which a lease without a known holder is checked.
     pub lease_look: Duration,
-    /// Time between frames to the hub.
+    /// Interval between frames to the hub.
     pub frame_every: Duration,
-    /// Entry VMs up to which frames are sent that often; with more of them, less often in proportion.
+    /// Number of entry VMs up to which that interval applies. Beyond it, the interval grows in proportion.
     pub frame_nodes: u32,
-    /// Whether this machine is to be the hub only if no stronger one takes that on.
+    /// Whether this machine becomes the hub only if no stronger one does.
     pub weak: bool,
-    /// How much longer a weak machine waits before it takes a lease that is over.
+    /// How much longer a weak machine waits before it takes an expired lease.
     pub weak_wait: Duration,
-    /// Time without an answer to a frame after which the hub is taken as gone.
+    /// Time without a reply to a frame after which the hub counts as lost.
     pub hub_silence: Duration,
-    /// Time without an answer of the store to the hub after which the others follow the store themselves; the
-    /// hub writes its lease more often, and what the store says is to be in force within two seconds.
+    /// Time without an answer of the store to the hub after which the others follow the store themselves. The hub
+    /// writes its lease more often than that, and a change in the store has to be in force within two seconds.
     pub hub_store_age: Duration,
-    /// Time between calls of the hub for the store's changes.
+    /// Interval between the hub's calls for the store's changes.
     pub follow_as_hub: Duration,
-    /// Engines up to which it calls that often; with more of them, less often in proportion, within a bound.
+    /// Number of engines up to which that interval applies. Beyond it, the interval grows in proportion, up to a
+    /// maximum.
     pub follow_engines: u32,
-    /// How long a process that starts waits for the hub's word before it asks the store for everything: some frames.
+    /// How long a starting process waits for the hub before it reads all tables from the store: several frame
+    /// intervals.
     pub hub_wait: Duration,
-    /// Time between looks for the hub of a process that starts and knows nothing yet.
+    /// Interval at which a starting process without data looks for the hub.
     pub start_look: Duration,
-    /// Time between calls of others that have no hub: each engine that registers changes the table, and all of
-    /// them do so at the start.
+    /// Interval between calls for the store's changes by other entry VMs without a hub. Each engine that registers
+    /// changes the table, and at the start all of them do so.
     pub follow_alone: Duration,
-    /// Time between placement plans.
+    /// Interval between placement plans.
     pub plan_every: Duration,
-    /// Time for which a new entry of an outage's victims may be late (the platform's two seconds, less a margin).
+    /// How late a new entry of an engine may be that lost its entry in an outage (the platform's two seconds, less a
+    /// margin).
     pub lapse_grace: Duration,
-    /// Time in which the operator and the engines have written again what the store lost by coming back from an older copy, counted from
-    /// its return.
+    /// Time after the restore of the store from an older copy within which the operator and the engines write again
+    /// what was lost.
     pub rewritten_within: Duration,
-    /// Time between an engine's heartbeats (the platform's bound); the store removes the entry of one that misses three.
+    /// Interval between an engine's heartbeats (bound of the platform). The store removes the entry of an engine that
+    /// misses three.
     pub engine_heartbeat: Duration,
     /// First time without work for an engine that could not be reached.
     pub suspicion_min: Duration,
     /// Longest time without work for an engine that could not be reached.
     pub suspicion_max: Duration,
-    /// Silence of an engine with requests under way after which it is suspected.
+    /// Time without a response from an engine with requests under way after which it is suspected.
     pub silence: Duration,
-    /// Time in which remembered failures of an engine halve.
+    /// Half-life of the remembered failures of an engine.
     pub fault_half_life: Duration,
-    /// What one remembered failure weighs against an engine, in ms of waiting.
+    /// Cost of one remembered failure of an engine, in ms of waiting.
     pub fault_ms: f64,
-    /// What another availability zone weighs against an engine, in ms of waiting. From the price of bytes
-    /// between zones: about 1.5% of a streamed answer's worth.
+    /// Cost of an engine in another availability zone, in ms of waiting. It reflects the price of traffic between
+    /// zones, which is about 1.5% of the value of a streamed answer.
     pub zone_ms: f64,
-    /// What each request under way weighs against an engine, in ms of waiting: the others of its batch are
-    /// slowed by it.
+    /// Cost of each request under way at an engine, in ms of waiting, because it slows down the others of its batch.
     pub crowd_ms: f64,
-    /// How much longer than at the next best engine a prompt may have to wait at the one that was chosen, before the
-    /// next best is asked: a question takes some ms.
+    /// How much longer a prompt may have to wait at the chosen engine than at the next best one before the next best
+    /// one is asked for a slot, since the query takes several ms.
     pub schedule_slack: Duration,
-    /// How long a prompt waits for its place in a schedule at most. Its engine may begin to leave meanwhile, and may get
-    /// nothing new two seconds after that.
+    /// How long a prompt waits at most for its slot in a schedule. Its engine may start to leave meanwhile, and must
+    /// get no new requests two seconds after that.
     pub schedule_wait: Duration,
-    /// How long a request waits for a model or adapter to be loaded, at most.
+    /// How long a request waits at most for a model or adapter to be loaded.
     pub load_wait: Duration,
-    /// How long a refusal as absent is believed over the word of whoever orders the engine.
+    /// How long an engine's refusal of a model or adapter as absent takes precedence over the data of the holder of
+    /// the lease.
     pub absence: Duration,
-    /// Time after which an adapter that an engine was told to load counts as loaded; the users' take 5 to 14 ms.
+    /// Time after which an adapter that an engine was told to load counts as loaded. The platform's engines take 5 to
+    /// 14 ms.
     pub adapter_ready: Duration,
-    /// Time without a request after which an adapter may make way for another.
+    /// Time without a request after which an adapter may be replaced by another.
     pub adapter_idle: Duration,
-    /// Time to leave for an answer after the last moment to send a request.
+    /// Time reserved for the answer after the last moment at which a request may be sent.
     pub reserve: Duration,
-    /// Time after which a key that was taken away may not be served anywhere, if that holds for entry VMs that hear
-    /// nobody as well (the platform's bound).
+    /// Time after which a revoked key may not be served anywhere (bound of the platform); none if entry VMs that
+    /// receive nothing need not keep to it.
     pub revocation: Option<Duration>,
-    /// The window in which what is spent of a workspace's limit is counted (the platform's bound); none if that is not known.
+    /// The window over which the use of a workspace's limit is counted (bound of the platform); zero if unknown.
     pub quota_window: Duration,
-    /// Part of a workspace's limit that may be spent over it in a window (the platform's bound).
+    /// Fraction of a workspace's limit by which it may be exceeded in a window (bound of the platform).
     pub quota_overage: f64,
-    /// Units of a workspace's limit that may be spent over it in a window, beyond a part of it (the platform's bound).
+    /// Units by which a workspace's limit may be exceeded in a window, in addition to that fraction (bound of the
+    /// platform).
     pub quota_slack: f64,
-    /// Part of the rate of an engine that has just started which it bears in any second (the platform's bound).
+    /// Multiple of its initial rate that an engine that has just started bears in any second (bound of the platform).
     pub cold_overage: f64,
-    /// Requests beyond that part which it bears in any second (the platform's bound).
+    /// Requests that it bears in any second in addition to that (bound of the platform).
     pub cold_slack: f64,
-    /// The regions of availability zones, by the zones' names.
+    /// The region of each availability zone.
     pub regions: BTreeMap<Name, Name>,
-    /// Mechanisms that are switched off, in experiments only.
+    /// Mechanisms that are switched off, for experiments only.
     pub without: Vec<Mechanism>,
-    /// The balancer looks at readiness every second and needs two misses: after this it sends nobody, unless most of the
-    /// entry VMs of the zone are not ready.
+    /// Time until the load balancer sends no more requests to an entry VM that is not ready. It checks readiness
+    /// every second and needs two failures. It still sends requests if most of the entry VMs of the zone are not
+    /// ready.
     pub balancer_grace: Duration,
-    /// Time from the word to stop until whatever is still under way is cut off.
+    /// Time from the order to stop until requests still under way are cut off.
     pub stop_within: Duration,
 }
 
-/// A mechanism that can be switched off, to measure what it is worth.
+/// A mechanism that can be switched off to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Prompts are spaced at engines.
+    /// Spaces prompts at engines.
     Spacing,
-    /// Prompts move closer once they have waited for half of their target.
+    /// Shortens the spacing of prompts once they have waited for half of their target time.
     Pressing,
-    /// Reading speeds are observed.
+    /// Measures the reading speeds of engines.
     LearntSpeed,
-    /// Engines are drawn by what others send before it is known.
+    /// Chooses engines at random, weighted to allow for requests of other entry VMs that aren't known yet.
     Draw,
-    /// Engines of the own availability zone are preferred.
+    /// Prefers engines of the own availability zone.
     ZoneCost,
-    /// Requests under way speak against an engine.
+    /// Counts requests under way as a cost of an engine.
     CrowdCost,
-    /// Failures of late speak against an engine.
+    /// Counts recent failures as a cost of an engine.
     Faults,
-    /// Other entry VMs' suspicions are looked into.
+    /// Probes engines that other entry VMs suspect.
     SharedSuspicion,
-    /// Copies that nobody uses are dropped ahead of need.
+    /// Drops unused copies before their memory is needed.
     EarlyDrop,
-    /// Copies make way for models that nobody waits for only once demand has been watched.
+    /// Drops copies in favour of models without waiting requests only once demand has been observed.
     WatchedDrops,
-    /// Adapters are brought to more engines where they are crowded.
+    /// Loads adapters on more engines when those that hold them are crowded.
     AdapterRelief,
-    /// No more loads run at once than the weight store serves at full speed.
+    /// Limits concurrent loads to the number that the weight store serves at full speed.
     BoundedLoads,
-    /// Other entry VMs pass requests on to engines that cannot be reached from here.
+    /// Relays requests through other entry VMs to engines that can't be reached directly.
     Relays,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 13] = [
         Self::Spacing,
         Self::Pressing,
@@ -174,7 +181,7 @@
         Self::Relays,
     ];
 
-    /// Its name in settings files.
+    /// The mechanism's name in settings files.
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
--- a/fleet/src/state.rs
+++ b/fleet/src/state.rs
@@ -1,4 +1,4 @@
-//! Everything that one process knows.
+//! The complete state of one process.
 
 mod rows;
 
@@ -42,12 +42,12 @@
 use crate::update::Updates;
 pub(crate) use rows::{Gap, Removed};
 
-/// Weight of a new sample in the mean time of a service's runs.
+/// Weight of a new sample in the mean run time of a service.
 const PACE_GAIN: f64 = 0.05;
-/// Mean time of a run before any was seen, in ms.
+/// Mean run time before the first sample, in ms.
 const PACE_MS: f64 = 200.0;
 
-/// Who this process is.
+/// Identity of this process.
 #[derive(Clone, Debug)]
 pub struct Identity {
     /// The VM's name.
@@ -60,61 +60,63 @@
 
 /// The state of one process.
 #[derive(Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "each is a belief of its own, not a state of one machine")]
+#[expect(clippy::struct_excessive_bools, reason = "independent flags, not the states of one machine")]
 pub struct State {
     pub(crate) me: Identity,
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
-    /// When the process began.
+    /// When the process started.
     pub(crate) started: Time,
     pub(crate) timers: Timers<Timer>,
     pub(crate) config: Option<Arc<Config>>,
     pub(crate) routes: Table,
     pub(crate) engines: BTreeMap<Name, Engine>,
-    /// A digest of their ids.
+    /// Digest of the ids of all known engines.
     pub(crate) engine_ids: u64,
     /// Engines that were removed.
     pub(crate) removed: BTreeMap<Name, Removed>,
-    /// Entries in a copy of the store, of engines that had been removed before: their engines may be gone.
+    /// Entries in a restored copy of the store, of engines that had been removed before. These engines may no longer
+    /// exist.
     pub(crate) returned: BTreeMap<Name, Row>,
-    /// What is known of engines that leave beside their rows, and who is to be told of it.
+    /// Departures of engines known from other sources than their rows, and who still has to be notified of them.
     pub(crate) departures: Departures,
-    /// How many requests engines in need have said that they take.
+    /// Limits that engines have announced.
     pub(crate) intakes: intake::Table,
-    /// The store's version up to which the engines' table is known.
+    /// The revision up to which the engine table is known.
     pub(crate) listed: Revision,
-    /// How new what is known of the engines' table is.
+    /// Age of the engine table, and stalls of this process.
     pub(crate) freshness: Freshness,
-    /// The store's version of the newest row that is known, which may have come by a push and be beyond that.
+    /// The revision of the newest known row. It may have been pushed, and be beyond the revision of the table.
     pub(crate) newest_row: Revision,
-    /// The store's version from which on `removed` names all engines that were removed: none are known from before a whole
-    /// reading of the table.
+    /// The revision from which on `removed` is complete. Removals before the first complete reading of the table
+    /// aren't known.
     pub(crate) removals_from: Revision,
-    /// Where the table was read whole last, although it had been known before: changes in between may not be known.
+    /// The revisions skipped by the last complete reading of a table that had been known before. Engines that came
+    /// and went between them may have been missed.
     pub(crate) gap: Option<Gap>,
-    /// The store's version up to which no newer configuration than the one in force was written; 0 if not known.
+    /// The revision up to which the configuration in force is known to be the newest; 0 if unknown.
     pub(crate) declared: Revision,
-    /// Availability zones whose engines are to get nothing.
+    /// Availability zones whose engines are excluded from work.
     pub(crate) evacuations: Evacuations,
     /// When the configuration in force was last known to be the newest.
     pub(crate) proof: Proof,
-    /// Limits of workspaces.
+    /// Rate limits of workspaces.
     pub(crate) quota: Quota,
-    /// Which copy of its data the store answers from.
+    /// The copy of its data that the store answers from.
     pub(crate) era: Era,
-    /// Answers of the store from before it came back from an older copy, which came after that was known.
+    /// Responses of the store that belonged to an earlier era and arrived when the new one was known.
     pub(crate) answers_outdated: u64,
     pub(crate) store_up: bool,
-    /// When the store last answered anything.
+    /// When the store last answered any call.
     pub(crate) store_heard: Time,
-    /// When the store last answered whoever follows its tables here.
+    /// When the store last answered a call for changes from this process.
     pub(crate) read_at: Option<Time>,
-    /// With which pause this process follows the store's tables, if it does so itself.
+    /// The pause between calls for changes, if this process follows the store's tables itself.
     pub(crate) follows: Option<Duration>,
     pub(crate) store_troubled: Option<Time>,
     pub(crate) flows: FxHashMap<Id, Flow>,
     pub(crate) waiting: BTreeSet<Id>,
-    /// Whether requests that wait are to be looked at again.
+    /// Whether waiting requests are to be checked again.
     pub(crate) stirred: bool,
     pub(crate) budget: Budget,
     pub(crate) demand: Counts,
@@ -124,11 +126,11 @@
     pub(crate) ledger: Ledger,
     pub(crate) ready: bool,
     pub(crate) stopping: bool,
-    /// When whatever is under way is cut off, once the process stops.
+    /// When requests under way are cut off, once the process is stopping.
     pub(crate) stops_at: Option<Time>,
     pub(crate) members: Members,
     pub(crate) speed: Speed,
-    /// Whether the balancer has seen that this entry VM stops.
+    /// Whether the load balancer has had time to see that this entry VM is stopping.
     pub(crate) graced: bool,
     pub(crate) refusals: BTreeMap<Code, u64>,
     pub(crate) retries: BTreeMap<&'static str, u64>,
@@ -136,21 +138,21 @@
     pub(crate) rollout: Rollout,
     pub(crate) crashes: Register,
     pub(crate) suspicions: trust::Lines,
-    /// What began streams, as far as this process was told.
+    /// Stream origins stored here for other entry VMs.
     pub(crate) pins: Pins,
-    /// Which builds have served.
+    /// The builds that have served requests.
     pub(crate) history: History,
-    /// The ways to engines, and what is passed on for others.
+    /// The paths to engines, and the requests relayed for other entry VMs.
     pub(crate) paths: Paths,
-    /// How often a place for an adapter was looked for.
+    /// How often an engine for an adapter was searched for.
     pub(crate) places_sought: u64,
-    /// Rows of the engines' table that were passed over as older than what was known.
+    /// Rows of the engine table that were skipped because newer ones were known.
     pub(crate) rows_passed_over: u64,
     paces: FxHashMap<Name, f64>,
 }
 
 impl State {
-    /// A process that knows nothing yet.
+    /// The state of a process that has no data yet.
     #[must_use]
     pub fn new(me: Identity, settings: Settings, seed: u64, now: Time) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -226,7 +228,7 @@
         self.config.as_ref()
     }
 
-    /// Whether requests need keys.
+    /// Whether requests need API keys.
     #[must_use]
     pub fn needs_keys(&self) -> bool {
         self.config.as_ref().is_some_and(|config| config.access.is_some())
@@ -238,83 +240,83 @@
         &self.proof
     }
 
-    /// Questions for credit of workspaces' limits, by how they were answered.
+    /// Queries for credit of workspaces' limits, by result.
     #[must_use]
     pub const fn quota_draws(&self) -> &BTreeMap<&'static str, u64> {
         self.quota.draws()
     }
 
-    /// Workspaces of whose limits shares are held here.
+    /// Number of workspaces of whose limits this process holds shares.
     #[must_use]
     pub fn quota_held(&self, now: Time) -> usize {
         self.quota.held(now)
     }
 
-    /// Parts of a workspace's limit that are held here, of [`crate::quota::WHOLE`].
+    /// Shares of a workspace's limit held here, out of [`crate::quota::WHOLE`].
     #[must_use]
     pub fn quota_parts(&self, now: Time, workspace: &str) -> u32 {
         self.quota.parts(now, workspace)
     }
 
-    /// The entry VMs that there are.
+    /// The entry VMs of the fleet.
     #[must_use]
     pub const fn members(&self) -> &Members {
         &self.members
     }
 
-    /// The availability zones whose engines are to get nothing.
+    /// The availability zones whose engines are excluded from work.
     pub fn evacuated(&self) -> impl Iterator<Item = &Name> {
         self.evacuations.zones()
     }
 
-    /// The engines that are known.
+    /// The known engines.
     pub fn engines(&self) -> impl Iterator<Item = &Engine> {
         self.engines.values()
     }
 
-    /// A digest of the ids of the engines that are known, in no order.
+    /// Digest of the ids of the known engines, independent of their order.
     #[must_use]
     pub const fn engine_ids(&self) -> u64 {
         self.engine_ids
     }
 
-    /// Where an engine listens, if it is known.
+    /// The address of an engine, if it is known.
     #[must_use]
     pub fn address_of(&self, engine: &Name) -> Option<SocketAddr> {
         self.engines.get(engine).map(|engine| engine.entry.address)
     }
 
-    /// Requests that have not ended.
+    /// Number of requests that have not ended.
     #[must_use]
     pub fn open(&self) -> usize {
         self.flows.len()
     }
 
-    /// Requests that wait for an engine.
+    /// Number of requests that wait for an engine.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether the platform's store answers.
+    /// Whether the store answers.
     #[must_use]
     pub const fn store_up(&self) -> bool {
         self.store_up
     }
 
-    /// The lease on giving orders.
+    /// The lease whose holder gives orders to engines.
     #[must_use]
     pub const fn lease(&self) -> &Lease {
         &self.lease
     }
 
-    /// Requests that were refused, by result code.
+    /// Refused requests, by result code.
     #[must_use]
     pub const fn refusals(&self) -> &BTreeMap<Code, u64> {
         &self.refusals
     }
 
-    /// What is known of requests that crash engines.
+    /// Facts on requests that crash engines.
     #[must_use]
     pub const fn crashes(&self) -> &Register {
         &self.crashes
@@ -326,133 +328,133 @@
         &self.retries
     }
 
-    /// Repeats that were wanted, by whose word they were allowed, or by why they were not.
+    /// Requests for a repeat, by who allowed it or why it was denied.
     #[must_use]
     pub const fn repeats(&self) -> &BTreeMap<&'static str, u64> {
         &self.budget.decisions
     }
 
-    /// How often, as the hub, all of something was told at once, by why.
+    /// As the hub: number and size of full snapshots sent, by reason.
     #[must_use]
     pub const fn told_whole(&self) -> &BTreeMap<Reason, Told> {
         self.hub.told_whole()
     }
 
-    /// Streams that clients took up, by how it was decided which build may go on with them.
+    /// Streams that clients resumed, by how the build that may continue them was determined.
     #[must_use]
     pub const fn resumptions(&self) -> &BTreeMap<&'static str, u64> {
         &self.pins.decided
     }
 
-    /// Messages on what began streams that were sent to other entry VMs, and how often a stream was told with them.
+    /// Messages on stream origins sent to other entry VMs, and the number of streams in them, counted each time.
     #[must_use]
     pub const fn streams_told(&self) -> (u64, u64) {
         (self.pins.messages, self.pins.told)
     }
 
-    /// Streams of which it is kept here what began them.
+    /// Number of streams whose origin is stored here.
     #[must_use]
     pub fn streams_kept(&self) -> usize {
         self.pins.kept.len()
     }
 
-    /// Engines that have named a limit of requests a second.
+    /// Number of engines that have announced a limit in requests per second.
     #[must_use]
     pub fn engines_limited(&self) -> usize {
         self.intakes.limited()
     }
 
-    /// Engines that fall over if they turn away too much.
+    /// Number of engines that fail if they reject too many requests.
     #[must_use]
     pub fn engines_brittle(&self) -> usize {
         self.engines.values().filter(|engine| self.intakes.is_brittle(engine)).count()
     }
 
-    /// Questions for places at engines that had named a limit, by how they were answered.
+    /// Queries for slots at engines that have announced a limit, by result.
     #[must_use]
     pub const fn limit_places(&self) -> &BTreeMap<&'static str, u64> {
         self.intakes.answers()
     }
 
-    /// Requests that were sent to engines that had named a limit.
+    /// Number of requests sent to engines that have announced a limit.
     #[must_use]
     pub const fn sent_to_limited(&self) -> u64 {
         self.intakes.sent()
     }
 
-    /// Whether this process is cut off from most engines that it uses, and others are not.
+    /// Whether this process is cut off from most engines that it uses while other entry VMs are not.
     #[must_use]
     pub const fn is_cut_off(&self) -> bool {
         path::is_cut_off(self)
     }
 
-    /// Requests that were sent by another entry VM.
+    /// Number of this process's requests sent through a relay.
     #[must_use]
     pub const fn sent_by_relays(&self) -> u64 {
         self.paths.sent
     }
 
-    /// Requests of other entry VMs that are passed on now.
+    /// Number of other entry VMs' requests that are being relayed.
     #[must_use]
     pub const fn passing_on(&self) -> u32 {
         self.paths.passing
     }
 
-    /// Requests of other entry VMs that were passed on.
+    /// Number of other entry VMs' requests that were relayed.
     #[must_use]
     pub const fn passed_on(&self) -> u64 {
         self.paths.passed
     }
 
-    /// Requests of other entry VMs that were not passed on, by why.
+    /// Other entry VMs' requests that were not relayed, by reason.
     #[must_use]
     pub const fn relays_denied(&self) -> &BTreeMap<&'static str, u64> {
         &self.paths.denied
     }
 
-    /// How often a place for an adapter was looked for: what the holder of the lease has to do grows with it.
+    /// How often an engine for an adapter was searched for. The work of the holder of the lease grows with it.
     #[must_use]
     pub const fn places_sought(&self) -> u64 {
         self.places_sought
     }
 
-    /// Rows of the engines' table that were passed over as older than what was known.
+    /// Rows of the engine table that were skipped because newer ones were known.
     #[must_use]
     pub const fn rows_passed_over(&self) -> u64 {
         self.rows_passed_over
     }
 
-    /// Departures of engines that became known here, by the road on which they did first.
+    /// Departures of engines, by the source from which this process learned of them first.
     #[must_use]
     pub const fn departures_known(&self) -> &BTreeMap<Road, u64> {
         &self.departures.known
     }
 
-    /// Departures of engines that this process has told others of, or has not, by whom it told.
+    /// Departures of engines of which this process notified others, or left it to others, by audience.
     #[must_use]
     pub const fn departures_told(&self) -> &BTreeMap<Audience, u64> {
         &self.departures.told
     }
 
-    /// Time since all was known that the store had taken of the engines' table; none before the first word.
+    /// Time since the engine table contained all that the store had taken; none if it isn't known yet.
     #[must_use]
     pub fn listed_age(&self, now: Time) -> Option<Duration> {
         self.freshness.age(now)
     }
 
-    /// How often this process stood still.
+    /// How often this process stalled.
     #[must_use]
     pub const fn standstills(&self) -> u64 {
         self.freshness.standstills()
     }
 
-    /// Which copy of its data the store answers from.
+    /// The copy of its data that the store answers from.
     #[must_use]
     pub const fn era(&self) -> &Era {
         &self.era
     }
 
-    /// Answers of the store from before it came back from an older copy, which came after that was known.
+    /// Responses of the store that belonged to an earlier era and arrived when the new one was known.
     #[must_use]
     pub const fn answers_outdated(&self) -> u64 {
         self.answers_outdated
@@ -463,28 +465,28 @@
         self.engines.values().filter(move |engine| engine.entry.service == *service)
     }
 
-    /// What the engines of a service hold, if they run models.
+    /// The models and adapters that the engines of a service may hold, if they run models.
     pub(crate) fn pool(&self, service: &Name) -> Option<&Pool> {
         self.config.as_ref()?.pool(service)
     }
 
-    /// Whether the configuration names the model and the adapter, so that a copy can be expected.
+    /// Whether the configuration contains the model and the adapter, so that a copy can be expected.
     pub(crate) fn declared(&self, service: &Name, prompt: &Prompt) -> bool {
         let model = self.pool(service).and_then(|pool| pool.model(&prompt.model));
         model.is_some_and(|model| prompt.adapter.as_ref().is_none_or(|name| model.adapters.contains(name)))
     }
 
-    /// The version of what is known of what engines hold.
+    /// Version of the residencies known here.
     pub(crate) fn view(&self) -> View {
         View { term: self.lease.taken_term(), version: self.ledger.version() }
     }
 
-    /// The mean time of a service's runs, in ms.
+    /// Mean run time of a service, in ms.
     pub(crate) fn pace(&self, service: &Name) -> f64 {
         self.paces.get(service).copied().unwrap_or(PACE_MS)
     }
 
-    /// A run of a service took this long.
+    /// Adds a run time of a service to its mean.
     pub(crate) fn paced(&mut self, service: &Name, took: Duration) {
         let ms = took.as_secs_f64() * 1_000.0;
         let pace = self.paces.entry(service.clone()).or_insert(ms);
--- a/fleet/src/state/rows.rs
+++ b/fleet/src/state/rows.rs
@@ -1,4 +1,4 @@
-//! What is known of engines as rows of their table, for those who know less.
+//! The known engines as rows of the engine table, for entry VMs with an older table.
 
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
@@ -7,39 +7,40 @@
 use crate::engine::{Incarnation, Row};
 use crate::revision::Revision;
 
-/// An engine's entry was removed.
+/// The removal of an engine's entry.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Removed {
-    /// The store's version of that.
+    /// The store's revision of the removal.
     pub(crate) version: Revision,
-    /// The start of the engine that the entry was of; none if it was not known.
+    /// The start of the engine that the entry belonged to; none if unknown.
     pub(crate) incarnation: Option<Incarnation>,
 }
 
 impl Removed {
-    /// The removal as a row of the table.
+    /// The removal as a row of the engine table.
     fn row(&self, id: &Name) -> Row {
         Row { id: id.clone(), version: self.version, ..Row::default() }
     }
 }
 
-/// Versions of the engines' table between which engines may have come and gone unseen.
+/// Revisions of the engine table between which engines may have come and gone unseen.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Gap {
-    /// Up to here the table was known.
+    /// The revision up to which the table had been known.
     pub(crate) after: Revision,
-    /// As of here it was read whole.
+    /// The revision as of which the whole table was read.
     pub(crate) until: Revision,
 }
 
 impl State {
-    /// Whether someone who knows the engines' table up to a version lacks all of it: not all removals since are known here.
+    /// Whether an entry VM whose table is at this revision needs the whole table, because not all removals since are
+    /// known here.
     pub(crate) fn needs_all_rows(&self, version: Revision) -> bool {
         let missed = self.gap.is_some_and(|gap| gap.after < version && version < gap.until);
         version < self.removals_from || missed
     }
 
-    /// What someone lacks who knows the engines' table up to a version: what has changed, or all of it.
+    /// The rows that an entry VM whose table is at this revision lacks: the changed ones, or the whole table.
     pub(crate) fn rows_for(&self, now: Time, version: Revision) -> Vec<Row> {
         match (self.needs_all_rows(version), self.newest_row > version) {
             (true, _) => self.rows_after(now, Revision::default()),
@@ -57,14 +58,14 @@
         put.chain(returned.cloned()).chain(removed).collect()
     }
 
-    /// The same of engines that leave or are gone.
+    /// The rows changed after this revision whose engines are leaving or gone.
     pub(crate) fn departed_after(&self, now: Time, version: Revision) -> Vec<Row> {
         let mut rows = self.rows_after(now, version);
         rows.retain(|row| row.entry.as_ref().is_none_or(|entry| entry.leaving));
         rows
     }
 
-    /// What is known of an engine as a row of the table; none if nothing is.
+    /// An engine as a row of the engine table; none if it is unknown.
     pub(crate) fn row_of(&self, now: Time, id: &Name) -> Option<Row> {
         let listed = self.engines.get(id).map(|engine| engine.row(now));
         listed.or_else(|| self.removed.get(id).map(|removed| removed.row(id)))
--- a/fleet/src/timer.rs
+++ b/fleet/src/timer.rs
@@ -1,55 +1,56 @@
-//! What the reducer wants to be woken for.
+//! Timers that the reducer sets.
 
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
 use crate::request::{Fingerprint, Id};
 
-/// Something due at a time. A timer that has become pointless is ignored when it fires.
+/// An action that is due at a time. A timer whose action is no longer needed is ignored when it fires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// A request's deadline.
+    /// The deadline of a request.
     Deadline(Id),
     /// A request has waited for a model or an adapter as long as it may.
     Wait(Id),
-    /// A look at whether a request's attempt of this number has gone silent.
+    /// Checks whether the attempt with this number has gone silent.
     Silence(Id, u32),
-    /// A suspected engine is to be asked whether it is well.
+    /// Probes a suspected engine.
     Probe(Name),
-    /// An entry that went missing around an outage is to be taken as gone.
+    /// Treats an entry that went missing around an outage of the store as removed.
     Lapse(Name),
-    /// Words on availability zones that a copy of the store lacks are to be taken as taken back.
+    /// Treats evacuations of availability zones that a restored store lacks as withdrawn.
     Evacuations,
-    /// The hub is to be told.
+    /// Sends the next frame to the hub.
     Frame,
-    /// The lease is to be renewed or looked at.
+    /// Renews the lease, or checks who holds it.
     Lease,
-    /// A hub that has just said that it is one is to be told.
+    /// Sends a frame to a hub that has just announced itself.
     Greet,
-    /// The leader's word on the engines' table has been waited for since a standstill that ended then, and the store is to be asked.
+    /// Asks the store about changes of the engine table. The leader's data has been waited for since a stall that
+    /// ended at this time.
     Refresh(Time),
-    /// Any word on it has been waited for since then for as long as callers may wait.
+    /// Ends the wait for fresh data on the engine table that began at this time: callers can't wait any longer.
     Doubt(Time),
-    /// A process that knows nothing yet is to look who holds the lease.
+    /// Looks up the holder of the lease, in a process that has no data yet.
     Look,
-    /// Holders of shares of a limit are to be asked once more for a request.
+    /// Asks the holders of shares of a workspace's limit once more, for this request.
     Charge(Id),
-    /// Requests that wait for a place at an engine are to ask for another.
+    /// Lets requests that wait for a slot at this engine ask for another slot.
     Recall(Name),
-    /// Streams that last are to be told to their keepers.
+    /// Reports long streams to the entry VMs that keep their origin.
     Pins,
-    /// The same, once more in between.
+    /// An additional report of long streams between two regular ones.
     TellPins,
-    /// All are to be told that a part of prompts is sound.
+    /// Announces to all entry VMs that a part of prompts is sound.
     Clear(Fingerprint),
-    /// Parts of prompts under which engines crash are to be judged.
+    /// Evaluates the parts of prompts under which engines crash.
     Judge,
-    /// Placement is to be planned.
+    /// Plans the placement of models.
     Plan,
-    /// An engine is to be asked what it holds.
+    /// Asks an engine what it holds.
     Check(Name),
-    /// Entry VMs that lack the version in force are to be pushed to.
+    /// Pushes the configuration to entry VMs that lack the version in force.
     Push,
-    /// The balancer has had time to see that this entry VM is not ready.
+    /// The load balancer has had time to see that this entry VM is not ready.
     Grace,
 }
--- a/fleet/tests/frame_bytes.rs
+++ b/fleet/tests/frame_bytes.rs
@@ -1,4 +1,4 @@
-//! What a frame and its answer weigh at the size of the users' grown deployments.
+//! Size of a frame and its reply at the scale of the largest deployments.
 
 mod node;
 
@@ -15,9 +15,9 @@
 const ENGINES: usize = 112;
 /// Entry VMs of the largest deployment.
 const NODES: usize = 90;
-/// Frames a second that the hub answers at that size: one for each entry VM in 0.45 s.
+/// Frames per second that the hub answers at that size: one for each entry VM every 0.45 s.
 const FRAMES_PER_S: usize = 200;
-/// Bytes a second of the smallest link that a hub may have.
+/// Bytes per second of the smallest link that a hub may have.
 const LINK: usize = 50_000_000 / 8;
 
 fn id(number: usize) -> String {
@@ -48,13 +48,16 @@
     let mut known = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
     known.residencies.clear();
     let bytes = rmp_serde::to_vec(&known).expect("encodes").len();
-    println!("an answer of {bytes} bytes");
+    println!("reply of {bytes} bytes");
     assert!(bytes < 4_000, "{bytes} bytes");
-    assert!(bytes * FRAMES_PER_S < LINK / 4, "a quarter of the link: {bytes} bytes, {FRAMES_PER_S} a second");
+    assert!(
+        bytes * FRAMES_PER_S < LINK / 4,
+        "more than a quarter of the link: {bytes} bytes, {FRAMES_PER_S} per second"
+    );
 }
 
-/// All engines are in need at once, and each names another limit in each answer: each change is told once to each entry VM, and
-/// nothing while nothing changes.
+/// All engines are overloaded at once, and each announces another limit in each response. Each change must be sent
+/// once to each entry VM, and nothing while nothing changes.
 #[test]
 fn limits_are_told_once() {
     let mut hub = Node::ready("hub");
@@ -87,13 +90,13 @@
     let (with, known) = bytes_of(&mut hub, &asker);
     let each = (with - without) / ENGINES;
     let (after, _) = bytes_of(&mut hub, &Frame { limits_known: known, ..asker });
-    println!("{each} bytes for each change, {} beyond that", after.abs_diff(without));
+    println!("{each} bytes for each change, {} in addition", after.abs_diff(without));
     assert!(each < 60, "{each} bytes for each change");
-    assert!(after < without + 80, "{after} bytes where nothing changed, {without} without any limit");
+    assert!(after < without + 80, "{after} bytes without a change, {without} without any limit");
 }
 
-/// What the hub's answers hold at 300 entry VMs and 3,000 engines, by kind: each entry VM gets one in 1.5 s, and most cross availability
-/// zones.
+/// The parts of the hub's reply by size, with 300 entry VMs and 3,000 engines. Each entry VM gets a reply every 1.5
+/// s, and most replies cross availability zones.
 #[test]
 fn answers_by_kind() {
     const VMS: usize = 300;
@@ -131,8 +134,8 @@
         println!("{label}: {all} bytes: {loads} for loads of {told} engines, {rows} for rows");
         loads
     };
-    let by_name = loads_of("asker knows other engines", 5_000, 0);
-    loads_of("asker starts", 0, 0);
-    let by_position = loads_of("asker knows the same", 5_000, hub_ids);
-    assert!(by_position * 4 < by_name, "{by_position} bytes, {by_name} by name");
+    let by_name = loads_of("asker with other engines", 5_000, 0);
+    loads_of("starting asker", 0, 0);
+    let by_position = loads_of("asker with the same engines", 5_000, hub_ids);
+    assert!(by_position * 4 < by_name, "{by_position} bytes by position, {by_name} by name");
 }
--- a/fleet/tests/hub_frames.rs
+++ b/fleet/tests/hub_frames.rs
@@ -1,4 +1,4 @@
-//! Frames: the hub sums up what all entry VMs have under way, and tells each what it lacks.
+//! Frames: the hub sums the loads of all entry VMs, and sends each the data that it lacks.
 
 mod node;
 
@@ -21,7 +21,7 @@
     Frame { vm: vm.into(), config: 1, listed: 4.into(), loads, ..Frame::default() }
 }
 
-/// A process that knows another as the hub.
+/// An entry VM that knows another process as the hub.
 fn follower() -> Node {
     let mut node = Node::ready("a");
     node.pass(millis(10));
@@ -53,8 +53,8 @@
     assert!(told.leads);
 }
 
-/// An asker that knows the same engines is told of loads by their positions, and takes over the same as by their names; one that has come
-/// to know others meanwhile takes over nothing of that.
+/// If the asker knows the same engines, the reply lists loads by position, and they have the same effect as loads by
+/// name. An asker that has learned of other engines meanwhile ignores loads by position.
 #[test]
 fn loads_by_position() {
     let others =
@@ -84,7 +84,7 @@
     assert_eq!(others(&asker), taken);
     asker.feed(listing(vec![row(9, entry("a1", WRITER, "zone-c", &["m3"]))], 9, false));
     asker.feed(Event::Replied(Some(Box::new(told))));
-    assert_eq!(others(&asker).iter().sum::<u32>(), 12, "nothing is shifted to other engines");
+    assert_eq!(others(&asker).iter().sum::<u32>(), 12, "positions must not be applied to other engines");
     assert_eq!(others(&asker)[1..], taken[..]);
 }
 
@@ -129,12 +129,12 @@
 #[test]
 fn store_is_left_to_the_hub() {
     let mut node = follower();
-    assert_eq!(follows(&node.pass(Duration::from_secs(1))), Some(true), "no word of the hub");
+    assert_eq!(follows(&node.pass(Duration::from_secs(1))), Some(true), "no reply of the hub");
     node.feed(Event::Replied(Some(Box::new(reply()))));
     assert_eq!(follows(&node.effects), Some(false));
 }
 
-/// A process that starts has the configuration and the engines from the hub, without a call for either.
+/// A starting process gets the configuration and the engines from the hub, without a call to the store for either.
 #[test]
 fn starts_by_the_hub() {
     let mut hub = Node::ready("hub");
@@ -146,15 +146,15 @@
         Effect::Frame { frame, .. } => Some(frame),
         _ => None,
     });
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &asked.expect("it asks at once"));
+    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &asked.expect("should send a frame at once"));
     node.feed(Event::Replied(Some(Box::new(told))));
     assert!(node.effects.iter().any(|effect| matches!(effect, Effect::Ready(true))));
-    assert_eq!(follows(&node.effects), None, "it never followed the store");
+    assert_eq!(follows(&node.effects), None, "should not follow the store");
     assert_eq!(node.state.engines().count(), 4);
 }
 
-/// The load after all entry VMs were killed at once: the one that is named as the hub knows nothing either. Who holds
-/// the lease next is looked up and asked within some 30 ms, and not at the time of the next frame.
+/// After all entry VMs were killed at once, the hub named in the lease has no data either. The next holder of the
+/// lease has to be looked up and asked within about 30 ms, not only when the next frame is due.
 #[test]
 fn starts_by_the_next_hub() {
     let mut node = Node::bare("a");
@@ -173,13 +173,14 @@
 #[test]
 fn starts_without_a_hub() {
     let mut node = Node::bare("a");
-    assert_eq!(follows(&node.pass(millis(300))), None, "the hub may answer");
+    assert_eq!(follows(&node.pass(millis(300))), None, "the hub may still answer");
     assert_eq!(follows(&node.pass(millis(600))), Some(true));
 }
 
-/// Hundreds of entry VMs, whose frames are seconds apart, and a hub that loses power as the configuration changes: what changed is to be in
-/// force 3 s after it was confirmed, so that the store has to be followed by then, with some of that time left to read it.
-/// Seen with 293 entry VMs: the last had the change 4.9 s after it was confirmed.
+/// Guards against a late change after the loss of a hub in a fleet of hundreds of entry VMs, whose frames are seconds
+/// apart. A change has to be in force 3 s after it was confirmed, so that the store has to be followed by then, with
+/// some of that time left to read it. Without this, with 293 entry VMs, the last one had the change only 4.9 s after
+/// it was confirmed.
 #[test]
 fn lost_hub_at_size() {
     let mut node = follower();
@@ -199,10 +200,10 @@
             }
         }
     }
-    panic!("the store is not followed 2.5 s after the hub's last word");
+    panic!("store not followed 2.5 s after the hub's last reply");
 }
 
-/// Many entry VMs that have lost their hub: their calls for the lease do not grow with their number.
+/// The rate of lease lookups by entry VMs that have lost their hub must not grow with the number of entry VMs.
 #[test]
 fn fewer_looks_of_many() {
     let looks = |nodes: u32| {
@@ -220,8 +221,8 @@
         looks
     };
     let (few, many) = (looks(9), looks(90));
-    assert!(few >= 20, "{few} looks in 10 s: the next hub is found soon");
-    assert!((5..=10).contains(&many), "{many} looks in 10 s, of 90 entry VMs");
+    assert!(few >= 20, "{few} lookups in 10 s: the next hub should be found soon");
+    assert!((5..=10).contains(&many), "{many} lookups in 10 s with 90 entry VMs");
 }
 
 #[test]
@@ -232,10 +233,10 @@
         Effect::Follow(Some(how)) => Some(how.pause),
         _ => None,
     });
-    assert_eq!(pause, Some(millis(30)), "the others have what it says");
+    assert_eq!(pause, Some(millis(30)), "all other entry VMs depend on it");
 }
 
-/// However many engines there are, the hub hears of a new configuration soon.
+/// The hub learns of a new configuration quickly, however many engines there are.
 #[test]
 fn hub_follows_thousands() {
     let mut hub = Node::ready("hub");
@@ -277,10 +278,10 @@
     node.feed(Event::Replied(Some(Box::new(reply()))));
     node.pass(millis(200));
     node.feed(Event::Replied(None));
-    assert_eq!(follows(&node.effects), None, "the hub answered a moment ago");
+    assert_eq!(follows(&node.effects), None, "the hub replied a short time ago");
 }
 
-/// Frames to the hub: their number a second does not grow with that of the entry VMs.
+/// The rate of frames to the hub must not grow with the number of entry VMs.
 #[test]
 fn fewer_frames_of_many() {
     let frames = |nodes: u32| {
@@ -299,7 +300,7 @@
     };
     let (few, many) = (frames(9), frames(90));
     assert!((50..=80).contains(&few), "{few} frames in 10 s");
-    assert!((15..=27).contains(&many), "{many} frames in 10 s, of 90 entry VMs");
+    assert!((15..=27).contains(&many), "{many} frames in 10 s with 90 entry VMs");
 }
 
 #[test]
@@ -311,20 +312,20 @@
         let effects = hub.feed(Event::Framed(Box::new(suspicious.clone())));
         effects.iter().any(|effect| matches!(effect, Effect::Probe { engine, .. } if **engine == *"w2"))
     };
-    assert!(!probed(&mut hub), "it has sent nothing there");
+    assert!(!probed(&mut hub), "it has sent no request to this engine");
     let (id, attempt) = hub.sent(brief("m2"));
     hub.ended(id, attempt.number, End::Done);
     hub.now = hub.now + millis(600);
-    assert!(probed(&mut hub), "another's suspicion is no proof");
+    assert!(probed(&mut hub), "should probe an engine that it uses");
     let (_, attempt) = hub.sent(brief("m2"));
-    assert_eq!(*attempt.engine, *"w2", "it has its work until it fails to answer");
+    assert_eq!(*attempt.engine, *"w2", "should get work until the probe fails");
     hub.feed(Event::Probed { engine: "w2".into(), reach: Reach::Silent });
     let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame("c", 0));
     assert_eq!(told.suspects, [boragecove_core::name::Name::from("w2")]);
 }
 
-/// The load when a hub is lost: all entry VMs turn to the store at once, each for what has changed since the hub's last
-/// word, and none for all of a document that takes a small link most of a second.
+/// When the hub is lost, all entry VMs turn to the store at once. Each must ask only for changes since the hub's last
+/// reply: the whole document would take a small link most of a second.
 #[test]
 fn goes_on_from_the_hubs_word() {
     let mut hub = Node::ready("hub");
@@ -342,7 +343,7 @@
     assert_eq!(followed, Some((4.into(), 40.into())));
 }
 
-/// A hub that has a newer configuration says nothing of how new the older one is.
+/// A hub with a newer configuration doesn't confirm that the older one is the newest.
 #[test]
 fn older_one_is_not_declared() {
     let mut hub = Node::ready("hub");
@@ -362,9 +363,9 @@
     assert_eq!(declared, Some(0.into()));
 }
 
-/// An engine is gone by the time that a process starts, which then becomes the hub: it never heard of the engine, and the
-/// others are to hear from it that the engine is gone. Seen: engines got requests 3.5 s after they had left the table,
-/// since the hub was killed as they left, and was back within half a second.
+/// Guards against requests to an engine that was removed before the current hub started. The hub never knew the
+/// engine, and the other entry VMs still have to learn from it that the engine is gone. Without this, engines got
+/// requests 3.5 s after their removal, when the hub was killed as they left and was back within half a second.
 #[test]
 fn gone_before_the_hub_started() {
     let mut node = follower();
@@ -378,7 +379,8 @@
     assert_eq!(left, ["w1"]);
 }
 
-/// The hub has read the table anew since its history was dropped: what came and went in between it never heard of.
+/// The hub has read the whole table again, since the store had dropped its history. It never knew the engines that
+/// came and went in between, and entry VMs that know them still have to drop them.
 #[test]
 fn gone_while_the_hub_read_anew() {
     let mut hub = Node::ready("hub");
@@ -393,7 +395,7 @@
     assert_eq!(left, ["w1"]);
 }
 
-/// Where the hub has followed the table all along, its answers hold what has changed and nothing else.
+/// If the hub has followed the table all along, its replies contain the changed rows only.
 #[test]
 fn changes_alone() {
     let mut hub = Node::ready("hub");
@@ -403,8 +405,9 @@
     assert_eq!(told.rows.len(), 1);
 }
 
-/// The load of a deployment that starts before its first configuration is written: a hub that knows nothing yet is asked again,
-/// ever less often, and the store is not asked who the hub is. Seen: a thousand calls of the store in a second by 62 entry VMs.
+/// Guards against a flood of calls in a fleet that starts before its first configuration is written. A hub without
+/// data is asked again at growing intervals, and the store isn't asked for the hub. Without this, 62 entry VMs made a
+/// thousand calls to the store in a second.
 #[test]
 fn nothing_to_know_yet() {
     let mut node = Node::bare("a");
@@ -428,12 +431,12 @@
             None => node.pass(millis(10)),
         };
     }
-    assert!(calls <= 2, "{calls} calls of the store");
+    assert!(calls <= 2, "{calls} calls to the store");
     assert!((3..=14).contains(&frames), "{frames} frames");
 }
 
-/// The load of a restart of all: whoever starts is told all engines packed, as of a moment before, and what has changed since with its next
-/// frame.
+/// After a restart of all entry VMs, a starting process gets all engines in a packed snapshot that may be slightly
+/// old, and later changes with its next frame.
 #[test]
 fn starts_by_packed_rows() {
     let many = |count: usize| {
@@ -451,7 +454,8 @@
             Effect::Frame { frame, .. } => Some(frame),
             _ => None,
         });
-        let told = boragecove_fleet::reply(&mut hub.state, hub.now, &asked.expect("it asks at once"));
+        let told =
+            boragecove_fleet::reply(&mut hub.state, hub.now, &asked.expect("should send a frame at once"));
         assert!(told.rows.len() == since && told.whole && !told.rows_packed.is_empty());
         node.feed(Event::Replied(Some(Box::new(told))));
         node
@@ -465,20 +469,24 @@
     ));
     let mut second = start("b", 1, &mut hub);
     let knows = |node: &Node, id: &str| node.state.engines().any(|engine| *engine.entry.id == *id);
-    assert!(!knows(&second, "m7"), "who is gone since is told at once: the next frame may be seconds away");
-    assert_eq!(second.state.engines().count(), 303, "for the rest as of a moment before");
+    assert!(
+        !knows(&second, "m7"),
+        "removals since the snapshot should come at once: the next frame may be seconds away"
+    );
+    assert_eq!(second.state.engines().count(), 303, "the snapshot should be reused");
     let told = exchange(&mut hub, &mut second);
     assert_eq!(told.rows.len(), 2);
     assert!(knows(&second, "late") && !knows(&second, "m7"));
     hub.pass(Duration::from_secs(1));
     let third = start("c", 0, &mut hub);
-    assert!(third.state.engines().any(|engine| *engine.entry.id == *"late"), "packed anew by now");
+    assert!(third.state.engines().any(|engine| *engine.entry.id == *"late"), "the snapshot should be new");
     let told = hub.state.told_whole()[&Reason::RowsAtStart];
     assert!(told.answers == 3 && told.bytes > 0, "{told:?}");
 }
 
-/// The load of a restart of all entry VMs before 3,000 engines: each read whole tables of the store while nobody led, 2 MB over a link of
-/// 10 Mbit/s, and then the hub's answers had no room on it. Where engines are fewer the store is read as soon as before.
+/// Guards against whole reads of the store by all entry VMs after a restart of all of them. With 3,000 engines each
+/// read 2 MB over a link of 10 Mbit/s while there was no leader, and left no room on it for the hub's replies. With
+/// fewer engines the store is still read early.
 #[test]
 fn starts_wait_before_many_engines() {
     let reads_after = |engines: u32| {
@@ -489,7 +497,7 @@
         node.lease(0, Outcome::Read(Some(hub)));
         let begin = node.now;
         while follows(&node.pass(millis(50))).is_none() {
-            assert!(node.now.since(begin) < Duration::from_secs(9), "it never reads the store");
+            assert!(node.now.since(begin) < Duration::from_secs(9), "should read the store");
         }
         node.now.since(begin)
     };
@@ -498,7 +506,7 @@
     assert!((millis(3_400)..millis(3_900)).contains(&reads_after(3_000)));
 }
 
-/// Packed rows that cannot be read are said so, and change nothing.
+/// Packed rows that can't be decoded are logged and change nothing.
 #[test]
 fn unreadable_rows() {
     let mut node = follower();
--- a/fleet/tests/node/mod.rs
+++ b/fleet/tests/node/mod.rs
@@ -1,6 +1,6 @@
-//! One process's reducer in a test: a service of model engines, a plain service, and routes to both.
+//! The reducer of one process in a test, with a service of model engines, a plain service, and routes to both.
 
-#![allow(dead_code, reason = "each test uses what it needs")]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,12 +26,12 @@
 pub const WRITER: &str = "writer";
 /// The plain service.
 pub const GATEWAY: &str = "gateway";
-/// The software that engines run unless a test says otherwise.
+/// The software version that engines run by default.
 pub const BUILD: &str = "v1";
-/// Milliseconds after the epoch at which tests begin.
+/// Start time of the tests, in milliseconds since the epoch.
 pub const START_MS: u64 = 1_000_000;
 
-/// A process's reducer, and what it wanted last.
+/// The reducer of a process, and the effects of its last event.
 pub struct Node {
     pub state: State,
     pub now: Time,
@@ -143,7 +143,7 @@
     Event::Listed(Listing { rows, version: version.into(), whole, as_of: None })
 }
 
-/// The same as the answer to a question of then.
+/// The same as the response to a call made at `asked`.
 pub fn listed(asked: Time, rows: Vec<Row>, version: impl Into<Revision>, whole: bool) -> Event {
     Event::Listed(Listing { rows, version: version.into(), whole, as_of: Some(asked) })
 }
@@ -170,7 +170,7 @@
     }
 }
 
-/// Events of a request came from an engine.
+/// The first event of an answer arrives from an engine.
 pub fn began(request: Id) -> Event {
     Event::Began { request, build: Some(BUILD.into()) }
 }
@@ -187,7 +187,7 @@
     }
 }
 
-/// The lease, held by another.
+/// A row of the lease with another process as its holder.
 pub fn hub_row() -> lease::Seen {
     let row = lease::Row {
         holder: "hub".into(),
@@ -208,8 +208,7 @@
 }
 
 impl Node {
-    /// A process that knows nothing.
-    /// It earns all the repeats that its requests may need: those are another test's (`repeat_budget`).
+    /// A process without any data. It may repeat all its requests, since another test covers the limit (`repeat_budget`).
     pub fn bare(vm: &str) -> Self {
         Self::with(vm, Settings { repeat_ratio: 20.0, ..Settings::default() })
     }
@@ -233,13 +232,13 @@
         node
     }
 
-    /// Gives an event to the reducer and keeps what it wants.
+    /// Passes an event to the reducer and keeps its effects.
     pub fn feed(&mut self, event: Event) -> &[Effect] {
         self.effects = boragecove_fleet::apply(&mut self.state, self.now, event);
         &self.effects
     }
 
-    /// Lets time pass in steps of 10 ms, and keeps all that is wanted meanwhile.
+    /// Advances the clock in steps of 10 ms. Returns all effects.
     pub fn pass(&mut self, time: Duration) -> Vec<Effect> {
         let end = self.now + time;
         let mut all = Vec::new();
@@ -250,7 +249,7 @@
         all
     }
 
-    /// A request arrives. Returns its number; what is to be done stands in the effects.
+    /// A request arrives. Returns its number and keeps the effects.
     pub fn arrive(&mut self, arrival: Arrival) -> Id {
         self.drawn += 1;
         let request = Id(self.drawn);
@@ -258,7 +257,7 @@
         request
     }
 
-    /// The step that was wanted for a request.
+    /// The last step for a request among the kept effects.
     pub fn step(&self, request: Id) -> Option<Step> {
         step_of(&self.effects, request)
     }
@@ -281,18 +280,18 @@
         }
     }
 
-    /// An attempt ends. Returns what is wanted for its request.
+    /// An attempt ends. Returns the next step for its request.
     pub fn ended(&mut self, request: Id, attempt: u32, end: End) -> Option<Step> {
         self.feed(Event::Ended { request, attempt, end, events: Events::default() });
         self.step(request)
     }
 
-    /// Makes it the holder of a lease that nobody has held before.
+    /// Makes it the holder of the lease, which had no holder before.
     pub fn lead(&mut self) {
         self.pass(millis(10));
         self.lease(0, lease::Outcome::Read(None));
         self.lease(5, lease::Outcome::Written(100));
-        assert!(self.state.lease().orders(self.now).is_some(), "it should lead");
+        assert!(self.state.lease().orders(self.now).is_some(), "should be the leader");
     }
 
     /// The store answers a call about the lease.
@@ -303,7 +302,7 @@
     }
 }
 
-/// The last word on a request: one that is withdrawn may be sent elsewhere at once.
+/// The last step for a request: a request that is withdrawn may be sent elsewhere at once.
 pub fn step_of(effects: &[Effect], request: Id) -> Option<Step> {
     effects.iter().rev().find_map(|effect| match effect {
         Effect::Step { request: of, step } if *of == request => Some(step.clone()),
@@ -319,7 +318,7 @@
     effects.iter().filter_map(order).collect()
 }
 
-/// The calls about the lease among what is wanted.
+/// The calls about the lease among the effects.
 pub fn lease_calls(effects: &[Effect]) -> Vec<lease::Call> {
     let call = |effect: &Effect| match effect {
         Effect::Lease(call) => Some(call.clone()),
@@ -328,7 +327,7 @@
     effects.iter().filter_map(call).collect()
 }
 
-/// The hub answers the next frame of an entry VM, which takes the answer over. Returns the answer.
+/// The hub answers the next frame of an entry VM, and the entry VM applies the reply. Returns the reply.
 pub fn exchange(hub: &mut Node, asker: &mut Node) -> Reply {
     let wanted = asker.pass(millis(200));
     let sent = wanted.into_iter().rev().find_map(|effect| match effect {
--- a/fleet/tests/one_lost.rs
+++ b/fleet/tests/one_lost.rs
@@ -1,5 +1,5 @@
-//! One message is lost, on any road, or one entry VM stands still and goes on, while an engine leaves: no request reaches it later than operators
-//! allow, from any entry VM.
+//! An engine leaves while one message is lost on any channel, or one entry VM stalls and resumes. No entry VM may
+//! send the engine a request later than the bound that operators set.
 
 mod node;
 mod world;
@@ -16,10 +16,10 @@
 use world::{Backends, World, ZONES};
 
 const ENGINES: usize = 9;
-/// Time between two requests of all callers together.
+/// Time between two requests, over all callers.
 const EVERY: Duration = Duration::from_millis(10);
 
-/// What operators allow at a size.
+/// The bound set by operators for a number of entry VMs.
 fn bound(vms: usize) -> Bound {
     Bound(Duration::from_secs(match vms {
         ..30 => 2,
@@ -37,7 +37,7 @@
     entry(&id(number), GATEWAY, ZONES[number % ZONES.len()], &[])
 }
 
-/// Entry VMs that all know the engines, and have sent their first frames.
+/// A fleet in which all entry VMs know the engines and have sent their first frames.
 fn world(vms: usize, seed: u64) -> World {
     let rows: Vec<Row> = (0..ENGINES).map(|number| row(number as u64 + 1, gateway(number))).collect();
     let settings = Settings { departure: bound(vms), config: bound(vms), ..Settings::default() };
@@ -48,7 +48,7 @@
     world
 }
 
-/// Lets time pass in which callers ask.
+/// Advances the clock while callers send requests.
 fn pass(world: &mut World, time: Duration) {
     let end = world.now + time;
     while world.now < end {
@@ -58,11 +58,11 @@
     }
 }
 
-/// What goes wrong while an engine leaves.
+/// The fault that occurs while an engine leaves.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Loss(Loss),
-    /// An entry VM stands still from so long before the engine leaves, until so long after.
+    /// An entry VM is stalled from `before` the departure until `after` it.
     Standstill {
         vm: usize,
         before: Duration,
@@ -70,7 +70,7 @@
     },
 }
 
-/// An engine leaves, and something goes wrong once. Returns what was too late.
+/// Lets an engine leave with one fault. Returns the violations of the bound.
 fn leave(world: &mut World, number: usize, fault: Fault, offset: Duration) -> Vec<String> {
     let bound = bound(world.len());
     let engine = id(number);
@@ -91,16 +91,16 @@
         still = Some(vm);
     }
     pass(world, (taken + bound.0).since(world.now));
-    // One that stood still is held to what it sends.
+    // For an entry VM that stalled only the requests that it sends count.
     let wrong = |vm: &usize| Some(*vm) != still && world.believes_in(*vm, &engine);
-    let wrong = (0..world.len()).filter(wrong).map(|vm| format!("vm {vm} believes in {engine}"));
+    let wrong = (0..world.len()).filter(wrong).map(|vm| format!("vm {vm} would still send to {engine}"));
     let mut faults: Vec<String> = wrong.collect();
     pass(world, Duration::from_secs(2));
     let late = world.senders(&engine, taken + bound.0, world.now);
     faults
         .extend(late.iter().map(|(vm, at)| format!("vm {vm} sent to {engine} after {:?}", at.since(taken))));
     world.loss = None;
-    // The next one is to begin on a calm day.
+    // The next departure starts without any fault.
     world.register(gateway(number));
     pass(world, bound.0 * 2);
     faults
@@ -117,16 +117,16 @@
     Ok(Fault::Standstill { vm, before, after })
 }
 
-/// How the code is broken on purpose.
+/// Faults injected into the code.
 #[derive(Clone, Copy, Debug, Default)]
 struct Broken {
-    /// An answer that is overdue is waited for by so much longer.
+    /// Additional time for which an overdue response is waited for.
     patient: Duration,
-    /// What is known is gone by after a standstill.
+    /// Old data is used after a stall.
     credulous: bool,
 }
 
-/// Plays some departures, with one fault each. Returns what was wrong.
+/// Runs some departures with one fault each. Returns the violations.
 fn play(u: &mut Unstructured<'_>, sizes: &[usize], broken: Broken) -> arbitrary::Result<Vec<String>> {
     let vms = *u.choose(sizes)?;
     let mut world = world(vms, u.arbitrary()?);
@@ -139,7 +139,7 @@
         let leader = world.leader();
         let late = leave(&mut world, number, fault, offset);
         let told = late.iter().take(3);
-        faults.extend(told.map(|late| format!("{late}; leader {leader:?}, {fault:?}, {offset:?} before")));
+        faults.extend(told.map(|late| format!("{late}; leader {leader:?}, {fault:?}, offset {offset:?}")));
     }
     Ok(faults)
 }
@@ -147,10 +147,10 @@
 fn day(seed: u64, sizes: &[usize], broken: Broken) -> Vec<String> {
     let mut bytes = vec![0; 1_024];
     fastrand::Rng::with_seed(seed).fill(&mut bytes);
-    play(&mut Unstructured::new(&bytes), sizes, broken).expect("bytes enough")
+    play(&mut Unstructured::new(&bytes), sizes, broken).expect("enough bytes")
 }
 
-/// Guards against a wait, on the way by which news of a departure comes, that is longer than operators allow once it is in vain.
+/// Guards against a wait on the path of a departure that exceeds the operators' bound when its message is lost.
 #[test]
 fn any_message() {
     arbtest(|u| {
@@ -161,7 +161,7 @@
     .budget_ms(world::budget_ms(10_000));
 }
 
-/// The same where there are hundreds, and a thousand.
+/// The same with hundreds of entry VMs, and with a thousand.
 #[test]
 fn of_hundreds() {
     let days = [(0, 65), (1, 65), (2, 65), (3, 300), (4, 300), (5, 984)];
@@ -171,8 +171,8 @@
     }
 }
 
-/// A push is lost on its way to an entry VM that has just sent a frame: the next one, which would make up for it, is over the bound later where there
-/// are a thousand.
+/// Guards against a departure whose push is lost to an entry VM that has just sent a frame. With a thousand entry
+/// VMs, its next frame, whose reply would replace the push, comes after the bound.
 #[test]
 fn lost_push() {
     for vms in [9, 65, 300, 984] {
@@ -186,8 +186,8 @@
     }
 }
 
-/// Broken copies: one waits for an answer that is overdue as long as it used to, one goes by what it knew before a standstill. The check has to
-/// find each.
+/// Checks that the test detects two injected faults: an overdue response that is waited for as long as formerly, and
+/// old data that is used after a stall.
 #[test]
 fn check_bites() {
     let patient = Broken { patient: millis(2_200), ..Broken::default() };
@@ -197,8 +197,9 @@
     }
 }
 
-/// What the shorter waits cost: on a calm day the leader alone calls the store, as often as its bound says, whatever the size; where the store turns it
-/// away a bounded number of entry VMs does.
+/// Measures the calls to the store that the short waits cost. Without faults only the leader calls the store, as
+/// often as the bound requires, whatever the number of entry VMs. If the store rejects the leader, a limited number
+/// of entry VMs calls it.
 #[test]
 fn calls_of_the_store() {
     for vms in [6, 300, 984] {
@@ -210,15 +211,15 @@
             (world.calls - before) as f64 / seconds as f64
         };
         let calm = count(&mut world);
-        let leader = world.leader().expect("there is one");
+        let leader = world.leader().expect("a leader");
         world.serve(leader, false);
         world.pass(Duration::from_secs(3));
         let turned_away = count(&mut world);
         println!(
-            "{vms} entry VMs: {calm:.1} calls a second, {turned_away:.1} where the store turns the leader away"
+            "{vms} entry VMs: {calm:.1} calls per second, {turned_away:.1} if the store rejects the leader"
         );
         assert!(calm <= 2.0 / bound(vms).wait().as_secs_f64(), "{vms} entry VMs: {calm}");
-        // Nine read for all, of each of two tables, and the leader tries.
+        // Nine entry VMs read each of two tables for all, and the leader retries.
         assert!(turned_away <= 9.0 * 2.0 / 0.5 + 20.0, "{vms} entry VMs: {turned_away}");
     }
 }
--- a/fleet/tests/shared_suspicions.rs
+++ b/fleet/tests/shared_suspicions.rs
@@ -1,4 +1,5 @@
-//! What others suspect is looked into by whoever uses the engine: connections are counted, at the size of a large deployment.
+//! Engines suspected by other entry VMs are probed only by entry VMs that use them. The tests count the probes at the
+//! size of a large deployment.
 
 mod node;
 
@@ -11,7 +12,7 @@
 use boragecove_fleet::request::End;
 use node::{Node, WRITER, brief, entry, hub_row, listing, millis, row};
 
-/// An entry VM that knows so many engines, and has a leader.
+/// An entry VM that knows this many engines, and has a leader.
 fn entry_vm(engines: usize) -> Node {
     let mut node = Node::ready("a");
     let held = |at: usize| if at < 3 { ["m3"] } else { ["m1"] };
@@ -23,7 +24,7 @@
     node
 }
 
-/// The leader suspects all engines of a zone. Returns how many this entry VM tries.
+/// The leader suspects all engines of a zone. Returns how many this entry VM probes.
 fn tried(node: &mut Node, engines: usize) -> usize {
     let suspects = (0..engines).map(|at| format!("e{at}").as_str().into()).collect();
     let reply = Reply { leads: true, suspects, ..Reply::default() };
@@ -31,7 +32,7 @@
     effects.iter().filter(|effect| matches!(effect, Effect::Probe { .. })).count()
 }
 
-/// Sends so many requests for the model that three of the engines hold.
+/// Sends this many requests for the model that three of the engines hold.
 fn use_some(node: &mut Node, requests: usize) {
     for _ in 0..requests {
         let id = node.arrive(brief("m3"));
@@ -42,7 +43,7 @@
     }
 }
 
-/// A zone with 766 engines is cut off, or one with 1,600: whoever uses none of them tries none.
+/// A zone with 766 or 1,600 engines is cut off: an entry VM that uses none of them probes none.
 #[test]
 fn nothing_that_is_not_used() {
     for engines in [766, 1_600] {
@@ -51,7 +52,7 @@
     }
 }
 
-/// No entry VM tries more engines than it has sent requests lately, however many are suspected.
+/// No entry VM probes more engines than it has sent requests recently, however many are suspected.
 #[test]
 fn no_more_than_requests() {
     for engines in [766, 1_600] {
@@ -60,23 +61,23 @@
             use_some(&mut node, requests);
             node.pass(Duration::from_secs(2));
             let tried = tried(&mut node, engines);
-            assert!(tried <= requests.min(3), "{engines} engines, {requests} requests: {tried} tried");
+            assert!(tried <= requests.min(3), "{engines} engines, {requests} requests: {tried} probes");
         }
     }
 }
 
-/// An engine that is used is tried, and what is found counts; long after it is not.
+/// An engine in use is probed. Long after its last request it isn't probed any more.
 #[test]
 fn what_is_used() {
     let mut node = entry_vm(3);
     use_some(&mut node, 60);
     node.pass(Duration::from_secs(1));
     let used = tried(&mut node, 3);
-    assert!(used > 0, "some of them were used");
+    assert!(used > 0, "engines in use should be probed");
     for at in 0..3 {
         let engine = format!("e{at}").as_str().into();
         node.feed(Event::Probed { engine, reach: Reach::Open });
     }
     node.pass(Duration::from_secs(20));
-    assert_eq!(tried(&mut node, 3), 0, "nothing was sent there for long");
+    assert_eq!(tried(&mut node, 3), 0, "engines without recent requests should not be probed");
 }
