--- a/fleet/tests/stood_still.rs
+++ b/fleet/tests/stood_still.rs
@@ -1,4 +1,5 @@
-//! A process that stands still, as where its machine is moved or has spent its processor time, and goes on by what it knew before.
+//! A process that stalls, because its machine is migrated or has used up its processor time, and must not continue
+//! with outdated data.
 
 mod node;
 
@@ -12,7 +13,7 @@
 use boragecove_fleet::settings::Settings;
 use node::{GATEWAY, Node, brief, entry, exchange, hub_row, listed, millis, plain, row, step_of};
 
-/// The lines on it among what is wanted: for how long it stood still, and how old its word of the engines' table was.
+/// The log records of stalls among the effects: duration of the stall, and age of the engine table.
 fn noted(effects: &[Effect]) -> Vec<(u64, Option<u64>)> {
     let noted = |effect: &Effect| match effect {
         Effect::Record(Record::StoodStill { for_ms, listed_age_ms, .. }) => Some((*for_ms, *listed_age_ms)),
@@ -21,7 +22,7 @@
     effects.iter().filter_map(noted).collect()
 }
 
-/// It is logged and counted, with the age of what is known; a process that runs logs none.
+/// A stall is logged and counted, with the age of the engine table. A process that runs normally logs none.
 #[test]
 fn is_noted() {
     let mut node = Node::ready("vm-1");
@@ -32,22 +33,22 @@
     node.now = node.now + millis(1_500);
     let noted = noted(&node.pass(millis(10)));
     let [(stood_ms, listed_age_ms)] = noted[..] else {
-        panic!("once: {noted:?}");
+        panic!("expected one record: {noted:?}");
     };
-    assert!((1_250..=1_510).contains(&stood_ms), "it had asked to be woken within 250 ms: {stood_ms}");
+    assert!((1_250..=1_510).contains(&stood_ms), "the next timer was due within 250 ms: {stood_ms}");
     assert_eq!(listed_age_ms, Some(3_510));
     assert_eq!(node.state.standstills(), 1);
 }
 
-/// How long the process stands still: less than its lease lasts, and longer than what it knows may be gone by.
+/// Duration of the stall: shorter than the lease, and longer than the engine table stays valid.
 const STOOD: u64 = 1_500;
 
-/// Engines with the word of one that it leaves.
+/// The row by which an engine announces its departure.
 fn leaving(version: u64) -> Vec<boragecove_fleet::engine::Row> {
     vec![row(version, Entry { leaving: true, ..entry("g1", GATEWAY, "zone-a", &[]) })]
 }
 
-/// A process that leads, and has read the table just before it stands still.
+/// A leader that has read the table just before it stalls.
 fn leader() -> Node {
     let mut node = Node::ready("vm-1");
     node.lead();
@@ -56,7 +57,7 @@
     node
 }
 
-/// A process that follows another's lead, which has answered its frames until it stood still.
+/// A follower whose leader has answered its frames until the stall.
 fn follower() -> (Node, Node) {
     let (mut hub, mut node) = (Node::ready("hub"), Node::ready("vm-1"));
     hub.lead();
@@ -82,7 +83,7 @@
     effects.iter().filter_map(frame).collect()
 }
 
-/// The hub answers a frame, which the process takes over.
+/// The hub answers a frame, and the process applies the reply.
 fn answer(hub: &mut Node, node: &mut Node, frame: &Frame) -> Vec<Effect> {
     hub.now = node.now;
     hub.feed(Event::Framed(Box::new(frame.clone())));
@@ -97,22 +98,22 @@
     }
 }
 
-/// Guards against requests that a leader finds at its sockets after it stood still, and sends by what it knew before.
+/// Guards against requests that a leader finds in its sockets after a stall and sends on the basis of outdated data.
 #[test]
 fn leader_asks_the_store() {
     let mut node = leader();
     let request = node.arrive(plain("/list/1"));
-    assert_eq!(node.step(request), None, "it waits for the store's word");
+    assert_eq!(node.step(request), None, "should wait for the store");
     assert_eq!(refreshes(&node.effects), 1);
     node.now = node.now + millis(5);
     let late = listed(node.now - millis(500), Vec::new(), 4, false);
     node.feed(late);
-    assert_eq!(node.step(request), None, "that was asked for before it went on");
+    assert_eq!(node.step(request), None, "the call was made before the process resumed");
     node.feed(listed(node.now, leaving(5), 5, false));
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
 
-/// Where the store says nothing, callers wait for a part of the bound, and are served by what is known.
+/// If the store doesn't answer, callers wait for a part of the bound, and are then served with the known data.
 #[test]
 fn silent_store() {
     let mut node = leader();
@@ -121,12 +122,12 @@
     let before = node.pass(bound.pause().saturating_sub(millis(20)));
     assert_eq!(step_of(&before, request), None);
     let after = node.pass(millis(30));
-    assert!(matches!(step_of(&after, request), Some(Step::Send(_))), "it is served all the same");
-    // The next one waits no longer, as in a zone that is cut off.
+    assert!(matches!(step_of(&after, request), Some(Step::Send(_))), "should be served with the known data");
+    // The next request doesn't wait, as in a zone that is cut off.
     node.sent(plain("/list/1"));
 }
 
-/// The store refuses at once: nobody waits for it.
+/// If the store refuses the call, no request waits.
 #[test]
 fn refusing_store() {
     let mut node = leader();
@@ -135,7 +136,7 @@
     assert!(matches!(node.step(request), Some(Step::Send(_))));
 }
 
-/// The same for an entry VM that follows another's lead: its frame is answered, and the store is left alone.
+/// The same for a follower: its frame is answered, and the store isn't called.
 #[test]
 fn follower_asks_the_leader() {
     let (mut hub, mut node) = follower();
@@ -148,7 +149,7 @@
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
 
-/// A leader that has stood still as well knows no more: the store is asked after a moment.
+/// A leader that has stalled too has no newer data, so the store is asked after a short time.
 #[test]
 fn leader_stood_still_too() {
     let (mut hub, mut node) = follower();
@@ -156,13 +157,13 @@
     let frame = frames(&node.effects).pop().expect("a frame at once");
     node.now = node.now + millis(5);
     answer(&mut hub, &mut node, &frame);
-    assert_eq!(node.step(request), None, "its word is as old");
+    assert_eq!(node.step(request), None, "its data is as old");
     assert_eq!(refreshes(&node.pass(millis(100))), 1);
     node.feed(listed(node.now, leaving(5), 5, false));
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
 
-/// An answer to a frame from before the standstill says nothing of the time since.
+/// A reply to a frame from before the stall doesn't confirm the time since.
 #[test]
 fn answered_before() {
     let (mut hub, mut node) = follower();
@@ -176,13 +177,13 @@
     hub.feed(listed(hub.now, leaving(5), 5, false));
     let request = node.arrive(plain("/list/1"));
     node.feed(Event::Replied(Some(Box::new(reply))));
-    assert_eq!(node.step(request), None, "it was given before the engine left");
-    let frame = frames(&node.effects).pop().expect("another at once");
+    assert_eq!(node.step(request), None, "the reply predates the departure");
+    let frame = frames(&node.effects).pop().expect("another frame at once");
     answer(&mut hub, &mut node, &frame);
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
 
-/// A place in a schedule that is still to come is given up: the engine may have left meanwhile.
+/// A future slot in a schedule is given up, since the engine may have left meanwhile.
 #[test]
 fn scheduled_before() {
     let mut node = Node::ready("vm-1");
@@ -201,7 +202,7 @@
             waits.push(id);
         }
     }
-    assert!(!waits.is_empty(), "prompts are spaced");
+    assert!(!waits.is_empty(), "prompts should be spaced");
     node.now = node.now + stood;
     let effects = node.pass(millis(10));
     for id in &waits {
@@ -209,7 +210,7 @@
     }
 }
 
-/// A process that wakes a little late, as one that is busy does, holds nobody up.
+/// A process that wakes slightly late because it is busy doesn't delay requests.
 #[test]
 fn busy_process() {
     let mut node = Node::ready("vm-1");
@@ -222,7 +223,8 @@
     }
 }
 
-/// Guards against answers that lie in the socket of a process that stood still: their engines were not silent, and the requests are not sent again.
+/// Guards against answers that wait in the sockets of a process that stalled: their engines weren't silent, and the
+/// requests must not be sent again.
 #[test]
 fn own_standstill_is_no_silence() {
     let mut node = Node::ready("vm-1");
@@ -232,18 +234,15 @@
     node.pass(millis(100));
     node.now = node.now + millis(STOOD);
     let woken = node.feed(Event::Wake).to_vec();
-    assert_eq!(step_of(&woken, request), None, "it is not sent again");
+    assert_eq!(step_of(&woken, request), None, "should not be sent again");
     assert!(
         !woken.iter().any(|effect| matches!(effect, Effect::Probe { .. })),
-        "its engine is not suspected"
+        "its engine should not be suspected"
     );
     let answered = node.ended(request, attempt.number, End::Done);
-    assert_eq!(answered, Some(Step::Pass), "its answer goes to the caller");
+    assert_eq!(answered, Some(Step::Pass), "its answer should go to the caller");
     node.feed(listed(node.now, Vec::new(), 4, false));
     let (request, _) = node.sent(plain("/list/2"));
     let awake = node.pass(millis(1_500));
-    assert!(
-        step_of(&awake, request).is_some(),
-        "an engine that says nothing to a process that runs is silent"
-    );
+    assert!(step_of(&awake, request).is_some(), "an engine that doesn't answer a running process is silent");
 }
--- a/fleet/tests/world/backends.rs
+++ b/fleet/tests/world/backends.rs
@@ -1,4 +1,4 @@
-//! Engines of a deployment in a test: they take what is sent to them, and in need name a limit in their answers.
+//! The engines of a simulated fleet. They accept requests, and announce a limit in their responses when overloaded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -18,13 +18,14 @@
 /// Time from a request's arrival at an engine to the head of its answer, and to its end.
 const HEAD_MS: u64 = 20;
 pub(super) const RUN_MS: u64 = 150;
-/// The users' rule: how long after a word it counts for the entry VM that was told,
+/// The platform's rule on limits: time after which an announcement binds the entry VM that received it.
 const TOLD: Duration = Duration::from_millis(500);
-/// in which windows what is counted may be so many times the limit, and so many requests beyond that.
+/// The window over which requests are counted, the multiple of the limit allowed in it, and the requests allowed
+/// beyond that.
 const WINDOW: Duration = Duration::from_secs(4);
 const OVERAGE: f64 = 1.5;
 const SLACK: f64 = 5.0;
-/// Attempts of routes whose requests may run more than once.
+/// Number of attempts on routes whose requests may run more than once.
 const ATTEMPTS: u32 = 2;
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -33,35 +34,35 @@
 pub struct Reached {
     pub at: Time,
     pub vm: usize,
-    /// The entry VM that passed it on.
+    /// The entry VM that relayed it.
     pub relay: Option<usize>,
-    /// Since when the entry VM had been told of the limit that the engine named then; none if it had not been.
+    /// Since when the entry VM had known the limit then announced by the engine; `None` if it had not.
     pub told: Option<Time>,
-    /// Since when nothing was done to the entry VM, nor to the store; none while it hears nothing.
+    /// When the entry VM or the store was last disturbed; `None` while the entry VM is cut off.
     pub calm: Option<Time>,
 }
 
-/// A limit that an engine names.
+/// A limit announced by an engine.
 #[derive(Clone, Copy, Debug)]
 struct Need {
     per_s: f64,
     since: Time,
 }
 
-/// All engines.
+/// All engines of the fleet.
 #[derive(Debug, Default)]
 pub struct Backends {
     zones: BTreeMap<Name, Name>,
     in_need: BTreeMap<Name, Need>,
     told: BTreeMap<(usize, Name), Time>,
     reached: BTreeMap<Name, Vec<Reached>>,
-    /// The attempt of each request that is to be sent.
+    /// The attempt to be sent for each request.
     pub(super) current: BTreeMap<(usize, Id), u32>,
     /// The engine that last ran each request.
     pub(super) engine_of: BTreeMap<(usize, Id), Name>,
-    /// How often engines have run each request.
+    /// Number of runs of each request.
     runs: BTreeMap<(usize, Id), u32>,
-    /// Requests that may run once alone.
+    /// Requests that may run only once.
     pub(super) once: BTreeSet<(usize, Id)>,
     pub(super) brittle: BTreeMap<Name, Brittle>,
     pub(super) repeats: Repeats,
@@ -74,12 +75,12 @@
         Self { zones, ..Self::default() }
     }
 
-    /// An engine is in a zone.
+    /// Places an engine in a zone.
     pub(super) fn place(&mut self, entry: &Entry) {
         self.zones.insert(entry.id.clone(), entry.zone.clone());
     }
 
-    /// All requests that reached engines, with the engine's zone.
+    /// All requests that reached engines, with the engine's id and zone.
     pub fn all(&self) -> impl Iterator<Item = (&Name, &str, &Reached)> {
         let zone = |engine: &Name| self.zones.get(engine).map_or("", |zone| zone);
         self.reached
@@ -89,7 +90,7 @@
 }
 
 impl World {
-    /// An engine names a limit from now on, or none any more.
+    /// Sets or removes the limit that an engine announces.
     pub fn need(&mut self, engine: &str, per_s: Option<f64>) {
         let since = self.now;
         let backends = self.backends.as_mut().expect("engines");
@@ -100,13 +101,13 @@
         };
     }
 
-    /// Requests that have reached an engine since then.
+    /// Number of requests that have reached an engine since then.
     pub fn reached(&self, engine: &str, since: Time) -> usize {
         let reached = self.backends.as_ref().and_then(|backends| backends.reached.get(engine));
         reached.map_or(0, |all| all.iter().filter(|one| one.at >= since).count())
     }
 
-    /// The most requests that reached an engine in any second of a time.
+    /// The largest number of requests that reached an engine within any second of a time span.
     pub fn most_in_a_second(&self, engine: &str, from: Time, until: Time) -> usize {
         let reached = self.backends.as_ref().and_then(|backends| backends.reached.get(engine));
         let times = reached.into_iter().flatten().map(|one| one.at).filter(|at| (from..until).contains(at));
@@ -115,12 +116,12 @@
         times.iter().map(within).max().unwrap_or_default()
     }
 
-    /// Requests that ran more than once.
+    /// Number of requests that ran more than once.
     pub fn repeated(&self) -> usize {
         self.ran_beyond(|_| 1)
     }
 
-    /// Requests that ran more often than they may: once, or as often as their route has attempts.
+    /// Number of requests that ran more often than allowed: once, or as often as their route has attempts.
     pub fn doubled(&self) -> usize {
         self.ran_beyond(|once| if once { 1 } else { ATTEMPTS })
     }
@@ -132,8 +133,8 @@
         backends.runs.iter().filter(|(request, runs)| **runs > most(backends.once.contains(request))).count()
     }
 
-    /// By how much an engine in need got more than the users' rule allows, in the worst window from `contact` after it first
-    /// named its limit; below 0 if it kept.
+    /// By how many requests an overloaded engine got more than the platform's rule allows, in the worst window from
+    /// `contact` after it first announced its limit; negative if the rule was kept.
     pub fn limit_excess(&self, engine: &str, contact: Duration) -> f64 {
         let backends = self.backends.as_ref().expect("engines");
         let Some(need) = backends.in_need.get(engine) else {
@@ -149,7 +150,7 @@
         most.max().unwrap_or_default() as f64 - (OVERAGE * need.per_s * WINDOW.as_secs_f64() + SLACK)
     }
 
-    /// Whether a request from an entry VM reaches an engine: not over the edge of a zone that is cut off.
+    /// Whether requests from an entry VM reach an engine, which they don't across the edge of a zone that is cut off.
     pub(super) fn reaches_engine(&self, vm: usize, engine: &Name) -> bool {
         let zone = self.backends.as_ref().and_then(|backends| backends.zones.get(engine));
         let zone = zone.and_then(|zone| ZONES.iter().position(|name| **name == **zone));
@@ -158,7 +159,7 @@
         })
     }
 
-    /// A request is to be sent, unless another word on it comes before its time.
+    /// Schedules an attempt, which is sent unless it is replaced or cancelled before.
     pub(super) fn send(&mut self, vm: usize, request: Id, attempt: Attempt) {
         let backends = self.backends.as_mut().expect("engines");
         backends.current.insert((vm, request), attempt.number);
@@ -166,13 +167,13 @@
         self.post(vm, vm, wait, Load::Send(request, attempt));
     }
 
-    /// No attempt of a request is to be sent any more.
+    /// Cancels the attempt to be sent for a request.
     pub(super) fn forget(&mut self, vm: usize, request: Id) {
         let backends = self.backends.as_mut().expect("engines");
         backends.current.remove(&(vm, request));
     }
 
-    /// A request's time has come.
+    /// An attempt is due to be sent.
     pub(super) fn sent(&mut self, vm: usize, request: Id, attempt: &Attempt) {
         let backends = self.backends.as_ref().expect("engines");
         if backends.current.get(&(vm, request)) != Some(&attempt.number) {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// An engine runs a request.
+    /// Runs a request on an engine.
     pub(super) fn run(&mut self, vm: usize, relay: Option<usize>, request: Id, attempt: &Attempt) {
         let (now, engine) = (self.now, attempt.engine.clone());
         let calm = self.calm_since(vm);
@@ -205,7 +206,7 @@
         self.post(vm, vm, HEAD_MS, Load::Head(request, attempt.clone(), now));
     }
 
-    /// The head of an answer comes.
+    /// The head of an answer arrives.
     pub(super) fn head(&mut self, vm: usize, request: Id, attempt: &Attempt, at: Time) {
         let now = self.now;
         let backends = self.backends.as_mut().expect("engines");
@@ -228,7 +229,7 @@
         self.feed(vm, Event::Ended { request, attempt, end, events: Events::default() });
     }
 
-    /// An entry VM starts anew: it was told nothing, and what it had under way is gone.
+    /// Drops an entry VM's knowledge of limits and its requests under way, since it was killed.
     pub(super) fn forget_vm(&mut self, vm: usize) {
         if let Some(backends) = &mut self.backends {
             backends.told.retain(|(of, _), _| *of != vm);
--- a/fleet/tests/world/losses.rs
+++ b/fleet/tests/world/losses.rs
@@ -1,4 +1,4 @@
-//! One message of a deployment in a test that is lost, and entry VMs that stand still and go on.
+//! Losses of single messages in a simulated fleet, and entry VMs that stall and resume.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 
 use super::{Load, OnWay, World};
 
-/// By which road a message comes.
+/// The channel by which a message travels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Road {
-    /// The store's answer to the call for changes that an entry VM has waiting.
+    /// The store's response to the long poll of an entry VM.
     Feed,
     /// An entry VM's frame.
     Frame,
-    /// The answer to that.
+    /// The hub's reply to a frame.
     Reply,
     /// A push to an entry VM.
     Push,
-    /// The answer that it was taken.
+    /// The confirmation that a push was accepted.
     PushAnswer,
-    /// The store's answer about the lease.
+    /// The store's response to a call about the lease.
     Lease,
 }
 
@@ -30,7 +30,7 @@
         [Self::Feed, Self::Frame, Self::Reply, Self::Push, Self::PushAnswer, Self::Lease];
 }
 
-/// A message that is to be lost: the next by a road from or to an entry VM.
+/// The message to be lost: the next one on a channel from or to an entry VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loss {
     pub road: Road,
@@ -38,7 +38,7 @@
 }
 
 impl World {
-    /// Whether the message that comes now is the one that is to be lost.
+    /// Whether the message that arrives now is the one to be lost.
     pub(super) fn loses(&mut self, road: Road, vm: usize) -> bool {
         let lost = self.loss == Some(Loss { road, vm });
         if lost {
@@ -48,7 +48,7 @@
         lost
     }
 
-    /// The store is asked at once what has changed.
+    /// Asks the store for changes at once.
     pub(super) fn refresh(&mut self, at: usize, after: Revision, limit: Duration) {
         if !self.vms[at].served || self.vms[at].side != 0 {
             let event = Event::Unread;
@@ -59,7 +59,7 @@
         self.post(at, at, 5, Load::Listed(listing));
     }
 
-    /// An entry VM goes on after a standstill: its requests may be read before anything else, or after.
+    /// Resumes an entry VM after a stall. Its requests may be read before anything else, or after.
     pub(super) fn go_on(&mut self, at: usize) {
         if self.credulous {
             self.feed(at, Event::Wake);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Requests that have reached an engine between two moments, with the entry VMs that sent them.
+    /// The requests that reached an engine in a time span: the entry VM that sent each, and when.
     pub fn senders(&self, engine: &str, from: Time, until: Time) -> Vec<(usize, Time)> {
         let backends = self.backends.as_ref().expect("engines");
         let reached =
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -1,7 +1,7 @@
-//! The reducers of a whole deployment in a test, joined by calls that take some ms, and by a store that holds the lease: with zones
-//! that are cut off, entry VMs that are killed, restarted or suspended, and a store that turns some away.
+//! A simulated fleet: the reducers of all entry VMs, joined by calls that take several ms, and a store that holds the
+//! lease. Tests can cut off zones, kill, restart or suspend entry VMs, and let the store reject some of them.
 
-#![allow(dead_code, reason = "each test uses what it needs")]
+#![allow(dead_code, reason = "each test uses a part of it")]
 
 mod backends;
 mod brittle;
@@ -52,34 +52,34 @@
 pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 const TICK: Duration = Duration::from_millis(5);
 const START_MS: u64 = 1_000_000;
-/// Time for the hub's answer to a frame, for an answer of another entry VM, and of the store, as in the process.
+/// Time limits of a frame, of a query to another entry VM, and of a call about the lease, as in the process.
 const FRAME_LIMIT: Duration = Duration::from_millis(500);
 const ASK_LIMIT: Duration = Duration::from_millis(60);
 const LEASE_LIMIT: Duration = Duration::from_millis(500);
-/// Time between two questions of whoever follows the store whether there is a newer configuration.
+/// Interval at which an entry VM that follows the store asks for a newer configuration.
 const FOLLOW_EVERY: Duration = Duration::from_millis(400);
-/// How long a push may stand still, as in the process.
+/// How long a push may stall, as in the process.
 const PUSH_STALL: Duration = Duration::from_millis(400);
-/// The usual pause after a call of the store that failed, as in the process.
+/// The usual pause after a failed call to the store, as in the process.
 const FAILED_PAUSE: Duration = Duration::from_millis(300);
-/// The longest time after a return of the store until what it lost is written again, by the users' terms.
+/// The longest time after a restore of the store until what it lost is written again, as the platform guarantees.
 pub const REWRITTEN: Duration = Duration::from_millis(1_900);
 
-/// What became of a request.
+/// The result of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Done {
     /// When its caller sent it.
     pub asked: Time,
-    /// When that became of it.
+    /// When the result was known.
     pub at: Time,
     pub vm: usize,
     pub workspace: Name,
     pub cost: f64,
-    /// None for one that was sent to an engine.
+    /// The result code; `None` if it was sent to an engine.
     pub refused: Option<Code>,
 }
 
-#[expect(clippy::struct_excessive_bools, reason = "each is a broken copy of its own")]
+#[expect(clippy::struct_excessive_bools, reason = "each is an independent fault")]
 pub struct World {
     pub now: Time,
     pub rng: fastrand::Rng,
@@ -87,90 +87,90 @@
     pub outcomes: Vec<Done>,
     vms: Vec<Vm>,
     pub store: Store,
-    /// What engines say of themselves, whatever the store has lost: an entry, or none for one that is gone.
+    /// The current entry of each engine, whatever the store has lost; `None` for an engine that is gone.
     truth: BTreeMap<Name, Option<Entry>>,
-    /// When what the store has lost is written again, and what.
+    /// What the store has lost, and when it is written again.
     rewrites: Vec<(Time, Rewrite)>,
     on_way: Vec<OnWay>,
     open: BTreeMap<(usize, Id), (Time, Name, f64)>,
     drawn: u64,
     settings: Settings,
-    /// Part of the attempts that engines turn away, as not run.
+    /// Fraction of attempts that engines reject, as not run.
     pub turned_away: f64,
-    /// Part of the store's answers to writes that are lost, though the write was done.
+    /// Fraction of the store's responses to successful writes that are lost.
     pub answers_lost: f64,
-    /// Part of the pushes that are lost without anybody's knowing, as where their sender dies beside them.
+    /// Fraction of pushes that are lost unnoticed, as when their sender dies at the same time.
     pub pushes_lost: f64,
-    /// Whether those that follow the store do so with the pauses that they want, and the store holds their calls for changes.
+    /// Whether entry VMs follow the store with their own pauses, and the store answers their calls as long polls.
     pub paced: bool,
-    /// Calls of the store for its tables, if they are paced.
+    /// Number of calls to the store for its tables, if these are long polls.
     pub calls: usize,
-    /// Messages that were pushed.
+    /// Number of messages pushed.
     pub pushes: usize,
-    /// Questions of entry VMs whether others reach an engine.
+    /// Number of queries whether another entry VM reaches an engine.
     pub asks: usize,
-    /// Runs that an engine's crash broke, by the word of entry VMs.
+    /// Number of runs cut off by the crash of an engine, as entry VMs report it.
     pub accused: usize,
-    /// The next message that is lost.
+    /// The next message to be lost.
     pub loss: Option<Loss>,
-    /// Messages that were lost that way.
+    /// Number of messages lost that way.
     pub lost: usize,
-    /// The entry VM whose frame came last: its next one is the furthest away.
+    /// The entry VM that sent the last frame: it has the longest time until its next one.
     pub framed: usize,
-    /// A broken copy: a call for changes whose answer is overdue is waited for by so much longer.
+    /// Injected fault: additional time for which the overdue response to a long poll is waited for.
     pub patient: Duration,
-    /// A broken copy: an entry VM goes by what it knew before a standstill.
+    /// Injected fault: entry VMs use old data after a stall.
     pub credulous: bool,
-    /// A broken copy: the lease's row says nothing of shares, nor of repeats.
+    /// Injected fault: the row of the lease contains neither shares nor repeats.
     pub forgetful: bool,
-    /// A broken copy: whoever is asked for a place gives one at once.
+    /// Injected fault: each query for a slot is granted at once.
     pub lax: bool,
-    /// A broken copy: nobody sees the store's era.
+    /// Injected fault: the store's era is hidden.
     pub blind: bool,
-    /// A broken copy: entry VMs take all engines for such of one build.
+    /// Injected fault: all engines seem to run one build.
     pub unread_builds: bool,
-    /// A broken copy: nobody hears of evacuations.
+    /// Injected fault: evacuations are ignored.
     pub deaf: bool,
-    /// A broken copy: entry VMs leave engines that leave out of what they tell each other.
+    /// Injected fault: entry VMs omit leaving engines from some of their messages.
     pub mute: Option<Mute>,
-    /// Who might give orders, and under which fencing number, since when and until when.
+    /// Times in which an entry VM was allowed to give orders, with its fencing number.
     pub orderers: Vec<Orderer>,
-    /// Engines that answer; none where a request is done as soon as it is sent.
+    /// Engines that answer. Without them a request is done as soon as it is sent.
     pub backends: Option<Backends>,
     pub streams: Streams,
     zones_cut: [bool; ZONES.len()],
-    /// Entry VMs that have lost the way to engines.
+    /// Entry VMs that can't reach engines.
     parted: BTreeMap<usize, partitions::Partition>,
-    /// When the store last came back from a copy.
+    /// When the store was last restored from a copy.
     drilled: Option<Time>,
-    /// Evacuated zones, since when and until when.
+    /// Evacuated zones, with the start and the end of the evacuation.
     evacuated: Vec<(usize, Time, Option<Time>)>,
 }
 
 struct Vm {
     state: State,
     wake: Option<Time>,
-    /// Which start: what is on its way to an earlier one is lost.
+    /// Number of the start. Messages to an earlier start are lost.
     start: u64,
     running: bool,
     suspended: bool,
-    /// Whether the store serves it.
+    /// Whether the store accepts its calls.
     served: bool,
-    /// Its side of a cut.
+    /// Its side of a network partition.
     side: u8,
     follows: Option<Follow>,
     asks_at: Time,
-    /// Until when the store holds the call that waits for changes.
+    /// Until when the store holds its long poll.
     held_until: Option<Time>,
-    /// When the answer to that call is overdue, if it is lost.
+    /// When the response to that long poll is overdue, if it is lost.
     overdue_at: Option<Time>,
-    /// Up to where it knows the engines' table by reading.
+    /// The revision up to which it has read the engine table.
     table: Option<Revision>,
-    /// When anything was last done to it.
+    /// When it was last disturbed.
     troubled: Time,
 }
 
-/// An entry VM that might give orders for a while.
+/// A time in which an entry VM was allowed to give orders.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Orderer {
     pub vm: usize,
@@ -179,7 +179,7 @@
     pub until: Time,
 }
 
-/// What the store has lost and somebody writes again.
+/// Something that the store has lost and that is written again.
 #[derive(Clone, Debug)]
 enum Rewrite {
     Config,
@@ -200,43 +200,44 @@
     Frame(Box<Frame>),
     Reply(Option<Box<Reply>>, u64),
     Push(Box<Message>),
-    /// A push that was not taken.
+    /// A push that was not accepted.
     Missed(Push),
     Draw(Id, Draw),
     Credit(Id, Name, Option<Credit>),
-    /// A question for a repeat, and when it was asked.
+    /// A query for a repeat, and when it was made.
     Permit(Id, Time, budget::Ask),
     Permitted(Id, Time, Option<Permit>),
     Ask(Id, Ask),
     Grant(Id, Option<Grant>),
     Send(Id, Attempt),
-    /// The head of an answer to what was sent then.
+    /// The head of the answer to an attempt, and when that was sent.
     Head(Id, Attempt, Time),
     Ended(Id, u32),
     /// An event of a stream.
     Piece(Id, Box<Written>),
-    /// A request that was to be passed on.
+    /// A request to be relayed.
     Pass(Id, Attempt),
-    /// An attempt that had no answer, if none has come.
+    /// The end of an attempt that got no answer, unless one has arrived.
     Unanswered(Id, u32, End),
     Note(Vec<Note>),
-    /// A question what began a stream, and the answer of an entry VM.
+    /// A query for the origin of a stream, and the answer of an entry VM.
     Trace(Id, Stream),
     Traced(Id, usize, Option<Origin>),
     Lease(Answer),
-    /// The configuration as it was when the store was asked, up to which version that holds, and when it was.
+    /// The configuration when the store was asked, the revision up to which it is the newest, and the time of the
+    /// call.
     Declared(Arc<Config>, Revision, Time),
-    /// What was read of operators' words on availability zones.
+    /// Rows of the operators' table about availability zones.
     Evacuations(evacuation::Listing),
-    /// What was read of the engines' table.
+    /// Rows of the engine table.
     Listed(Listing),
-    /// Anything else that comes of a call.
+    /// Any other result of a call.
     Event(Box<Event>),
-    /// A request that lies in the socket of a machine that is suspended.
+    /// A request that waits in the socket of a suspended machine.
     Arrive(Id, Box<Arrival>),
 }
 
-/// Time for a randomized test: as it says, or longer by hand (`WORLD_BUDGET_MS`).
+/// Time budget of a randomized test: the given one, or the value of `WORLD_BUDGET_MS`.
 pub fn budget_ms(usual: u64) -> u64 {
     std::env::var("WORLD_BUDGET_MS").ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
 }
@@ -246,7 +247,7 @@
 }
 
 impl World {
-    /// So many entry VMs, in three zones in turn.
+    /// A fleet of this many entry VMs, distributed over three zones in turn.
     pub fn new(
         vms: usize,
         config: Config,
@@ -257,7 +258,7 @@
         Self::before(Store::default(), vms, config, rows, settings, seed)
     }
 
-    /// The same before a store that may have come back from copies already.
+    /// The same with a given store, which may have been restored from copies already.
     pub fn before(
         store: Store,
         vms: usize,
@@ -317,13 +318,13 @@
         world
     }
 
-    /// An engine writes its entry.
+    /// Writes the entry of an engine.
     pub fn register(&mut self, entry: Entry) {
         self.truth.insert(entry.id.clone(), Some(entry.clone()));
         self.store.put(entry);
     }
 
-    /// The operator evacuates a zone, or takes that back.
+    /// Starts or ends the evacuation of a zone.
     pub fn evacuate(&mut self, zone: usize, evacuated: bool) {
         self.store.evacuate(ZONES[zone], evacuated);
         if evacuated {
@@ -334,8 +335,8 @@
         }
     }
 
-    /// Requests that reached an engine of an evacuated zone later than `bound` after that was said, and after anything was done to the
-    /// entry VM that sent them.
+    /// Number of requests that reached an engine of an evacuated zone later than `bound` after the start of the
+    /// evacuation and after the last disturbance of the entry VM that sent them.
     pub fn sent_to_evacuated(&self, bound: Duration) -> usize {
         let broken = |zone: &str, one: &Reached| {
             self.evacuated.iter().any(|(of, from, until)| {
@@ -347,20 +348,22 @@
         backends.all().filter(|(_, zone, one)| broken(zone, one)).count()
     }
 
-    /// An entry VM's next reading of the engines' table is of all of it, as where the store has forgotten its history.
+    /// Makes the next read of the engine table by an entry VM a complete one, as when the store has dropped its
+    /// history.
     pub fn reread(&mut self, at: usize) {
         self.vms[at].table = None;
         self.vms[at].held_until = None;
         self.vms[at].asks_at = self.now;
     }
 
-    /// An engine's entry is removed.
+    /// Removes the entry of an engine.
     pub fn deregister(&mut self, engine: &str) {
         self.truth.insert(engine.into(), None);
         self.store.remove(&engine.into());
     }
 
-    /// The store comes back from a copy of so long ago. What it lost is written again within the users' time.
+    /// Restores the store from a copy that is this old. What it loses is written again within the time that the
+    /// platform guarantees.
     pub fn drill(&mut self, back: Duration) {
         self.store.restore(self.now, back);
         self.drilled = Some(self.now);
@@ -400,7 +403,7 @@
         }
     }
 
-    /// Notes who might give orders now.
+    /// Records the entry VMs that may give orders now.
     fn note_orderers(&mut self) {
         let now = self.now;
         for (vm, state) in self.vms.iter().enumerate().filter(|(_, vm)| vm.running && !vm.suspended) {
@@ -415,7 +418,7 @@
         }
     }
 
-    /// An entry VM is added.
+    /// Adds an entry VM.
     pub fn add(&mut self) {
         let at = self.vms.len();
         let state = self.state_of(at);
@@ -443,7 +446,7 @@
         State::new(me, self.settings.clone(), self.rng.u64(..), self.now)
     }
 
-    /// What a process that starts has of the store at once.
+    /// Passes the store's tables to a starting process.
     fn inform(&mut self, at: usize) {
         self.vms[at].table = None;
         if let Some(config) = self.store.config().cloned() {
@@ -455,12 +458,12 @@
         self.feed(at, Event::Listed(listing));
     }
 
-    /// The era that whoever asks the store sees.
+    /// The era that readers of the store see.
     fn seen_era(&self) -> u64 {
         if self.blind { 0 } else { self.store.era() }
     }
 
-    /// What whoever reads operators' words on availability zones sees.
+    /// The rows about availability zones that readers of the store see.
     fn seen_words(&self, mut listing: evacuation::Listing) -> evacuation::Listing {
         if self.blind {
             listing.version.era = 0;
@@ -469,7 +472,7 @@
         listing
     }
 
-    /// What whoever reads the engines' table sees.
+    /// The engine table that readers of the store see.
     fn seen(&self, mut listing: Listing) -> Listing {
         if self.blind {
             listing.version.era = 0;
@@ -490,11 +493,11 @@
         &self.vms[at].state
     }
 
-    /// The entry VM that owns something of a zone, by the leader's list.
+    /// The owner of something in a zone, by the leader's list.
     pub fn owner_of(&self, what: &str, zone: &str) -> usize {
-        let leader = self.leader().expect("there is one");
+        let leader = self.leader().expect("a leader");
         let members = self.vms[leader].state.members();
-        let owner = members.sole_owner(&what.into(), &zone.into()).expect("there is one");
+        let owner = members.sole_owner(&what.into(), &zone.into()).expect("an owner");
         self.at(owner.address)
     }
 
@@ -505,21 +508,22 @@
             .position(|vm| vm.running && !vm.suspended && vm.state.lease().holds(self.now).is_some())
     }
 
-    /// Since when nothing has been done to an entry VM, nor to the store; none while it does not run, or hears nothing.
+    /// When the entry VM or the store was last disturbed; `None` while it isn't running, or is cut off from the
+    /// others or from the store.
     pub fn calm_since(&self, at: usize) -> Option<Time> {
         let vm = &self.vms[at];
         let in_touch = vm.running && !vm.suspended && vm.served && vm.side == 0;
         in_touch.then(|| self.drilled.map_or(vm.troubled, |drilled| drilled.max(vm.troubled)))
     }
 
-    /// Since when nothing has been done to an entry VM that hears the others, whether or not the store serves it; none while it does not run, or
-    /// hears nobody.
+    /// When the entry VM was last disturbed, whether or not the store accepts its calls; `None` while it isn't
+    /// running, or is cut off from the others.
     pub fn linked_since(&self, at: usize) -> Option<Time> {
         let vm = &self.vms[at];
         (vm.running && !vm.suspended && vm.side == 0).then_some(vm.troubled)
     }
 
-    /// Which start of an entry VM runs.
+    /// Number of the running start of an entry VM.
     pub fn start_of(&self, at: usize) -> u64 {
         self.vms[at].start
     }
@@ -565,7 +569,7 @@
         self.vms[at].served = served;
     }
 
-    /// Cuts a zone off from the others and from the store, or joins it again.
+    /// Cuts a zone off from the others and from the store, or reconnects it.
     pub fn cut(&mut self, zone: usize, cut: bool) {
         self.zones_cut[zone] = cut;
         for at in (0..self.vms.len()).filter(|at| at % ZONES.len() == zone) {
@@ -574,13 +578,13 @@
         }
     }
 
-    /// Cuts an entry VM off from the others and from the store, though not from engines, or joins it again.
+    /// Cuts an entry VM off from the others and from the store, though not from engines, or reconnects it.
     pub fn isolate(&mut self, at: usize, isolated: bool) {
         self.vms[at].troubled = self.now;
         self.vms[at].side = if isolated { 100 + (at % 100) as u8 } else { 0 };
     }
 
-    /// One of nine disturbances, of an entry VM or of the leader.
+    /// Causes one of nine disturbances of an entry VM or of the leader.
     pub fn disturb(&mut self, kind: u8, at: usize) {
         let leader = self.leader().unwrap_or(at);
         match kind {
@@ -596,7 +600,7 @@
         }
     }
 
-    /// All disturbances but drills end, and whoever does not run starts anew.
+    /// Ends all disturbances except restores of the store, and restarts entry VMs that aren't running.
     pub fn heal(&mut self) {
         (0..ZONES.len()).for_each(|zone| self.cut(zone, false));
         for at in 0..self.len() {
@@ -609,13 +613,14 @@
         }
     }
 
-    /// A version of the configuration is written to the store.
+    /// Writes a version of the configuration to the store.
     pub fn declare(&mut self, config: Config) {
         self.config = Arc::new(config);
         self.store.declare(Arc::clone(&self.config));
     }
 
-    /// A version of the configuration is written to the store, and reaches all entry VMs that are not cut off at once.
+    /// Writes a version of the configuration to the store, and delivers it at once to all entry VMs that aren't cut
+    /// off.
     pub fn configure(&mut self, config: Config) {
         self.declare(config);
         for at in 0..self.vms.len() {
@@ -626,12 +631,12 @@
         }
     }
 
-    /// An entry VM is asked for credit.
+    /// Asks an entry VM for credit.
     pub fn draw(&mut self, at: usize, draw: &Draw) -> Credit {
         boragecove_fleet::credit(&mut self.vms[at].state, self.now, draw)
     }
 
-    /// A request arrives at an entry VM that runs.
+    /// Lets a request arrive at an entry VM, if it is running.
     pub fn arrive(&mut self, at: usize, workspace: &Name, cost: f64, arrival: Arrival) {
         if let Some(backends) = &mut self.backends {
             backends.repeats.asked(self.now);
@@ -650,7 +655,7 @@
         self.post(at, at, 0, Load::Arrive(request, Box::new(arrival)));
     }
 
-    /// Callers ask for so many plain calls a second for a while, at entry VMs at random.
+    /// Sends plain calls at this rate to random entry VMs for a while.
     pub fn ask(&mut self, time: Duration, per_s: f64) {
         let end = self.now + time;
         while self.now < end {
@@ -696,7 +701,7 @@
         }
         let now = self.now;
         let mut due: Vec<OnWay> = self.on_way.extract_if(.., |way| way.at <= now).collect();
-        // What lay in the socket of a machine that stood still is read first, in the order in which it came.
+        // Messages that waited in the socket of a suspended machine are read first, in the order of their arrival.
         let lay = |way: &OnWay| way.at + TICK < now;
         due.sort_by_key(|way| if lay(way) { way.at } else { now });
         for way in due {
--- a/fleet/tests/world/partitions.rs
+++ b/fleet/tests/world/partitions.rs
@@ -1,4 +1,4 @@
-//! Entry VMs of a deployment in a test that lose the way to engines, and requests that others pass on for them.
+//! Partitions between entry VMs and engines in a simulated fleet, and the requests that other entry VMs relay.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,17 +14,17 @@
 use super::backends::RUN_MS;
 use super::{Load, OnWay, Reached, World};
 
-/// Time to give up opening a connection, as in the process.
+/// Time after which opening a connection is given up, as in the process.
 const CONNECT_MS: u64 = 400;
-/// Time to answer how a port answers there, as in the process.
+/// Time limit for the answer of another entry VM on how a port responds, as in the process.
 const LOOK_MS: u64 = 300;
 
-/// Which ways an entry VM has lost.
+/// The engines that an entry VM can't reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lost {
-    /// Those to all engines,
+    /// All engines.
     All,
-    /// or to each second one.
+    /// Every second engine.
     Half,
 }
 
@@ -32,12 +32,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Partition {
     pub lost: Lost,
-    /// Whether connections are refused, or hang.
+    /// Whether new connections are refused. If not, they hang.
     pub refused: bool,
 }
 
 impl World {
-    /// Takes the way to engines from an entry VM, or gives it back. Where new connections are refused, those that are open are reset.
+    /// Starts or ends a partition of an entry VM from engines. If new connections are refused, open ones are reset.
     pub fn part(&mut self, vm: usize, partition: Option<Partition>) {
         match partition {
             Some(partition) => self.parted.insert(vm, partition),
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Breaks an entry VM's connections to the engines that it does not reach.
+    /// Breaks an entry VM's connections to the engines that it can't reach.
     fn reset(&mut self, vm: usize) {
         let under_way = |way: &OnWay| match way.load {
             Load::Ended(request, attempt) if way.from == vm && way.to == vm => Some((request, attempt)),
@@ -66,7 +66,7 @@
         }
     }
 
-    /// How a connection from an entry VM to an engine ends.
+    /// How an attempt to connect from an entry VM to an engine ends.
     fn reach(&self, vm: usize, engine: &Name) -> Reach {
         let parted = self.parted.get(&vm).filter(|partition| match partition.lost {
             Lost::All => true,
@@ -80,19 +80,19 @@
         }
     }
 
-    /// Whether an engine runs.
+    /// Whether an engine is running.
     fn stands(&self, engine: &Name) -> bool {
         self.truth.get(engine).is_some_and(Option::is_some)
     }
 
-    /// A port is tried.
+    /// Probes a port.
     pub(super) fn probe(&mut self, vm: usize, engine: Name) {
         let reach = self.reach(vm, &engine);
         let ms = if reach == Reach::Silent { CONNECT_MS } else { 5 };
         self.post(vm, vm, ms, Load::Event(Box::new(Event::Probed { engine, reach })));
     }
 
-    /// Another entry VM is asked how a port answers there.
+    /// Asks another entry VM how a port responds there.
     pub(super) fn ask_path(&mut self, vm: usize, by: Relay, engine: Name) {
         self.asks += 1;
         let reach = self.reach_seen(vm, by.address, &engine);
@@ -100,14 +100,14 @@
         self.post(vm, vm, ms, Load::Event(Box::new(Event::PathSeen { engine, by, reach })));
     }
 
-    /// Another entry VM is asked whether an engine has crashed.
+    /// Asks another entry VM whether an engine has crashed.
     pub(super) fn ask_crash(&mut self, vm: usize, address: SocketAddr, engine: Name) {
         let reach = self.reach_seen(vm, address, &engine);
         let ms = if reach.is_some_and(|reach| reach != Reach::Silent) { 5 } else { LOOK_MS };
         self.post(vm, vm, ms, Load::Event(Box::new(Event::ProbedIndirectly { engine, reach })));
     }
 
-    /// What another entry VM says of an engine's port; none if it does not answer, or cannot tell.
+    /// What another entry VM reports about an engine's port; `None` if it doesn't answer, or can't tell.
     fn reach_seen(&self, vm: usize, address: SocketAddr, engine: &Name) -> Option<Reach> {
         let to = self.at(address);
         if !self.reaches(vm, to) || self.vms[to].suspended {
@@ -120,7 +120,8 @@
         (reach == Reach::Open || look.control.is_none() || control.next().is_some()).then_some(reach)
     }
 
-    /// A request's time has come, by whichever way. Returns whether it is dealt with here.
+    /// Sends a request that is due through a relay, or fails it if the engine can't be reached. Returns whether it
+    /// did either.
     pub(super) fn sent_apart(&mut self, vm: usize, request: Id, attempt: &Attempt) -> bool {
         let ended = |end| Load::Unanswered(request, attempt.number, end);
         if let Some(relay) = &attempt.relay {
@@ -139,7 +140,7 @@
                 true
             }
             Reach::Silent => {
-                // A connection that is open takes it and says nothing.
+                // A connection that is already open accepts the request and never answers.
                 if self.rng.u32(0..4) > 0 {
                     self.post(vm, vm, CONNECT_MS, ended(End::Unsent));
                 }
@@ -148,7 +149,7 @@
         }
     }
 
-    /// A request comes to an entry VM that is to pass it on.
+    /// A request arrives at an entry VM that is to relay it.
     pub(super) fn passed(&mut self, from: usize, to: usize, request: Id, attempt: &Attempt) {
         let now = self.now;
         let state = &mut self.vms[to].state;
@@ -170,11 +171,11 @@
         }
         self.post(to, to, RUN_MS, Load::Event(Box::new(Event::Relayed)));
         self.post(to, from, RUN_MS, Load::Ended(request, attempt.number));
-        // Where the relay ends before that, its connection breaks.
+        // If the relay stops before that, its connection breaks.
         self.post(from, from, RUN_MS + 5, Load::Unanswered(request, attempt.number, End::Lost));
     }
 
-    /// Requests of callers that came to entry VMs in a time, by entry VM: how many were served, and how many there were.
+    /// Callers' requests that arrived at each entry VM in a time span: the number served, and the total.
     pub fn tries(&self, from: Time, until: Time) -> BTreeMap<usize, (usize, usize)> {
         let mut tries: BTreeMap<usize, (usize, usize)> = BTreeMap::new();
         for done in self.outcomes.iter().filter(|done| (from..until).contains(&done.asked)) {
@@ -189,7 +190,7 @@
         tries
     }
 
-    /// Requests that were passed on for an entry VM.
+    /// Number of requests relayed for an entry VM.
     pub fn passed_on_for(&self, vm: usize) -> usize {
         let reached = self.backends.as_ref().map(|backends| backends.all().collect::<Vec<_>>());
         let relayed = |one: &&Reached| one.vm == vm && one.relay.is_some();
@@ -197,5 +198,5 @@
     }
 }
 
-/// How long after a partition began the users' rule holds.
+/// Time after the start of a partition from which the platform's rule applies.
 pub const CONTACT: Duration = Duration::from_secs(3);
