--- a/fleet/benches/plan.rs
+++ b/fleet/benches/plan.rs
@@ -1,4 +1,5 @@
-//! Time of one placement plan under demand that has moved, at the sizes of the users' sites and at the two-year size.
+//! Time of one placement plan after demand has moved, at the sizes of the users' sites and at the size expected
+//! in two years.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +13,10 @@
 use divan::Bencher;
 
 const NOW: Time = Time::from_millis(100_000);
-/// Models that fit into one engine.
+/// Number of models that fit into one engine.
 const EACH: usize = 3;
 
-/// Engines and models.
+/// Numbers of engines and models.
 const SIZES: [(usize, usize); 5] = [(9, 13), (18, 34), (112, 135), (204, 248), (6_700, 780)];
 
 fn main() {
@@ -31,7 +32,7 @@
     Pool { slots: 12, memory_mb: 200.0, models: (0..models).map(model).collect(), ..Pool::default() }
 }
 
-/// Every model has copies, and all that is asked for is a tenth of them.
+/// Every model has copies, and a tenth of the models have demand.
 fn view(pool: &Pool, (engines, models): (usize, usize)) -> View<'_> {
     let spot = |number: usize| Spot {
         engine: format!("e{number}").into(),
--- a/fleet/src/adapter.rs
+++ b/fleet/src/adapter.rs
@@ -1,9 +1,9 @@
-//! Adapters: brought to engines that hold their models as soon as a request waits for one, in the place of
-//! those that were asked for longest ago.
+//! Placement of adapters: an adapter is loaded at an engine that holds its model as soon as a request waits for
+//! it, in place of the least recently used adapter if the engine is full.
 //!
-//! The load that this answers beside that: many requests for one adapter, while its model has copies at several
-//! engines. With the adapter at one of them, that one had 48 requests under way for 12 slots, and others with the same
-//! model 17. An adapter takes 5 to 14 ms to be loaded and none of the weight store's rate, so it is brought to another
+//! A second case is a high load on one adapter whose model has copies at several engines. With the adapter at
+//! one engine only, that engine had 48 requests under way for 12 slots, and others with the same model had 17.
+//! Loading an adapter takes 5 to 14 ms and uses none of the weight store's rate, so it is loaded at another
 //! engine as soon as those that hold it are crowded.
 
 use boragecove_core::name::Name;
@@ -18,25 +18,26 @@
 use crate::order::Order;
 use crate::state::State;
 
-/// Part of its slots that is taken at an engine that counts as crowded: beyond half of them, events come later.
+/// Fraction of slots in use from which an engine counts as crowded: with more than half of its slots in use,
+/// the events of its streams arrive later.
 const CROWDED: f64 = 0.5;
-/// How much less of its slots must be taken at an engine that is to relieve another: with less, it would soon be
-/// crowded itself.
+/// Minimum difference in the fraction of slots in use between a crowded engine and the one that is to relieve
+/// it: with a smaller difference, the latter would soon be crowded itself.
 const RELIEF: f64 = 0.25;
-/// What it speaks against an engine that another adapter has to make way there, in requests under way: it may be asked
-/// for again.
+/// Cost of an engine at which another adapter must be dropped, in requests under way: that adapter may be
+/// requested again.
 const VICTIM_COST: f64 = 4.0;
-/// What speaks against an engine of another availability zone, in requests under way: of two that are alike, the near
-/// one answers the order sooner.
+/// Cost of an engine in another availability zone, in requests under way: of two equal engines, the near one
+/// answers the order sooner.
 const ZONE_COST: f64 = 0.5;
 
-/// Brings all adapters that requests wait for anywhere to engines that hold their models.
+/// Loads all adapters that requests at any entry VM wait for, at engines that hold their models.
 pub(crate) fn all_wanted(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let targets = targets(state, |demand| demand.waiting > 0);
     wanted(state, now, &targets, out);
 }
 
-/// The targets for which any entry VM has such demand, each once, in order.
+/// The adapters for which the demand of any entry VM meets a condition, sorted and without duplicates.
 fn targets(state: &State, of_interest: impl Fn(&Demand) -> bool) -> Vec<Target> {
     let all = state.hub.frames().flat_map(|frame| &frame.demand).chain(state.demand.peek());
     let interesting = all.filter(|demand| demand.target.adapter.is_some() && of_interest(demand));
@@ -46,7 +47,7 @@
     targets
 }
 
-/// Brings these adapters to engines that hold their models.
+/// Loads these adapters at engines that hold their models.
 pub(crate) fn wanted(state: &mut State, now: Time, targets: &[Target], out: &mut Vec<Effect>) {
     if state.lease.orders(now).is_none() {
         return;
@@ -56,13 +57,13 @@
     }
 }
 
-/// What requests wait for.
+/// Targets that requests wait for.
 pub(crate) fn waited_for<'a>(demands: impl IntoIterator<Item = &'a Demand>) -> Vec<Target> {
     let waiting = demands.into_iter().filter(|demand| demand.waiting > 0);
     waiting.map(|demand| demand.target.clone()).collect()
 }
 
-/// Finds a place for an adapter that is nowhere and that none is on its way to.
+/// Loads an adapter at an engine unless it is loaded or being loaded at one already.
 fn place(state: &mut State, now: Time, target: &Target, out: &mut Vec<Effect>) {
     state.places_sought += 1;
     if !is_on_its_way(state, now, target) {
@@ -70,12 +71,12 @@
     }
 }
 
-/// Whether an adapter is at an engine that takes requests, or on its way to one.
+/// Whether an adapter is loaded or expected at an engine that accepts requests.
 pub(crate) fn is_on_its_way(state: &State, now: Time, target: &Target) -> bool {
     holders(state, now, target).any(|(_, book)| is_expected(book, target))
 }
 
-/// The engines that take requests and hold a target's model, ready or not, with their books.
+/// The engines that accept requests and hold a target's model in any phase, with their inventories.
 fn holders<'a>(
     state: &'a State,
     now: Time,
@@ -86,7 +87,7 @@
     engines.filter(move |(engine, _)| engine.entry.service == target.service && is_usable(engine, now))
 }
 
-/// Brings adapters that are in use to more engines where those that hold them are crowded.
+/// Loads adapters that are in use at more engines if those that hold them are crowded.
 pub(crate) fn relieve(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.lease.orders(now).is_none() {
         return;
@@ -98,8 +99,8 @@
     }
 }
 
-/// The part of its slots that is taken at the least crowded engine that holds an adapter, if all that do are crowded
-/// and none is about to get it.
+/// The fraction of slots in use at the least crowded engine that holds an adapter; none if an engine that holds
+/// it is not crowded or another is loading it.
 fn crowding(state: &State, now: Time, target: &Target) -> Option<f64> {
     let name = target.adapter.as_ref()?;
     let mut least: Option<f64> = None;
@@ -112,18 +113,19 @@
     least.filter(|least| *least >= CROWDED)
 }
 
-/// Slots that are taken at an engine; more than it has if requests wait there. One in need is full, however little it has.
+/// Number of slots in use at an engine; more than it has if requests wait there. An engine with a rate limit
+/// counts as full, however few requests it has.
 fn slots_taken(state: &State, now: Time, engine: &Engine) -> u32 {
     let open = engine.load().open;
     if state.intakes.limit_of(engine, now).is_some() { open.max(engine.entry.slots) } else { open }
 }
 
-/// The part of its slots that is taken at an engine; more than one if requests wait there.
+/// Fraction of slots in use at an engine; more than one if requests wait there.
 fn taken(state: &State, now: Time, engine: &Engine) -> f64 {
     f64::from(slots_taken(state, now, engine)) / f64::from(engine.entry.slots.max(1))
 }
 
-/// Whether an adapter is at an engine or on its way there.
+/// Whether an adapter is loaded, loading or to be loaded at an engine.
 fn is_expected(book: &Book, target: &Target) -> bool {
     target.adapter.as_ref().is_some_and(|name| book.expects(&target.model, name))
 }
@@ -132,8 +134,8 @@
     engine.takes_work() && !engine.health.suspected(now)
 }
 
-/// Loads an adapter at the best engine that holds its model and not the adapter, and of whose slots at most the given
-/// part is taken.
+/// Loads an adapter at the best engine that holds its model but not the adapter, and whose fraction of slots in
+/// use is at most `taken_max`.
 fn bring(state: &mut State, now: Time, target: &Target, taken_max: f64, out: &mut Vec<Effect>) {
     let Some(name) = &target.adapter else {
         return;
@@ -173,7 +175,8 @@
     ledger::order(state, now, &engine, victim.into_iter().chain([load]), out);
 }
 
-/// The adapter at an engine that was asked for longest ago, if that is long enough.
+/// An order to unload the least recently used adapter of an engine, if it has been idle for the configured
+/// time.
 fn idlest(state: &State, now: Time, engine: &Name, service: &Name) -> Option<Order> {
     let book = state.ledger.book(engine)?;
     let mut best: Option<(Time, Order)> = None;
--- a/fleet/src/book.rs
+++ b/fleet/src/book.rs
@@ -1,4 +1,4 @@
-//! One engine's book: what it holds, what is on its way, and what may be ordered next.
+//! Inventory of one engine: its copies of models and adapters, the order under way and the queued orders.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,52 +10,53 @@
 use crate::engine::{Copy, Entry, Held, Incarnation, Phase, Residency};
 use crate::order::Order;
 
-/// Reports are some hundred ms old: time after which one tells of what happened before it was asked for.
+/// Maximum age of the data in a report: a report that is requested this long after an event reflects the event.
 pub(crate) const REPORT_LAG: Duration = Duration::from_millis(250);
-/// Orders that wait for one engine, at most.
+/// Maximum number of queued orders of one engine.
 const QUEUE_MAX: usize = 6;
-/// Adapters that an engine fetches at the same time.
+/// Maximum number of adapters that an engine loads at the same time.
 const FETCHES_MAX: usize = 4;
 
-/// One engine's book.
+/// Inventory of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct Book {
-    /// The start of the engine that it is about.
+    /// Incarnation of the engine that the inventory describes.
     pub(crate) incarnation: Incarnation,
-    /// Orders accepted; none while that is not known.
+    /// Number of orders that the engine has accepted; none while it is not known.
     pub(crate) sequence: Option<u64>,
     pub(crate) copies: Vec<Kept>,
     pub(crate) pending: Option<Pending>,
     pub(crate) queue: VecDeque<Order>,
     pub(crate) check_at: Option<Time>,
-    /// When the timer fires that is set for what is due.
+    /// Time of the earliest timer that is set for this inventory.
     pub(crate) wakes_at: Option<Time>,
     pub(crate) reporting: bool,
     pub(crate) changed: u64,
 }
 
-/// An order on its way.
+/// The order under way.
 #[derive(Clone, Debug)]
 pub(crate) struct Pending {
     pub(crate) order: Order,
-    /// Times it was sent before.
+    /// Number of times it was sent before.
     pub(crate) resent: u32,
 }
 
-/// How long after it was sent an order that was not answered may be carried out. The platform says that this can be
-/// seconds, and names no bound; this is a guess on the safe side.
+/// Time after sending within which an engine may still carry out an unanswered order. The platform says that
+/// this can take seconds and names no bound; 15 s is a conservative estimate.
 const LATE_MAX: Duration = Duration::from_secs(15);
 
-/// A load that was not answered. An engine that starts again under its id begins to count its orders anew, and may
-/// take a load that was meant for its earlier start once it has accepted as many.
+/// A load order that was not answered. An engine that restarts under its id counts its orders from zero again,
+/// and may carry out a load that was meant for its earlier incarnation once it has accepted the same number of
+/// orders.
 #[derive(Clone, Debug)]
 pub(crate) struct Late {
     pub(crate) order: Order,
-    /// Orders that the engine had to have accepted before.
+    /// Number of orders that the engine must have accepted before this one.
     sequence: u64,
-    /// The start of the engine that it was meant for.
+    /// Incarnation of the engine that it was sent to.
     incarnation: Incarnation,
-    /// When it is dead for certain.
+    /// Time from which it can no longer be carried out.
     pub(crate) until: Time,
 }
 
@@ -64,7 +65,8 @@
         Self { order, sequence, incarnation, until: now + LATE_MAX }
     }
 
-    /// Whether the engine could take this load as well after `order`, and would then hold more than it can.
+    /// Whether the engine could carry out this load as well after `order`, and would then exceed its memory or
+    /// its number of adapters.
     pub(crate) fn overfills(&self, book: &Book, order: &Order, pool: &Pool) -> bool {
         let follows = book.sequence.is_some_and(|sequence| sequence + 1 == self.sequence);
         if self.incarnation == book.incarnation || !follows {
@@ -82,7 +84,7 @@
 pub(crate) struct Kept {
     pub(crate) model: Name,
     pub(crate) phase: Phase,
-    /// When it was seen to become ready; long ago where that was not seen.
+    /// Time at which it became ready; the zero time if that was not observed.
     pub(crate) since: Time,
     pub(crate) adapters: Vec<Fetched>,
 }
@@ -90,7 +92,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Fetched {
     pub(crate) name: Name,
-    /// When it counts as loaded, if that is not yet so.
+    /// Time at which it counts as loaded; none once it does.
     pub(crate) ready_at: Option<Time>,
 }
 
@@ -103,18 +105,20 @@
         book
     }
 
-    /// The book of an engine that has just started again: what it has accepted since is to be asked.
+    /// Inventory of an engine that has just restarted; a report is due to learn which orders it has accepted
+    /// since.
     pub(crate) fn restarted(incarnation: Incarnation, now: Time) -> Self {
         Self { incarnation, check_at: Some(now), ..Self::default() }
     }
 
-    /// Whether it says what the engine holds. A new leader's book begins with the engine's entry, which names no adapters
-    /// that came since, and is nobody's last word until the engine has been asked.
+    /// Whether the inventory is valid. A new leader fills it from the engine's entry, which omits adapters that
+    /// were loaded since; it is not valid until the engine has sent a report.
     pub(crate) fn known(&self) -> bool {
         self.sequence.is_some() || self.changed > 0
     }
 
-    /// Whether another order may be decided on: the engine carries out nothing that takes long.
+    /// Whether another order may be decided on: none is queued or under way, and no model is being loaded or
+    /// dropped.
     pub(crate) fn idle(&self) -> bool {
         self.sequence.is_some() && self.pending.is_none() && self.queue.is_empty() && !self.moving()
     }
@@ -124,37 +128,38 @@
         self.copies.iter().any(|copy| copy.phase != Phase::Ready)
     }
 
-    /// When adapters on their way are there, and when the engine is to be asked, in no order.
+    /// Times at which loading adapters become ready and at which the engine is to be asked for a report, in no
+    /// order.
     pub(crate) fn due(&self) -> impl Iterator<Item = Time> {
         let ready = self.copies.iter().flat_map(|copy| &copy.adapters).filter_map(|held| held.ready_at);
         ready.chain(self.check_at)
     }
 
-    /// The models, with how far each is.
+    /// Models with the phase of each copy.
     pub(crate) fn copies(&self) -> impl Iterator<Item = (&Name, Phase)> {
         self.copies.iter().map(|copy| (&copy.model, copy.phase))
     }
 
-    /// Whether an adapter is there or on its way, by the book and what is still to be ordered.
+    /// Whether an adapter is loaded, loading or to be loaded by a queued order.
     pub(crate) fn expects(&self, model: &Name, adapter: &Name) -> bool {
         let loads = |order: &Order| matches!(order, Order::LoadAdapter { model: of, adapter: name } if of == model && name == adapter);
         self.kept(model).is_some_and(|copy| copy.adapters.iter().any(|held| held.name == *adapter))
             || self.decided().any(loads)
     }
 
-    /// Orders that are to be sent, and the one on its way.
+    /// The queued orders, and the one under way.
     fn decided(&self) -> impl Iterator<Item = &Order> {
         self.queue.iter().chain(self.pending.iter().map(|pending| &pending.order))
     }
 
-    /// Models that have been ready for less than a time.
+    /// Models whose copies became ready less than `age` of the model ago.
     pub(crate) fn younger(&self, now: Time, age: impl Fn(&Name) -> Duration) -> impl Iterator<Item = &Name> {
         let young = move |copy: &&Kept| now.since(copy.since) < age(&copy.model);
         self.copies.iter().filter(young).map(|copy| &copy.model)
     }
 
-    /// The models that will be there or are on their way out, with how far each is. A load that is decided on and
-    /// waits for its room counts as begun.
+    /// Models whose copies are present or expected, with their phases. A queued load that waits for room counts
+    /// as loading.
     pub(crate) fn copies_expected(&self) -> impl Iterator<Item = (&Name, Phase)> {
         let loads = self.decided().filter_map(|order| match order {
             Order::Load { model } => Some((model, Phase::Loading)),
@@ -163,12 +168,12 @@
         self.copies().chain(loads)
     }
 
-    /// Adapters that are there or on their way, with their models.
+    /// Adapters that are loaded or loading, each with its model.
     pub(crate) fn adapters(&self) -> impl Iterator<Item = (&Name, &Name)> {
         self.copies.iter().flat_map(|copy| copy.adapters.iter().map(move |held| (&copy.model, &held.name)))
     }
 
-    /// Places for adapters that will be taken once all that is decided on has been done.
+    /// Number of adapter places in use once all queued orders and the one under way are done.
     pub(crate) fn adapters_expected(&self) -> usize {
         let mut places = self.adapters().count();
         for order in self.decided() {
@@ -181,14 +186,15 @@
         places
     }
 
-    /// Whether the adapter is to be dropped already.
+    /// Whether an order to unload the adapter is queued or under way.
     pub(crate) fn drops(&self, model: &Name, adapter: &Name) -> bool {
         self.decided().any(|order| {
             matches!(order, Order::UnloadAdapter { model: of, adapter: name } if of == model && name == adapter)
         })
     }
 
-    /// Whether orders for adapters can be decided on: an engine refuses them while it loads or drops a model.
+    /// Whether `orders` more adapter orders can be queued: an engine refuses them while it loads or drops a
+    /// model.
     pub(crate) fn takes_adapters(&self, orders: usize) -> bool {
         let models = |order: &Order| matches!(order, Order::Load { .. } | Order::Unload { .. });
         self.sequence.is_some()
@@ -220,7 +226,7 @@
         Residency { copies: self.copies.iter().map(copy).collect() }
     }
 
-    /// Takes over what the engine says that it holds.
+    /// Replaces the copies by those that the engine has reported.
     pub(crate) fn adopt(&mut self, held: &[Held]) {
         let fetched = |name: &Name| Fetched { name: name.clone(), ready_at: None };
         let since = |model: &Name| self.kept(model).map_or(Time::default(), |copy| copy.since);
@@ -233,11 +239,12 @@
         self.copies = held.iter().map(kept).collect();
     }
 
-    /// Memory that all copies and adapters take, in MB.
+    /// Memory in use by all copies and adapters, in MB.
     pub(crate) fn memory_mb(&self, pool: &Pool) -> f64 {
         let size = |copy: &Kept| {
             let model = pool.model(&copy.model);
-            // What the configuration no longer names still takes memory: as much as anything may.
+            // A model that the configuration no longer lists still takes memory; the whole memory of the engine
+            // is assumed.
             let weights = model.map_or(pool.memory_mb, |model| model.memory_mb);
             let adapter = model.map_or(0.0, |model| model.adapter_mb);
             adapter.mul_add(copy.adapters.len() as f64, weights)
@@ -245,7 +252,7 @@
         self.copies.iter().map(size).sum()
     }
 
-    /// Whether an order can be sent now without overfilling the engine.
+    /// Whether an order can be sent now without exceeding the limits of the engine.
     pub(crate) fn permits(&self, order: &Order, pool: &Pool) -> bool {
         let free = pool.memory_mb - self.memory_mb(pool);
         match order {
@@ -273,8 +280,8 @@
         }
     }
 
-    /// The next order that can be sent now. Those that make no sense any more are dropped; one that only has to wait for what
-    /// the engine is doing holds the rest up.
+    /// Returns the next order that can be sent now. Orders that have become pointless are removed; an order
+    /// that only has to wait for the engine's current operation blocks those behind it.
     pub(crate) fn next(&mut self, pool: &Pool, late: &[Late]) -> Option<Order> {
         while let Some(next) = self.queue.front() {
             if self.permits(next, pool) && !late.iter().any(|late| late.overfills(self, next, pool)) {
@@ -289,13 +296,13 @@
         None
     }
 
-    /// Adapters on their way to the engine.
+    /// Number of adapters that the engine is loading.
     fn fetching(&self) -> usize {
         let adapters = self.copies.iter().flat_map(|copy| &copy.adapters);
         adapters.filter(|adapter| adapter.ready_at.is_some()).count()
     }
 
-    /// An adapter is there, whoever ordered it.
+    /// Adds an adapter that the engine already holds, regardless of which order loaded it.
     pub(crate) fn holds(&mut self, model: &Name, adapter: &Name) {
         if let Some(copy) = self.kept_mut(model)
             && !copy.adapters.iter().any(|held| held.name == *adapter)
@@ -304,7 +311,8 @@
         }
     }
 
-    /// The engine accepted an order: a model is expected to be loaded in this time, an adapter in that.
+    /// Applies an order that the engine has accepted. `expected` and `adapter_ready` are the expected load
+    /// times of a model and of an adapter.
     pub(crate) fn accepted(&mut self, now: Time, order: &Order, expected: Duration, adapter_ready: Duration) {
         self.sequence = self.sequence.map(|sequence| sequence + 1);
         match order {
--- a/fleet/src/crash.rs
+++ b/fleet/src/crash.rs
@@ -1,13 +1,17 @@
-//! Requests that crash engines: what is known against each, and which are not sent to engines any more.
+//! Quarantine of requests that crash engines: the evidence against each request, and which requests are no
+//! longer sent to engines.
 //!
-//! An engine's end breaks every run there, and one of them may have caused it. A request is known by what it asks, not by
-//! its id, since it comes again with another, at any entry VM. One crash puts nothing in quarantine: it counts against each run that had
-//! not begun to answer, and counts again only if the request was sent anew since; only a prompt that ends three engines at
-//! once is quarantined without that. A success clears it. All entry VMs are told at once, down the trees of [`crate::push`];
-//! who misses that learns what is quarantined from the hub's frames, or from the lease's row in the store.
+//! The crash of an engine breaks all its runs, and one of them may have caused it. A request is identified by a
+//! fingerprint of its content instead of its id, since it may be sent again with another id, to any entry VM.
+//! One crash quarantines nothing: it counts against each run whose answer had not begun, and the next crash
+//! counts only if the request was sent again since. The only exception is a prompt under which three engines
+//! crash at once. A success clears the request. Other entry VMs are informed at once through the trees of
+//! [`crate::push`]; one that misses a message learns the quarantined requests from the hub's frames, or from
+//! the lease's row in the store.
 //!
-//! No two requests need be alike for one cause to crash engine after engine: crashes are held against the parts that prompts
-//! share as well, by rules of their own (`parts`). A quarantined part keeps all requests that hold it from engines.
+//! Different requests may crash engine after engine for the same cause. Crashes are therefore also counted
+//! against the parts that prompts share, by rules of their own (`parts`). A quarantined part blocks all
+//! requests that contain it.
 
 mod parts;
 mod register;
@@ -34,82 +38,84 @@
 
 use register::{Loss, QUARANTINE_MAX, REMEMBERED, Run};
 
-/// Other entry VMs that are asked whether an engine has crashed, at most: some may have gone, or be cut off.
+/// Maximum number of other entry VMs that are asked whether an engine has crashed: some may be gone or cut off.
 const PROBERS_MAX: usize = 3;
-/// An answer that has been written for so long went well: an engine that a part of the prompt ends is gone sooner.
+/// Time after the begin of an answer from which it counts as successful: an engine that a part of the prompt
+/// crashes fails sooner.
 const SOUND_AFTER: Duration = Duration::from_millis(300);
-/// Runs that wait for the word whether their engine has crashed, at most; and those told of in one message.
+/// Maximum number of broken runs that wait for the result whether their engine has crashed, and of runs in one
+/// message.
 const LOSSES_MAX: usize = 64;
 
-/// What an entry VM tells the others.
+/// Message about crashes from one entry VM to the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct News {
-    /// Runs that an engine's crash broke.
+    /// Runs that the crash of an engine broke.
     pub suspects: Vec<Suspect>,
-    /// What is certain.
+    /// Quarantined and cleared requests.
     pub entries: Vec<Entry>,
 }
 
 impl News {
-    /// What is certain alone.
+    /// Returns a message that contains verdicts only.
     pub(crate) const fn of(entries: Vec<Entry>) -> Self {
         Self { suspects: Vec::new(), entries }
     }
 }
 
-/// A run that an engine's crash broke before its answer began, or just after.
+/// A run that the crash of an engine broke before its answer began, or shortly after.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
-    /// What was run.
+    /// Fingerprint of the request.
     pub request: Fingerprint,
-    /// The engine, if it runs models.
+    /// Id of the engine, if it runs models.
     pub engine: Option<Name>,
-    /// Time since it was sent there.
+    /// Time since the request was sent to the engine.
     pub sent: Duration,
-    /// Time since it broke.
+    /// Time since the run broke.
     pub broke: Duration,
-    /// What its prompt shares with others.
+    /// Fingerprints of the parts that its prompt shares with others.
     #[serde(default)]
     pub parts: Arc<[Fingerprint]>,
-    /// Whether its answer had begun, just before.
+    /// Whether its answer had begun, shortly before the crash.
     #[serde(default)]
     pub begun: bool,
 }
 
-/// What is certain of a request.
+/// Quarantine state of a request or of a part of prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// The request.
+    /// Fingerprint of the request or part.
     pub request: Fingerprint,
-    /// Whether it crashes engines.
+    /// Whether it is quarantined or cleared.
     pub status: Status,
 }
 
-/// Whether a request crashes engines.
+/// Whether a request or part is known to crash engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Status {
-    /// It does, and is not sent to any.
+    /// It crashes engines and is not sent to any.
     Quarantined {
-        /// For how much longer.
+        /// Remaining time of the quarantine.
         left: Duration,
-        /// How often it was quarantined.
+        /// Number of times it was quarantined.
         times: u32,
     },
-    /// An engine has run it to a success.
+    /// An engine has answered it successfully.
     Cleared {
-        /// For how much longer older news of a quarantine is not believed.
+        /// Remaining time for which older messages about a quarantine are ignored.
         left: Duration,
     },
 }
 
-/// A quarantined request, as it is kept in the store.
+/// A quarantined request or part, as stored in the lease's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Kept {
-    /// The request.
+    /// Fingerprint of the request or part.
     pub request: Fingerprint,
-    /// Until when it holds, by the store's clock, in ms.
+    /// End of the quarantine by the store's clock, in ms.
     pub until_ms: u64,
-    /// How often it was quarantined.
+    /// Number of times it was quarantined.
     pub times: u32,
 }
 
@@ -118,24 +124,24 @@
 pub(crate) struct Lost<'a> {
     pub(crate) engine: &'a Name,
     pub(crate) sent: Time,
-    /// Whether its answer had begun.
+    /// Whether the answer had begun.
     pub(crate) begun: bool,
 }
 
-/// Whether a run that broke may have ended its engine; `begun`: when its answer began.
+/// Whether a broken run may have crashed its engine; `begun`: when its answer began.
 pub(crate) fn is_suspect(now: Time, begun: Option<Time>) -> bool {
     begun.is_none_or(|begun| now.since(begun) < SOUND_AFTER)
 }
 
-/// A request's connection broke before its answer began, or just after. Whether the engine has crashed is seen by its port: a
-/// connection may break for other reasons.
+/// Handles a connection that broke before the answer began, or shortly after. A probe of the engine's port
+/// shows whether the engine has crashed: a connection may break for other reasons.
 pub(crate) fn lost(state: &mut State, now: Time, id: Id, run: Lost<'_>, out: &mut Vec<Effect>) {
     let Lost { engine, sent, begun } = run;
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
     let (request, parts) = (flow.fingerprint, Arc::clone(&flow.parts));
-    // One that has said that it leaves, or that is gone from the list, was expected to end.
+    // The end of an engine that has announced its shutdown or is no longer listed was expected.
     let Some(known) = state.engines.get(engine).filter(|engine| !engine.leaves()) else {
         return;
     };
@@ -150,8 +156,8 @@
     loss.runs.push(Run { id, request, parts, begun, sent, broke: now });
 }
 
-/// A request's answer ended with its connection just after it had begun. That is an answer, and an engine that crashes may leave the same: it
-/// counts if the engine is found to have crashed.
+/// Handles an answer that ended with its connection shortly after it had begun. This may be a complete answer,
+/// but a crash can look the same: the run counts if the engine is found to have crashed.
 pub(crate) fn closed(state: &mut State, now: Time, id: Id, run: Lost<'_>, begun: Option<Time>) {
     let Lost { engine, sent, .. } = run;
     let Some(flow) = state.flows.get(&id).filter(|_| is_suspect(now, begun)) else {
@@ -162,8 +168,8 @@
     state.crashes.close(engine, run, now);
 }
 
-/// An engine's port was tried from here. A refused connection may be the work of a partition, so that another entry VM is
-/// asked for what it sees, on the engine's side of such a partition.
+/// Handles the result of a probe of an engine's port from this machine. A partition can also cause a refused
+/// connection, so another entry VM, on the engine's side of such a partition, is asked for its own probe.
 pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Reach, out: &mut Vec<Effect>) {
     let alone = state.members.is_alone(&state.me.vm);
     if reach == Reach::Closed && state.engines.get(engine).is_some_and(|known| !known.leaves()) {
@@ -176,7 +182,8 @@
     }
 }
 
-/// Another entry VM said how an engine's port answers there; none if it did not answer, or does not know the engine.
+/// Handles the result of a probe by another entry VM; none if that entry VM did not answer or does not know the
+/// engine.
 pub(crate) fn probed_indirectly(
     state: &mut State,
     now: Time,
@@ -191,8 +198,8 @@
     }
 }
 
-/// Another entry VM finds the engine's port closed too. Some may have lost the same engines and no others: one that is asked for a way there has to
-/// say so first, which takes no longer.
+/// Handles a second probe that finds the port closed. Some entry VMs may have lost exactly the same engines. If
+/// an entry VM is being asked for a path to the engine, its answer is awaited first, which takes no longer.
 fn agree(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let asking = state.engines.get(engine).is_some_and(|known| known.path.is_asking());
     match state.crashes.losses.get_mut(engine) {
@@ -201,7 +208,7 @@
     }
 }
 
-/// Another entry VM said whether it reaches an engine.
+/// Handles the answer of another entry VM whether it reaches an engine.
 pub(crate) fn path_seen(
     state: &mut State,
     now: Time,
@@ -217,7 +224,7 @@
     }
 }
 
-/// Asks the next entry VM; where none is left that answers, nothing is held against the requests.
+/// Asks the next entry VM for a probe. If none is left to ask, nothing is counted against the requests.
 fn ask(state: &mut State, engine: &Name, out: &mut Vec<Effect>) {
     let Some(loss) = state.crashes.losses.get_mut(engine) else {
         return;
@@ -234,12 +241,12 @@
     }
 }
 
-/// The engine has not crashed, as far as can be seen.
+/// Drops the suspicion that an engine has crashed.
 fn dismiss(state: &mut State, engine: &Name) {
     state.crashes.losses.remove(engine);
 }
 
-/// The engine has crashed under the runs that broke there.
+/// Counts the crash of an engine against the runs that broke there.
 fn confirm(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(mut loss) = state.crashes.losses.remove(engine) else {
         return;
@@ -263,13 +270,13 @@
     push::tell_crashes(state, News { suspects, entries: Vec::new() }, out);
 }
 
-/// A request is refused since it is like one that was quarantined.
+/// Logs that a request is refused because its content is quarantined.
 pub(crate) fn refused(state: &State, id: Id, request: Fingerprint, out: &mut Vec<Effect>) {
     note(state, request, "refused", Some(id), None, out);
 }
 
-/// An engine ran a request to a success: it does not crash engines. A failure says nothing, since an engine may fail a request
-/// before it runs it.
+/// Handles a successful answer: the request does not crash engines. A failure is no evidence, since an engine
+/// may fail a request before it runs it.
 pub(crate) fn answered(state: &mut State, now: Time, request: Fingerprint, out: &mut Vec<Effect>) {
     let against = state.crashes.is_suspected(request) || state.crashes.is_quarantined(request, now);
     if !against {
@@ -281,7 +288,7 @@
     push::tell_crashes(state, News::of(vec![entry]), out);
 }
 
-/// Another entry VM told what it knows.
+/// Handles a message about crashes from another entry VM.
 pub(crate) fn told(state: &mut State, now: Time, news: News, out: &mut Vec<Effect>) {
     for suspect in &news.suspects {
         take_suspect(state, now, suspect, None, out);
@@ -292,17 +299,17 @@
     }
 }
 
-/// The store keeps these quarantined requests; its clock shows `store_ms`.
+/// Takes over the quarantined requests of the lease's row; `store_ms` is the time of the store's clock.
 pub(crate) fn recall(state: &mut State, now: Time, kept: &[Kept], store_ms: u64, out: &mut Vec<Effect>) {
     for Kept { request, until_ms, times } in kept.iter().filter(|kept| kept.until_ms > store_ms) {
-        // The store's clock may be another's since it came back from a copy.
+        // After a restore from a copy, the store's clock may be that of another machine.
         let left = Duration::from_millis(until_ms - store_ms).min(QUARANTINE_MAX);
         let status = Status::Quarantined { left, times: *times };
         take_entry(state, now, Entry { request: *request, status }, out);
     }
 }
 
-/// `own`: the run here and its engine; none if another entry VM tells.
+/// `own`: the run at this entry VM and its engine; none if another entry VM reported the run.
 fn take_suspect(
     state: &mut State,
     now: Time,
@@ -317,7 +324,8 @@
     let quarantines = state.crashes.count(suspect, now);
     let label = if quarantines { "quarantined" } else { "suspected" };
     let (id, engine) = own.unzip();
-    // Whoever saw the crash notes each run that it broke; the others note what they send to no engine from now on.
+    // The entry VM that saw the crash logs each run that it broke; the others log the requests that they block
+    // from now on.
     if own.is_some() || quarantines {
         note(state, request, label, id, engine, out);
     }
@@ -339,8 +347,7 @@
     }
 }
 
-/// Ends the requests under way that are like one which was just quarantined, but for those that an engine has begun to
-/// answer.
+/// Ends the requests under way that contain what was just quarantined, except those whose answers have begun.
 fn enforce(state: &mut State, now: Time, request: Fingerprint, out: &mut Vec<Effect>) {
     let begun = |stage: &Stage| matches!(stage, Stage::Sent { begun: true, .. });
     let holds = |flow: &Flow| flow.fingerprint == request || flow.parts.contains(&request);
--- a/fleet/src/crash/parts.rs
+++ b/fleet/src/crash/parts.rs
@@ -1,9 +1,11 @@
-//! Parts of prompts under which engines have crashed: what speaks against each, and when that is enough.
+//! Shared parts of prompts under which engines have crashed: the evidence against each part, and when it
+//! suffices for a quarantine.
 //!
-//! A crash is held against each shared part of the runs that had not answered for some time there, as a strike. One strike says
-//! little: each of those parts but one is a bystander. An answer that goes well voids the strikes of runs that were sent before it began.
-//! What is left is weighed against chance: if a part has nothing to do with it, each of its runs breaks as often as those of
-//! other requests do. Where engines crash in waves for another cause, most runs break, and no part stands out.
+//! A crash counts against each shared part of the prompts of the runs that it broke, unless their answers had
+//! been written for some time. One crash is weak evidence: at most one of these parts is the cause. A
+//! successful answer voids the crashes of runs that were sent before it began. The remaining crashes are tested
+//! against chance: if a part is not the cause, its runs break as often as those of other requests. If engines
+//! crash in waves for another cause, most runs break, and no part stands out.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,63 +19,70 @@
 use super::register::REMEMBERED;
 use crate::request::Fingerprint;
 
-/// How improbable it must be that a part is struck by chance: 1 in e to this power. Hundreds of parts are weighed at once.
+/// Minimum evidence for a quarantine, as the negative natural logarithm of the probability that the crashes are
+/// due to chance. The threshold is this low a probability (about 1 in 100,000) because hundreds of parts are
+/// tested at once.
 const WEIGHT_MIN: f64 = 11.5;
-/// The least chance that a run breaks by itself that is reckoned with: engines that share a machine or a rack fail together.
+/// Lower bound of the assumed probability that a run breaks by chance: engines that share a machine or a rack
+/// fail together.
 const CHANCE_MIN: f64 = 0.01;
-/// Runs, and those of them that broke, that are assumed to have been seen before any was.
+/// Prior of the estimate: assumed numbers of runs that succeeded and of runs that broke before any were
+/// observed.
 const PRIOR_SERVED: f64 = 10.0;
 const PRIOR_BROKEN: f64 = 0.2;
-/// How far back runs of other requests are looked at to tell the chance.
+/// Window of runs from which the probability of chance is estimated.
 const WINDOW: Duration = Duration::from_secs(10);
-/// Strikes after which a part is suspected: its requests are not sent to another engine at once.
+/// Crashes after which a part is suspected: a broken request that contains it is not sent to another engine at
+/// once.
 pub(super) const STRIKES_SUSPECT: usize = 2;
-/// Strikes that are kept for each part, at most.
+/// Maximum number of crashes that are stored for each part.
 const STRIKES_MAX: usize = 32;
-/// Parts that something is known of, at most.
+/// Maximum number of parts that are tracked.
 const CASES_MAX: usize = 4_096;
-/// Broken runs that are kept, at most.
+/// Maximum number of broken runs that are stored.
 const BROKEN_MAX: usize = 2_048;
-/// Times of runs that are kept, at most: more tell the chance no better.
+/// Maximum number of stored times of successful answers: more do not improve the estimate.
 const SERVED_MAX: usize = 4_096;
-/// Crashes that are closer together are one strike, unless the later run was sent after the earlier crash: a rack fails at once.
+/// Crashes within this time count as one, unless the later run was sent after the earlier crash: the engines of
+/// a rack fail together.
 const APART: Duration = Duration::from_millis(300);
-/// By how much entry VMs may differ about when an engine crashed.
+/// Maximum difference between the times of one crash as reported by several entry VMs.
 const NEWS_LATE: Duration = Duration::from_secs(2);
-/// How long it is remembered that a part was answered well, so that news of an earlier crash finds it.
+/// Time for which successful answers are remembered, so that they also void crashes that are reported late.
 const SOUND_KEPT: Duration = Duration::from_secs(10);
 
-/// A crash under a run with a part.
+/// A crash of an engine that broke a run whose prompt contains the part.
 #[derive(Clone, Debug)]
 struct Strike {
     engine: Name,
     sent: Time,
     broke: Time,
-    /// How improbable it is by chance, as a natural logarithm.
+    /// Negative natural logarithm of the probability that the run broke by chance.
     weight: f64,
 }
 
 impl Strike {
-    /// Whether both are the same crash. An engine may start anew under its id.
+    /// Whether both records describe the same crash. The time is compared too, since an engine may restart
+    /// under its id.
     fn is_same(&self, other: &Self) -> bool {
         let apart = self.broke.since(other.broke).max(other.broke.since(self.broke));
         self.engine == other.engine && apart < NEWS_LATE
     }
 }
 
-/// What is known of a part under which an engine has crashed.
+/// Evidence for and against a part under which an engine has crashed.
 #[derive(Clone, Debug, Default)]
 struct Case {
     strikes: Vec<Strike>,
     rank: Rank,
-    /// When an answer on it began that went well, as all entry VMs were told.
+    /// When the newest successful answer to a prompt with the part began, as announced to all entry VMs.
     cleared: Option<Time>,
-    /// Whether this entry VM is about to tell them.
+    /// Whether this entry VM is about to announce such an answer.
     telling: bool,
     forget_at: Time,
 }
 
-/// A run that a crash broke.
+/// A run that the crash of an engine broke.
 #[derive(Clone, Debug)]
 struct Broken {
     engine: Name,
@@ -81,64 +90,66 @@
     parts: Arc<[Fingerprint]>,
 }
 
-/// What a process knows of parts of prompts.
+/// Evidence about all tracked parts of prompts.
 #[derive(Debug, Default)]
 pub(super) struct Parts {
     cases: FxHashMap<Fingerprint, Case>,
-    /// When the newest answer on a part began that went well here.
+    /// When the newest successful answer to a prompt with a part began at this entry VM.
     sound: FxHashMap<Fingerprint, Time>,
-    /// When the newest answer on a part began here, whatever became of it.
+    /// When the newest answer to a prompt with a part began at this entry VM, successful or not.
     begun: FxHashMap<Fingerprint, Time>,
     broken: VecDeque<Broken>,
-    /// When answers were seen here to go well.
+    /// Times at which answers were found to be successful at this entry VM.
     served: VecDeque<Time>,
-    /// When the newest answer of all began here.
+    /// When the newest of all answers began at this entry VM.
     answered: Time,
-    /// Parts with enough against them, and since when.
+    /// Quarantine candidates, each with the time at which the evidence first sufficed.
     accused: BTreeMap<Fingerprint, Time>,
 }
 
-/// Enough speaks against a part.
+/// A quarantine candidate with the evidence against it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Charge {
     pub(super) part: Fingerprint,
-    /// When the first run was sent that speaks against it.
+    /// When the first run that counts against it was sent.
     pub(super) since: Time,
-    /// Whether no answer on it has begun here since.
+    /// Whether no answer to a prompt with the part has begun at this entry VM since.
     silent: bool,
     strikes: usize,
     rank: Rank,
 }
 
-/// Which of several parts with the same strikes is believed to be the cause.
+/// Priority among parts with the same number of crashes; the highest is taken for the cause.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// A part by itself, whatever the model.
+    /// Whether this is a part alone instead of its combination with a model.
     alone: bool,
-    /// The one that fewer share: to take it for the cause wrongly costs least.
+    /// Position of the part in the prompt. Fewer prompts share a later part, so wrongly quarantining it blocks
+    /// fewer requests.
     place: usize,
 }
 
 impl Rank {
-    /// Of what stands at `index` in the list of what a prompt shares: each part is followed by the part together with the model.
+    /// Rank of the fingerprint at `index` in the list of a prompt's shared parts, where each part is followed
+    /// by its combination with the model.
     const fn of(index: usize) -> Self {
         Self { alone: index.is_multiple_of(2), place: index / 2 }
     }
 }
 
-/// What a part is judged by beside its own runs.
+/// Inputs to the evaluation of a part besides its own runs.
 pub(super) struct View<'a> {
     pub(super) now: Time,
-    /// Entry VMs that there are.
+    /// Number of entry VMs.
     pub(super) nodes: usize,
-    /// Whether a part is known to crash engines.
+    /// Whether a part is quarantined.
     pub(super) convicted: &'a dyn Fn(Fingerprint) -> bool,
-    /// Whether it was known to, until its time was over: one strike is enough then.
+    /// Whether it was quarantined before; one crash then suffices.
     pub(super) relapsed: &'a dyn Fn(Fingerprint) -> bool,
 }
 
 impl Parts {
-    /// An answer on these parts began here.
+    /// Records that an answer to a prompt with these parts has begun at this entry VM.
     pub(super) fn begin(&mut self, parts: &[Fingerprint], now: Time) {
         self.answered = now;
         for part in parts {
@@ -146,7 +157,7 @@
         }
     }
 
-    /// An answer goes well here.
+    /// Records a successful answer at this entry VM.
     pub(super) fn serve(&mut self, now: Time) {
         let first = now - WINDOW;
         while self.served.front().is_some_and(|at| *at < first) || self.served.len() >= SERVED_MAX {
@@ -155,7 +166,7 @@
         self.served.push_back(now);
     }
 
-    /// A crash broke a run, here or elsewhere.
+    /// Records a run that a crash broke at any entry VM.
     fn lose(&mut self, engine: &Name, at: Time, parts: &Arc<[Fingerprint]>, now: Time) {
         let first = now - WINDOW;
         while self.broken.front().is_some_and(|run| run.at < first) || self.broken.len() >= BROKEN_MAX {
@@ -164,7 +175,8 @@
         self.broken.push_back(Broken { engine: engine.clone(), at, parts: Arc::clone(parts) });
     }
 
-    /// Holds a crash against what a run shared with others. An engine crashes once, whoever tells of it.
+    /// Counts a crash against the shared parts of a run's prompt. A crash that several entry VMs report counts
+    /// once.
     pub(super) fn strike(&mut self, run: &Suspect, engine: &Name, view: &View<'_>) {
         let now = view.now;
         let (sent, broke) = (now - run.sent, now - run.broke);
@@ -177,26 +189,27 @@
         }
     }
 
-    /// Parts that something is known of.
+    /// Number of tracked parts.
     pub(super) fn len(&self) -> usize {
         self.cases.len()
     }
 
-    /// Strikes that nothing speaks against.
+    /// Number of crashes that count against a part and that no successful answer has voided.
     pub(super) fn strikes(&self, part: Fingerprint) -> usize {
         let sound = self.sound.get(&part).copied();
         self.cases.get(&part).map_or(0, |case| case.open(sound).len())
     }
 
-    /// Accuses a part if enough speaks against it.
+    /// Makes a part a quarantine candidate if the evidence against it suffices.
     pub(super) fn accuse(&mut self, part: Fingerprint, view: &View<'_>) {
         if self.weigh(part, view).is_some() {
             self.accused.entry(part).or_insert(view.now);
         }
     }
 
-    /// The accused part with most against it, if no answer on it has been heard of for `time` in which engines answered. The others
-    /// wait for it: it may explain what speaks against them.
+    /// Returns the candidate with the strongest evidence, if it has been one for `time` and engines have still
+    /// begun to answer requests after that. The other candidates wait: this one may explain the crashes that
+    /// count against them.
     pub(super) fn ripe(&mut self, time: Duration, view: &View<'_>) -> Option<Charge> {
         let accused: Vec<Fingerprint> = self.accused.keys().copied().collect();
         let charges = accused.into_iter().filter_map(|part| {
@@ -211,12 +224,13 @@
         (self.answered >= *since + time).then_some(heaviest)
     }
 
-    /// Whether any part is accused.
+    /// Whether there is a quarantine candidate.
     pub(super) fn has_accused(&self) -> bool {
         !self.accused.is_empty()
     }
 
-    /// A part is known to crash engines: what it ended speaks against no other.
+    /// Removes a part that is now quarantined from the candidates; the crashes that it explains no longer count
+    /// against other parts.
     pub(super) fn convict(&mut self, part: Fingerprint) {
         self.accused.remove(&part);
         let strikes = self.cases.get(&part).map(|case| case.strikes.clone()).unwrap_or_default();
@@ -226,14 +240,14 @@
         }
     }
 
-    /// Weighs what speaks against a part; none if that is not enough.
+    /// Computes the evidence against a part; none if it does not suffice.
     fn weigh(&mut self, part: Fingerprint, view: &View<'_>) -> Option<Charge> {
         let now = view.now;
         let sound = self.sound.get(&part).copied();
         let case = self.cases.get(&part).filter(|case| now < case.forget_at)?;
         let strikes = case.open(sound).len();
         let relapsed = (view.relapsed)(part);
-        // Nothing is reckoned for the many that could not be accused whatever the chance.
+        // Skips the estimate for the many parts that cannot become candidates whatever its result.
         if strikes == 0 || !relapsed && strikes as f64 * -CHANCE_MIN.ln() < WEIGHT_MIN {
             return None;
         }
@@ -249,7 +263,8 @@
         Some(Charge { part, since: first.sent, silent, strikes, rank: case.rank })
     }
 
-    /// The chance that a run breaks, by those of the last seconds but for some.
+    /// Estimates the probability that a run breaks by chance, from the runs of the last seconds except those
+    /// that `without` selects.
     fn chance(&self, view: &View<'_>, without: impl Fn(&Broken) -> bool) -> f64 {
         let first = view.now - WINDOW;
         let recent = || self.broken.iter().filter(|run| run.at >= first);
@@ -264,7 +279,8 @@
         (broken / runs).max(CHANCE_MIN)
     }
 
-    /// An answer on a part that began at `at` goes well here. Returns whether all are to be told.
+    /// Records a successful answer, begun at `at`, to a prompt with the part. Returns whether it is to be
+    /// announced to all entry VMs.
     pub(super) fn answer(&mut self, part: Fingerprint, at: Time, now: Time) -> bool {
         keep(&mut self.sound, part, at, now);
         let Some(case) = self.cases.get_mut(&part) else {
@@ -275,7 +291,8 @@
         tells
     }
 
-    /// It is time to tell all of that. Returns when the answer began; none if they know by now.
+    /// Called when the announcement is due. Returns when the successful answer began; none if the other entry
+    /// VMs do not need to know it any more.
     pub(super) fn told(&mut self, part: Fingerprint) -> Option<Time> {
         let at = self.sound.get(&part).copied()?;
         let case = self.cases.get_mut(&part)?;
@@ -283,7 +300,7 @@
         case.is_doubted_elsewhere(at).then_some(at)
     }
 
-    /// All were told that an answer on a part began then which went well.
+    /// Applies an announced successful answer that began at `at`.
     pub(super) fn clear(&mut self, part: Fingerprint, at: Time) {
         if let Some(case) = self.cases.get_mut(&part) {
             case.cleared = case.cleared.max(Some(at));
@@ -291,7 +308,7 @@
         }
     }
 
-    /// The case of a part; where there are too many, the one with the fewest strikes makes way.
+    /// Returns the record of a part. If there are too many, the one with the fewest crashes is evicted.
     fn case(&mut self, part: Fingerprint, now: Time) -> &mut Case {
         if self.cases.len() >= CASES_MAX && !self.cases.contains_key(&part) {
             self.cases.retain(|_, case| now < case.forget_at);
@@ -308,7 +325,7 @@
     }
 }
 
-/// Keeps the newest time of a part.
+/// Stores the newest time for a part.
 fn keep(times: &mut FxHashMap<Fingerprint, Time>, part: Fingerprint, at: Time, now: Time) {
     if times.len() >= CASES_MAX {
         times.retain(|_, known| now.since(*known) < SOUND_KEPT);
@@ -336,7 +353,8 @@
         self.strikes.sort_by_key(|strike| strike.broke);
     }
 
-    /// Strikes of runs that were sent after the newest answer that went well; several engines that crash at once are one.
+    /// Crashes that count: those of runs that were sent after the newest successful answer, where several
+    /// engines that crash at once count as one.
     fn open(&self, sound: Option<Time>) -> Vec<&Strike> {
         let from = sound.max(self.cleared).unwrap_or_default();
         let mut open: Vec<&Strike> = Vec::new();
@@ -349,7 +367,7 @@
         open
     }
 
-    /// Whether entry VMs that have not seen an answer that began at `at` suspect the part.
+    /// Whether entry VMs that have not observed the successful answer that began at `at` suspect the part.
     fn is_doubted_elsewhere(&self, at: Time) -> bool {
         let voided = self.strikes.iter().filter(|strike| strike.sent < at).count();
         voided > 0 && self.open(None).len() >= STRIKES_SUSPECT
--- a/fleet/src/crash/register.rs
+++ b/fleet/src/crash/register.rs
@@ -1,4 +1,4 @@
-//! What is known of each request under which engines have crashed, and when it is quarantined.
+//! Evidence for and against each request under which engines have crashed, and the state of its quarantine.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -13,45 +13,47 @@
 use crate::record::ms;
 use crate::request::{Fingerprint, Id};
 
-/// Crashes, one after the other, after which a request is quarantined. A run that merely was beside the cause is sent anew to one of many
-/// engines, and is rarely beside it a second time before it answers.
+/// Number of consecutive crashes after which a request is quarantined. A run that did not cause the crash is
+/// sent again to one of many engines, and is rarely hit by a second crash before it is answered.
 const CRASHES_MAX: u32 = 2;
-/// Model engines that crash under a request at once after which it is quarantined, although it was sent to none of them since the
-/// first crash.
-/// Calls of plain services are left out: a popular one runs at many engines, and all may fail together.
+/// Number of model engines that crash under a request at once after which it is quarantined, although it was
+/// sent to none of them after the first crash. Calls to plain HTTP backend servers do not count here: a popular
+/// call runs at many of them, and all may fail together.
 const BURST_MAX: usize = 3;
-/// How long what speaks for or against a request is remembered if nothing more comes.
+/// Time for which evidence for or against a request is remembered if none is added.
 pub(super) const REMEMBERED: Duration = Duration::from_mins(10);
-/// How long a first quarantine lasts: engines may be mended meanwhile. After it, one crash is enough.
+/// Duration of the first quarantine: engines may be repaired meanwhile. After it, one crash suffices for the
+/// next.
 const QUARANTINE: Duration = Duration::from_mins(10);
-/// By how much longer each further quarantine lasts.
+/// Factor by which each further quarantine lasts longer.
 const QUARANTINE_GROWTH: u32 = 6;
-/// The longest quarantine.
+/// Maximum duration of a quarantine.
 pub(super) const QUARANTINE_MAX: Duration = Duration::from_hours(24);
-/// Answers that ended with their connections that are kept, and for how long: the next request finds out whether the engine is there.
+/// Maximum number of stored answers that ended with their connections, and the time for which they are stored:
+/// the next request to the engine shows whether the engine still runs.
 const CLOSED_MAX: usize = 256;
 const CLOSED_KEPT: Duration = Duration::from_secs(2);
-/// Requests that something is known of, at most: an attacker needs a crash for each.
+/// Maximum number of requests that are tracked: an attacker needs a crash for each.
 const CASES_MAX: usize = 256;
 
-/// What is known of a request, or of a part of prompts.
+/// Evidence about a request or a part of prompts, and its quarantine.
 #[derive(Clone, Debug, Default)]
 struct Case {
-    /// Crashes that count.
+    /// Number of crashes that count.
     crashes: u32,
-    /// Model engines that have crashed under it.
+    /// Model engines that have crashed under the request.
     engines: Vec<Name>,
-    /// Only runs that were sent after that count.
+    /// Only crashes of runs that were sent after this time count.
     since: Time,
-    /// How often it was quarantined.
+    /// Number of times it was quarantined.
     times: u32,
-    /// Until when it is not sent to engines.
+    /// End of the quarantine.
     quarantined_until: Option<Time>,
-    /// When what speaks against it began.
+    /// Time from which the evidence for the quarantine dates.
     basis: Time,
-    /// When an engine answered it; none if it did not, or a crash has counted since.
+    /// When an engine answered it successfully; none if no engine did, or if a crash has counted since.
     cleared: Option<Time>,
-    /// When all this is forgotten.
+    /// When this record expires.
     forget_at: Time,
 }
 
@@ -67,7 +69,7 @@
         self.forget_at = now + left + left.max(REMEMBERED);
     }
 
-    /// What is certain of it; none if nothing is.
+    /// Whether it is quarantined or cleared; none if neither.
     fn status(&self, now: Time) -> Option<Status> {
         match self.quarantined_until.filter(|until| now < *until) {
             Some(until) => Some(Status::Quarantined { left: until.since(now), times: self.times }),
@@ -79,13 +81,14 @@
     }
 }
 
-/// Runs that broke at an engine, while it is not known whether it has crashed.
+/// Runs that broke at an engine that may have crashed, until that is decided.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Loss {
     pub(super) runs: Vec<Run>,
-    /// This entry VM, and others that were asked.
+    /// This entry VM, and the others that were asked for a probe.
     pub(super) asked: Vec<Name>,
-    /// Whether one of those finds the engine's port closed too, while another is still asked whether it reaches it.
+    /// Whether one of those found the engine's port closed, while another entry VM is still asked whether it
+    /// reaches the engine.
     pub(super) agreed: bool,
 }
 
@@ -94,43 +97,43 @@
     pub(super) id: Id,
     pub(super) request: Fingerprint,
     pub(super) parts: Arc<[Fingerprint]>,
-    /// Whether its answer had begun.
+    /// Whether the answer had begun.
     pub(super) begun: bool,
     pub(super) sent: Time,
     pub(super) broke: Time,
 }
 
-/// Whether an answer ended too long ago to be the work of a crash that is found now.
+/// Whether an answer ended too long ago for a crash that is found now to have ended it.
 fn is_stale(run: &Run, now: Time) -> bool {
     now.since(run.broke) > CLOSED_KEPT
 }
 
-/// How long the quarantine lasts that is the `times`th.
+/// Duration of the quarantine number `times`.
 fn length(times: u32) -> Duration {
     QUARANTINE.saturating_mul(QUARANTINE_GROWTH.saturating_pow(times.saturating_sub(1))).min(QUARANTINE_MAX)
 }
 
-/// What a process knows of requests that crash engines.
+/// Register of requests and shared parts of prompts under which engines have crashed.
 #[derive(Debug, Default)]
 pub struct Register {
     cases: FxHashMap<Fingerprint, Case>,
     pub(super) parts: Parts,
-    /// Whether a look at accused parts is due.
+    /// Whether the timer for the evaluation of quarantine candidates is set.
     judging: bool,
     pub(super) losses: BTreeMap<Name, Loss>,
-    /// Runs whose answers ended with their connections, and their engines.
+    /// Runs whose answers ended with their connections, each with its engine.
     closed: VecDeque<(Name, Run)>,
-    /// The hub's digest of what is certain, as it said last.
+    /// The hub's last digest of its quarantined and cleared requests.
     hub_digest: u64,
 }
 
 impl Register {
-    /// Whether a request is not to be sent to engines.
+    /// Whether a request is quarantined.
     pub(crate) fn is_quarantined(&self, request: Fingerprint, now: Time) -> bool {
         self.cases.get(&request).is_some_and(|case| case.is_quarantined(now))
     }
 
-    /// What keeps a request with these parts from engines: itself, or one of them.
+    /// The quarantined fingerprint that blocks a request: its own, or that of one of its parts.
     pub(crate) fn bars(&self, request: Fingerprint, parts: &[Fingerprint], now: Time) -> Option<Fingerprint> {
         let all = std::iter::once(&request).chain(parts);
         all.copied().find(|of| self.is_quarantined(*of, now))
@@ -141,24 +144,25 @@
         parts.iter().any(|part| self.parts.strikes(*part) >= STRIKES_SUSPECT)
     }
 
-    /// Whether an engine has crashed under a request that none has answered since.
+    /// Whether an engine has crashed under a request and none has answered it since.
     pub(crate) fn is_suspected(&self, request: Fingerprint) -> bool {
         self.cases.get(&request).is_some_and(|case| case.crashes > 0)
     }
 
-    /// Requests that are not sent to engines.
+    /// Number of quarantined requests and parts.
     #[must_use]
     pub fn quarantined(&self, now: Time) -> usize {
         self.cases.values().filter(|case| case.is_quarantined(now)).count()
     }
 
-    /// Parts of prompts under which engines have crashed, and that nothing is certain of.
+    /// Number of parts of prompts for which evidence of crashes is stored.
     #[must_use]
     pub fn parts_known(&self) -> usize {
         self.parts.len()
     }
 
-    /// What is quarantined, as it is kept in the store, whose clock shows at most `store_ms` now.
+    /// Quarantined requests and parts in the form of the lease's row. `store_ms` is the latest time that the
+    /// store's clock can show now.
     pub(crate) fn kept(&self, now: Time, store_ms: u64) -> Vec<Kept> {
         let quarantined = self.cases.iter().filter(|(_, case)| case.is_quarantined(now));
         let kept = quarantined.map(|(request, case)| Kept {
@@ -169,13 +173,13 @@
         kept.collect()
     }
 
-    /// What is certain of this.
+    /// The verdict on a request or part, if there is one.
     pub(super) fn entry(&self, request: Fingerprint, now: Time) -> Option<Entry> {
         let status = self.cases.get(&request)?.status(now)?;
         Some(Entry { request, status })
     }
 
-    /// All that is certain.
+    /// All verdicts.
     fn entries(&self, now: Time) -> Vec<Entry> {
         let known = |(request, case): (&Fingerprint, &Case)| {
             case.status(now).map(|status| Entry { request: *request, status })
@@ -183,29 +187,30 @@
         self.cases.iter().filter_map(known).collect()
     }
 
-    /// A number that is the same for all who are certain of the same; 0 for nothing.
+    /// Digest of all verdicts, equal for all entry VMs with the same verdicts; 0 if there is none.
     pub(crate) fn digest(&self, now: Time) -> u64 {
         let known = self.cases.iter().filter_map(|(request, case)| Some((request, case.status(now)?)));
         let cleared = |status| matches!(status, Status::Cleared { .. });
         known.fold(0, |sum, (request, status)| sum ^ request.digest(cleared(status)))
     }
 
-    /// What another is to be told whose digest this is.
+    /// Verdicts for another entry VM with this digest: all of them, or none if the digest is equal to the own
+    /// one.
     pub(crate) fn entries_beyond(&self, digest: u64, now: Time) -> Vec<Entry> {
         if digest == self.digest(now) { Vec::new() } else { self.entries(now) }
     }
 
-    /// What the hub is to be told.
+    /// Verdicts that the hub may lack.
     pub(crate) fn entries_for_hub(&self, now: Time) -> Vec<Entry> {
         self.entries_beyond(self.hub_digest, now)
     }
 
-    /// The hub's digest.
+    /// Stores the hub's digest.
     pub(crate) const fn hear_digest(&mut self, digest: u64) {
         self.hub_digest = digest;
     }
 
-    /// The case of a request; where there are too many, the one that would be forgotten first makes way.
+    /// Returns the record of a request. If there are too many, the one that expires first is evicted.
     fn case(&mut self, request: Fingerprint, now: Time) -> &mut Case {
         self.cases.retain(|_, case| now < case.forget_at);
         if self.cases.len() >= CASES_MAX && !self.cases.contains_key(&request) {
@@ -217,7 +222,7 @@
         self.cases.entry(request).or_default()
     }
 
-    /// A crash broke a run. Returns whether its request is quarantined by that.
+    /// Counts a crash against the request of a broken run. Returns whether that quarantines the request.
     pub(super) fn count(&mut self, suspect: &Suspect, now: Time) -> bool {
         let case = self.case(suspect.request, now);
         let again = now - suspect.sent >= case.since;
@@ -245,7 +250,7 @@
         true
     }
 
-    /// Keeps a run whose answer ended with its connection.
+    /// Stores a run whose answer ended with its connection.
     pub(super) fn close(&mut self, engine: &Name, run: Run, now: Time) {
         while self.closed.len() >= CLOSED_MAX
             || self.closed.front().is_some_and(|(_, run)| is_stale(run, now))
@@ -255,7 +260,8 @@
         self.closed.push_back((engine.clone(), run));
     }
 
-    /// An engine's port is closed: answers that ended with their connections there may have broken off.
+    /// Begins to suspect a crash if the port of an engine is closed at which answers have just ended with their
+    /// connections.
     pub(super) fn reopen(&mut self, engine: &Name, me: &Name, now: Time) {
         if !self.losses.contains_key(engine)
             && self.closed.iter().any(|(of, run)| of == engine && !is_stale(run, now))
@@ -264,7 +270,7 @@
         }
     }
 
-    /// An engine has crashed: the runs there whose answers had just ended with their connections.
+    /// Removes and returns the runs at a crashed engine whose answers had just ended with their connections.
     pub(super) fn take_closed(&mut self, engine: &Name, now: Time) -> Vec<Run> {
         let (here, left) = self.closed.drain(..).partition(|(of, _)| of == engine);
         self.closed = left;
@@ -272,8 +278,9 @@
         here.into_iter().map(|(_, run)| run).filter(|run| !is_stale(run, now)).collect()
     }
 
-    /// Holds crashes against what the prompts of the runs there share with others, and accuses whatever has enough against it. Returns whether
-    /// that is to be judged from now on. `nodes`: entry VMs that there are.
+    /// Counts crashes against the shared parts of the prompts of the broken runs; those with sufficient
+    /// evidence become quarantine candidates. Returns whether the periodic evaluation of candidates is to
+    /// begin. `nodes`: number of entry VMs.
     pub(super) fn strike(&mut self, suspects: &[Suspect], now: Time, nodes: usize) -> bool {
         let Self { cases, parts, .. } = self;
         let convicted = |of: Fingerprint| cases.get(&of).is_some_and(|case| case.is_quarantined(now));
@@ -293,7 +300,7 @@
         begins
     }
 
-    /// Quarantines the accused part with most against it of which no answer has been heard for `time`; none if there is none.
+    /// Quarantines the candidate with the strongest evidence, if it has been one for `time`, and returns it.
     pub(super) fn convict(&mut self, time: Duration, now: Time, nodes: usize) -> Option<Fingerprint> {
         let Self { cases, parts, .. } = self;
         let convicted = |of: Fingerprint| cases.get(&of).is_some_and(|case| case.is_quarantined(now));
@@ -308,18 +315,19 @@
         Some(part)
     }
 
-    /// Whether any part is still accused; if not, judging is over.
+    /// Whether any candidate is left; if none is, the periodic evaluation ends.
     pub(super) fn goes_on(&mut self) -> bool {
         self.judging = self.parts.has_accused();
         self.judging
     }
 
-    /// Whether a quarantine of this is wrong if an answer that began at `at` went well.
+    /// Whether a successful answer that began at `at` refutes a quarantine.
     pub(super) fn is_refuted(&self, of: Fingerprint, at: Time, now: Time) -> bool {
         self.cases.get(&of).is_some_and(|case| case.is_quarantined(now) && at > case.basis)
     }
 
-    /// Takes over what another knows. Returns whether that quarantines a request that was not.
+    /// Takes over a verdict of another entry VM. Returns whether that quarantines a request that was not
+    /// quarantined.
     pub(super) fn learn(&mut self, Entry { request, status }: Entry, now: Time) -> bool {
         let case = self.case(request, now);
         match status {
@@ -336,8 +344,8 @@
             Status::Cleared { left } => {
                 let left = left.min(REMEMBERED);
                 let at = now - REMEMBERED.saturating_sub(left);
-                // It ends for all at the same time: to be told of it again does not prolong it. One who missed the crashes
-                // that came after an answer may still tell of that.
+                // A cleared state ends at the same time at all entry VMs: receiving it again does not prolong
+                // it. An entry VM that missed the crashes after an answer may still send it.
                 if case.cleared.is_none() && !(case.is_quarantined(now) && at <= case.basis) {
                     *case = Case { since: now, cleared: Some(at), forget_at: now + left, ..Case::default() };
                 }
@@ -347,7 +355,7 @@
         }
     }
 
-    /// Crashes that count against a request.
+    /// Number of crashes that count against a request or part.
     pub(super) fn crashes(&self, request: Fingerprint) -> u32 {
         let parts = self.parts.strikes(request) as u32;
         self.cases.get(&request).map_or(0, |case| case.crashes).max(parts)
--- a/fleet/src/crash/shared.rs
+++ b/fleet/src/crash/shared.rs
@@ -1,4 +1,5 @@
-//! What answers and crashes of this entry VM's requests say of the parts of their prompts, and who is told.
+//! Evidence for and against shared parts of prompts from the answers and crashes at this entry VM, and messages
+//! about it to the others.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,23 +14,23 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// The longest time until all are told that a part is sound, and the part of it for each entry VM: the more there are, the more
-/// see it at once.
+/// Maximum delay before a message that clears a part, and the delay for each entry VM: the more entry VMs there
+/// are, the more may observe the same success at once.
 const TELL_WITHIN: Duration = Duration::from_millis(500);
 const TELL_STEP: Duration = Duration::from_millis(5);
-/// Time in which what one entry VM tells has been heard by all.
+/// Time within which a message of one entry VM has reached all others.
 const HEARD_WITHIN: Duration = Duration::from_millis(200);
-/// How often accused parts are looked at.
+/// Interval between evaluations of quarantine candidates.
 const JUDGE_EVERY: Duration = Duration::from_millis(50);
 
-/// What a request's prompt shares with others: each part, followed by the part together with the model, since it may be sound for
-/// another.
+/// Fingerprints of the parts that a request's prompt shares with others: each part is followed by the
+/// combination of the part and the model, since a part may crash engines with one model only.
 pub(crate) fn shared(arrival: &Arrival) -> Arc<[Fingerprint]> {
     let model = arrival.prompt.as_ref().map_or("", |prompt| &prompt.model);
     arrival.parts.iter().flat_map(|part| [*part, part.of_part_for(model)]).collect()
 }
 
-/// A request's answer, which began at `began`, goes well: whatever its prompt shares with others ends no engine.
+/// Records that an answer, which began at `began`, counts as successful: no part of its prompt crashes engines.
 pub(crate) fn is_sound(state: &mut State, now: Time, id: Id, began: Time, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
@@ -50,21 +51,21 @@
     }
 }
 
-/// An answer has been written for some time.
+/// Records a successful answer once it has been written for `SOUND_AFTER`.
 pub(crate) fn writes(state: &mut State, now: Time, id: Id, began: Time, out: &mut Vec<Effect>) {
     if now.since(began) >= SOUND_AFTER {
         is_sound(state, now, id, began, out);
     }
 }
 
-/// The answer of a request began.
+/// Records that an answer has begun.
 pub(crate) fn began(state: &mut State, now: Time, id: Id) {
     if let Some(flow) = state.flows.get(&id) {
         state.crashes.parts.begin(&flow.parts, now);
     }
 }
 
-/// A part that others may suspect was seen to be sound some time ago.
+/// Sends the message that clears a part after its random delay, unless the others know already.
 pub(crate) fn clear_due(state: &mut State, now: Time, part: Fingerprint, out: &mut Vec<Effect>) {
     if let Some(began) = state.crashes.parts.told(part) {
         clear(state, now, part, began, out);
@@ -79,21 +80,22 @@
     push::tell_crashes(state, News::of(vec![entry]), out);
 }
 
-/// The longest time until all are told of what many may see at once.
+/// Maximum delay of a message about something that many entry VMs may observe at once.
 fn tell_within(state: &State) -> Duration {
     let nodes = state.members.list().len().max(2) as u32;
     TELL_WITHIN.min(TELL_STEP.saturating_mul(nodes))
 }
 
-/// When to tell them. Few draw a short time, so that one or two tell the others before they do; the time is drawn as in
-/// exponentially distributed feedback timers (Nonnenmacher and Biersack).
+/// Random delay of such a message. Few entry VMs draw a short delay, so that one or two messages reach the
+/// others before they send their own. The delay has the distribution of exponentially distributed feedback
+/// timers (Nonnenmacher and Biersack).
 fn tell_delay(state: &mut State) -> Duration {
     let nodes = state.members.list().len().max(2) as f64;
     let drawn = state.rng.f64();
     tell_within(state).mul_f64(1.0 - (1.0 + drawn * (nodes - 1.0)).ln() / nodes.ln())
 }
 
-/// Holds crashes against what the prompts of the runs there share with others.
+/// Counts a crash against the shared parts of the prompts of the runs that it broke.
 pub(super) fn strike(state: &mut State, now: Time, suspects: &[Suspect]) {
     let nodes = state.members.list().len();
     if state.crashes.strike(suspects, now, nodes) {
@@ -101,7 +103,7 @@
     }
 }
 
-/// Accused parts are judged.
+/// Evaluates the quarantine candidates and quarantines those whose waiting time is over.
 pub(crate) fn judge(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let nodes = state.members.list().len();
     let time = SOUND_AFTER + tell_within(state) + HEARD_WITHIN;
--- a/fleet/src/demand.rs
+++ b/fleet/src/demand.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: counted by each entry VM, put together by the one that plans.
+//! Demand for models and adapters: counted by each entry VM, aggregated by the one that plans placement.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,43 +8,44 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-/// Time in which the memory of past demand halves: demand moves to other models within seconds, and a
-/// load takes one to four.
+/// Half-life of past demand in the smoothed values: demand moves to other models within seconds, and a load
+/// takes one to four seconds.
 const HALF_LIFE: Duration = Duration::from_millis(1_200);
 
-/// The longest time between two updates for which callers count as waiting: the one who plans anew has not counted before.
+/// Maximum waiting time that one update adds: an entry VM that has just begun to plan has not observed the
+/// callers before its first update.
 const UPDATE_MAX: Duration = Duration::from_secs(1);
 
-/// Time between two lines of the log on placement.
+/// Minimum time between two log records on placement.
 const LOG_EVERY: Duration = Duration::from_secs(1);
 
-/// A model, or one of its adapters, of a service.
+/// A model of a service, or one of its adapters.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Target {
-    /// The service.
+    /// Name of the service.
     pub service: Name,
-    /// The model.
+    /// Name of the model.
     pub model: Name,
-    /// The adapter; none for the model alone.
+    /// Name of the adapter; none for the model without an adapter.
     pub adapter: Option<Name>,
 }
 
-/// What one entry VM's callers asked for.
+/// Demand of one entry VM's callers for one target.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Demand {
-    /// For what.
+    /// Requested model or adapter.
     pub target: Target,
-    /// Requests that came since the last frame.
+    /// Requests that arrived since the last frame.
     pub arrived: u32,
-    /// Time that engines take to read the prompts of those, in us.
+    /// Time that engines take to read the prompts of these requests, in us.
     pub work_us: u64,
     /// Requests under way at engines.
     pub open: u32,
-    /// Requests that wait for it to be loaded.
+    /// Requests that wait for the target to be loaded.
     pub waiting: u32,
 }
 
-/// The demand at one entry VM.
+/// Demand counters of this entry VM.
 #[derive(Debug, Default)]
 pub struct Counts {
     by_target: BTreeMap<Target, Demand>,
@@ -80,17 +81,17 @@
         demand.open = demand.open.saturating_sub(1);
     }
 
-    /// What there is of one target.
+    /// Counters of one target.
     pub(crate) fn of(&self, target: &Target) -> Option<&Demand> {
         self.by_target.get(target)
     }
 
-    /// All there is, without counting anew.
+    /// All counters, without resetting them.
     pub(crate) fn peek(&self) -> impl Iterator<Item = &Demand> {
         self.by_target.values()
     }
 
-    /// All there is, for a frame; what came is counted anew from here.
+    /// Returns all counters for a frame and resets the counts of arrivals.
     pub(crate) fn take(&mut self) -> Vec<Demand> {
         let taken = self.by_target.values().cloned().collect();
         self.by_target.retain(|_, demand| demand.open + demand.waiting > 0);
@@ -102,28 +103,28 @@
     }
 }
 
-/// The demand of all entry VMs, as the one that plans sees it.
+/// Smoothed demand of all entry VMs, as seen by the one that plans placement.
 #[derive(Debug, Default)]
 pub struct Appetite {
     models: BTreeMap<Target, Trend>,
-    /// When an adapter was last asked for.
+    /// Time at which each adapter was last requested.
     adapters: FxHashMap<Target, Time>,
     arrived: FxHashMap<Target, Arrived>,
     at: Time,
-    /// When anything was asked for at first.
+    /// Time of the first request.
     first: Option<Time>,
-    /// When placement was last logged.
+    /// Time at which placement was last logged.
     logged: Time,
 }
 
-/// What came since the last update.
+/// Arrivals since the last update.
 #[derive(Clone, Copy, Debug, Default)]
 struct Arrived {
     requests: u32,
     work_us: u64,
 }
 
-/// What there is of a model now.
+/// Current demand for a model, summed over all entry VMs.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sum {
     open: u32,
@@ -131,23 +132,23 @@
     arrived: Arrived,
 }
 
-/// How much a model is asked for.
+/// Smoothed demand for a model.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Trend {
     /// Requests under way or waiting, smoothed.
     pub busy: f64,
-    /// Requests that wait now.
+    /// Number of requests that wait now.
     pub waiting: u32,
-    /// For how long requests have waited without any being served.
+    /// Time for which requests have waited while none was served.
     pub starved: Duration,
-    /// Engines that are kept busy by reading its prompts, smoothed.
+    /// Number of engines that reading its prompts keeps busy, smoothed.
     pub reading: f64,
-    /// When it was last asked for; none if it never was.
+    /// Time of the last request; none if there was none.
     pub asked: Option<Time>,
 }
 
 impl Appetite {
-    /// An entry VM's callers asked for something.
+    /// Adds the arrivals that an entry VM has reported.
     pub(crate) fn arrived(&mut self, demand: &Demand) {
         if demand.arrived > 0 {
             let arrived = self.arrived.entry(demand.target.clone()).or_default();
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Takes in what is under way now at all entry VMs.
+    /// Updates the smoothed values from the current demand of all entry VMs.
     pub fn update<'a>(&mut self, now: Time, demands: impl Iterator<Item = &'a Demand>) {
         let before = std::mem::replace(&mut self.at, now);
         let past = now.since(before).as_secs_f64();
@@ -199,14 +200,14 @@
         }
     }
 
-    /// How much a model is asked for.
+    /// Smoothed demand for a model.
     #[must_use]
     pub fn trend(&self, service: &Name, model: &Name) -> Trend {
         let target = Target { service: service.clone(), model: model.clone(), adapter: None };
         self.models.get(&target).copied().unwrap_or_default()
     }
 
-    /// Notes which adapters are in use.
+    /// Records which adapters are in use.
     pub(crate) fn touch<'a>(&mut self, now: Time, demands: impl IntoIterator<Item = &'a Demand>) {
         for demand in demands {
             if demand.target.adapter.is_some() && demand.open + demand.waiting + demand.arrived > 0 {
@@ -215,7 +216,7 @@
         }
     }
 
-    /// Whether placement is to be logged again.
+    /// Whether placement is to be logged now.
     pub(crate) fn report_due(&mut self, now: Time) -> bool {
         let due = now.since(self.logged) >= LOG_EVERY;
         if due {
@@ -224,13 +225,13 @@
         due
     }
 
-    /// How long demand has been watched.
+    /// Time since the first request.
     #[must_use]
     pub fn watched(&self, now: Time) -> Duration {
         self.first.map_or(Duration::ZERO, |first| now.since(first))
     }
 
-    /// When an adapter was last asked for.
+    /// Time at which an adapter was last requested.
     #[must_use]
     pub fn used(&self, target: &Target) -> Option<Time> {
         self.adapters.get(target).copied()
@@ -238,7 +239,7 @@
 }
 
 impl Target {
-    /// The model alone.
+    /// The target's model without the adapter.
     #[must_use]
     pub fn of_model(&self) -> Self {
         Self { adapter: None, ..self.clone() }
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -1,13 +1,15 @@
-//! The lease on giving orders: one row in the platform's store. Its holder is also the hub to which the
-//! other entry VMs send their frames.
+//! The lease that permits one entry VM to send orders to engines: one row in the platform's store. Its holder
+//! is also the hub to which the other entry VMs send their frames.
 //!
-//! The row says until when its holder believes to hold it, in the store's steady clock: the latest that
-//! this can be, by the holder's last sight of that clock. Each answer of the store tells its clock, so others
-//! see at once when the lease is over. No two machines' clocks are compared.
+//! The row gives the latest time, by the store's steady clock, until which its holder may assume that it holds
+//! the lease. The holder computes that time from its last sample of the store's clock. Each answer of the store
+//! carries the time of that clock, so the other entry VMs see at once when the lease has expired. The clocks of
+//! two machines are never compared.
 //!
-//! Each era of the store has a row of its own. A copy of the store has the row of an era before at most, as it was some moments
-//! earlier, and a write that was meant for that finds another row than the one in force. Whoever held the lease as the store was lost may
-//! believe so until its own clock ends that: it takes the new era's row at once, and others wait for as long as a lease lasts.
+//! Each era of the store has its own row. A copy that the store was restored from holds at most the row of an
+//! earlier era, as it was some time before, so a write that was meant for that row is rejected as a conflict.
+//! The process that held the lease when the store was lost may assume so until its own clock ends it: it takes
+//! the new era's row at once. All others wait for the length of a lease.
 
 mod holding;
 mod row;
@@ -34,19 +36,20 @@
 use holding::{Held, Sample};
 pub use row::{Answer, Call, Former, Outcome, Row, Seen, era_of, first_term};
 
-/// By how much later than another a process must have started to count as restarted since, in ms: all entry VMs of a
-/// deployment may start within a second.
+/// Minimum difference between the start times of two processes, in ms, for the later one to count as restarted
+/// since: all entry VMs of a deployment may start within a second.
 const RESTARTED_MS: u64 = 1_000;
-/// Entry VMs a second that send a new hub their first frame: half of the 200 frames that a hub answers in a second otherwise, since its
-/// first answer to each names what all engines hold.
+/// Rate at which entry VMs send a new hub their first frame, per second: half of the 200 frames per second that
+/// a hub answers in normal operation, since its first answer to each contains the inventory of every engine.
 const GREETINGS_PER_S: f64 = 100.0;
-/// How long a process that others reach engines for leaves a free lease to them: the engines may be down for all.
+/// Time for which a process that reaches engines only through other entry VMs leaves a free lease to them. It
+/// takes the lease after that, since the engines may be down for all.
 const CUT_OFF_WAIT: Duration = Duration::from_secs(4);
-/// How long a lease that was given back is left to processes that were restarted after its holder, in ms: others may be
-/// the next to stop in a rolling restart. Just over one look at the lease.
+/// Time for which a released lease is left to processes that were restarted after its holder, in ms: others may
+/// be the next to stop in a rolling restart. Just over one interval between reads of the lease.
 const YIELD_MS: u64 = 500;
 
-/// The lease is to be looked at, taken or renewed.
+/// Reads, takes or renews the lease when its timer fires.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let wait = if state.lease.held.is_some() {
         state.settings.lease_renew
@@ -75,8 +78,8 @@
     }
 }
 
-/// The store has come back from an older copy: it has no row of this era yet, and knows no own write. Whoever holds the lease takes that
-/// row at once.
+/// Called when the store was restored from an older copy: it has no row of this era yet, and no earlier write
+/// of this process counts. The holder of the lease takes the new era's row at once.
 pub(crate) fn era_risen(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.lease.era = state.era.number();
     state.lease.tried = None;
@@ -86,7 +89,7 @@
     }
 }
 
-/// The next look at the lease, or its next renewal, in place of the one that was to come.
+/// Sets the timer of the next read or renewal of the lease, in place of the one that was set.
 fn schedule(state: &mut State, at: Time) {
     if let Some(before) = state.lease.next.take() {
         state.timers.cancel(before);
@@ -94,7 +97,8 @@
     state.lease.next = Some(state.timers.set(at, Timer::Lease));
 }
 
-/// A process that knows nothing yet looks who holds the lease, to ask that one.
+/// Reads the lease if this process has no configuration or no list of entries yet, to send its first frame to
+/// the holder.
 pub(crate) fn look(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let held = state.lease.held.is_some() || state.lease.pending.is_some();
     if !held && !state.stopping && !frame::knows(state) {
@@ -102,7 +106,7 @@
     }
 }
 
-/// Gives the lease back: others reach the engines that are to be given orders, and this process does not.
+/// Releases the lease because this process does not reach the engines and other entry VMs do.
 fn hand_on(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     note(state, "handed_on", 0, out);
     release(state, now, out);
@@ -110,7 +114,7 @@
     budget::end(state);
 }
 
-/// Gives the lease back.
+/// Releases the lease, if this process holds it.
 pub(crate) fn release(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let held = state.lease.held.take();
     if let Some(held) = held.filter(|held| held.version.era == state.lease.era) {
@@ -120,14 +124,14 @@
     }
 }
 
-/// The row is about to be written.
+/// Prepares the state that the row is about to record.
 fn propose(state: &mut State, now: Time) {
     quota::propose(state, now);
     budget::propose(state);
 }
 
 fn own_row(state: &State, now: Time, term: u64, former: Option<Former>, released: bool) -> Row {
-    // Whoever gives it back sends no more orders.
+    // A process that releases the lease sends no more orders.
     let over = if released { now } else { now + state.settings.lease_length };
     let until_ms = state.lease.clock.map_or(u64::MAX, |clock| clock.at_most(over));
     let started_ms = started_ms(state);
@@ -166,14 +170,14 @@
     out.push(Effect::Lease(call));
 }
 
-/// The store answered a call.
+/// Handles the store's answer to a call.
 pub(crate) fn answered(state: &mut State, now: Time, answer: Answer, out: &mut Vec<Effect>) {
     let Some((sent, asked)) = state.lease.pending.take() else {
         return;
     };
     let answer = of_this_era(state, now, answer, &asked, out);
     if state.lease.pending.is_some() {
-        // The new era's row is looked for already.
+        // The call to read or write the new era's row has been sent already.
         return;
     }
     if let Some(store_ms) = answer.store_ms {
@@ -188,14 +192,14 @@
             let version = Revision::new(state.lease.era, version);
             written(state, now, sent, Seen { version, row }, answer.store_ms.unwrap_or_default(), out);
         }
-        // An own write whose answer was lost is found by the next read.
+        // If the answer to a write was lost, the next read shows whether the write was done.
         (Outcome::Unknown, Call::Write { .. }) => call(state, now, Call::Read, out),
         (Outcome::Unknown | Outcome::Written(_), _) => {}
     }
 }
 
-/// What an answer says of the era that it names, if that is the newest known. A late answer of an era before says nothing, and what was
-/// written meanwhile into the row of an era before is no lease.
+/// Returns the answer if it is of the newest known era, and an unknown outcome otherwise: a late answer of an
+/// earlier era carries no information, and a row that was written meanwhile into an earlier era is no lease.
 fn of_this_era(state: &mut State, now: Time, answer: Answer, asked: &Call, out: &mut Vec<Effect>) -> Answer {
     let unknown = Answer { store_ms: None, era: answer.era, outcome: Outcome::Unknown };
     let Some(era) = answer.era else {
@@ -220,7 +224,7 @@
     if let Some((sent, row)) = state.lease.tried.clone()
         && seen.row == row
     {
-        // The last write was done after all.
+        // The last write was done although its answer was lost.
         written(state, now, sent, seen, store_ms, out);
         return;
     }
@@ -255,7 +259,8 @@
     }
 }
 
-/// Takes over which builds have served. The row was written when a whole lease was left of the time that it names, or before.
+/// Takes over from the row which builds have served requests. The row was written at least one lease length
+/// before the expiry that it names, or at that expiry if it was released.
 fn inherit_builds(state: &mut State, now: Time, row: &Row, store_ms: u64) {
     let Some(report) = &row.builds else {
         return;
@@ -266,7 +271,8 @@
     state.history.inherit(now, report, age, settling);
 }
 
-/// There is no row in this era of the store; in the copy that it came back from may be one of an era before.
+/// Handles a missing row of the current era. The copy that the store was restored from may have a row of an
+/// earlier era.
 fn vacant(state: &mut State, now: Time, past: Option<&Seen>, store_ms: u64, out: &mut Vec<Effect>) {
     if let Some(past) = past {
         crash::recall(state, now, &past.row.quarantine, store_ms, out);
@@ -293,7 +299,7 @@
         call(state, now, Call::Write { expected, row }, out);
         return;
     }
-    // Whoever led before the store was lost may believe that it still does.
+    // The holder of the lease before the store was lost may still assume that it holds it.
     let over = state.era.since() + state.settings.lease_length;
     let free = over + state.settings.lease_margin;
     if now < free {
@@ -309,9 +315,10 @@
     call(state, now, Call::Write { expected, row }, out);
 }
 
-/// Whether a lease that is free is left to others for now, stronger machines or such as reach engines: a weak one waits from its own first sight of that.
-/// After an outage of the store every lease has been over for long, and whoever looks first would take it: nine in ten are
-/// weak, and one with 10 Mbit/s and 64 others to answer had no order answered for five seconds.
+/// Whether this process leaves a free lease to others for now: to stronger machines, or to those that reach
+/// engines. The wait counts from this process's first read that showed the lease as free. After an outage of
+/// the store every lease has long expired, and without the wait the first reader would take it: nine in ten
+/// machines are weak, and one with 10 Mbit/s and 64 others to answer got no order answered for five seconds.
 fn defers(state: &mut State, now: Time, version: Revision) -> bool {
     let wait = if path::is_cut_off(state) {
         CUT_OFF_WAIT
@@ -327,18 +334,18 @@
     now.since(since) < wait
 }
 
-/// When this process started, by the store's clock, in ms; 0 before that was seen.
+/// Start time of this process by the store's clock, in ms; 0 while no sample of that clock exists.
 fn started_ms(state: &State) -> u64 {
     state.lease.clock.map_or(0, |clock| clock.before(state.started))
 }
 
-/// Whether a lease that was given back is left to others for now.
+/// Whether this process leaves a released lease to restarted processes for now.
 fn yields(state: &State, row: &Row, store_ms: u64) -> bool {
     let restarted = started_ms(state) > row.started_ms + RESTARTED_MS;
     !restarted && store_ms < row.until_ms.saturating_add(YIELD_MS)
 }
 
-/// An own write was done.
+/// Handles a write of this process that the store has done.
 fn written(state: &mut State, now: Time, sent: Time, new: Seen, store_ms: u64, out: &mut Vec<Effect>) {
     let term = new.row.term;
     let version = new.version;
@@ -362,7 +369,7 @@
         return;
     }
     if let Some(held) = state.lease.held.as_mut().filter(|held| held.version.era < version.era) {
-        // The same process led when the store was lost, and nobody else has since.
+        // The same process held the lease when the store was lost, and no other has since.
         *held = Held { version, term, until, ..held.clone() };
         quota::named(state, &named);
         budget::written(state);
@@ -373,10 +380,10 @@
     state.lease.held = Some(Held { version, term, taken: term, until, orders_from, former });
     note(state, "taken", ms(orders_from.since(now)), out);
     state.ledger.begin(term == 1);
-    // Looks are seconds apart where there are hundreds of entry VMs, and the lease is over before the next one.
+    // With hundreds of entry VMs, reads are seconds apart, and the lease would expire before the next one.
     schedule(state, now + state.settings.lease_renew);
     frame::inherit(state, now);
-    // Its lease was over before this one could be taken.
+    // The previous lease had expired before this one could be taken.
     let clock = state.lease.clock;
     quota::begin(state, now, &named, sent, |ms| clock.map_or(now + LEASE, |clock| clock.no_earlier(ms)));
     budget::begin(state, now);
@@ -384,7 +391,7 @@
     frame::follow(state, now, out);
 }
 
-/// Time in which another machine's orders may still count against this one's.
+/// Time for which this process still has to wait after another machine's last possible order.
 fn gap(state: &State, former: Option<&Former>, store_ms: u64) -> Duration {
     match former {
         Some(former) if former.holder != state.me.vm => {
@@ -395,7 +402,8 @@
     }
 }
 
-/// Another entry VM says who has the lease. That one is to have a frame soon, but not from all entry VMs at once.
+/// Handles the lease row that another entry VM has passed on. The new hub is to get a frame soon, but not from
+/// all entry VMs at once.
 pub(crate) fn told(state: &mut State, now: Time, hub: Row, out: &mut Vec<Effect>) {
     era::heard(state, now, era_of(hub.term), out);
     let known = state.lease.hub().map_or(0, |row| row.term);
--- a/fleet/src/lease/holding.rs
+++ b/fleet/src/lease/holding.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the lease, and whether it holds it.
+//! The last known state of the lease, and whether this process holds it.
 
 use std::time::Duration;
 
@@ -9,95 +9,97 @@
 use crate::record::ms;
 use crate::revision::Revision;
 
-/// What this process knows of the lease.
+/// State of the lease as last seen by this process.
 #[derive(Debug, Default)]
 pub struct Lease {
     pub(super) seen: Option<Seen>,
     pub(super) held: Option<Held>,
-    /// The call under way, with the time at which it was sent.
+    /// The call to the store under way, with the time at which it was sent.
     pub(super) pending: Option<(Time, Call)>,
-    /// The last write that may have been done, with the time at which it was sent.
+    /// The last write, with the time at which it was sent; the store may have done it even if no answer came.
     pub(super) tried: Option<(Time, Row)>,
     pub(super) clock: Option<Sample>,
-    /// The version of a row that was seen to be free, and when that was first seen.
+    /// The version of a row that was free when read, and the time of the first such read.
     pub(super) free: Option<(Revision, Time)>,
-    /// The store's era.
+    /// Current era of the store.
     pub(super) era: u64,
-    /// The timer of the next look or renewal.
+    /// The timer of the next read or renewal.
     pub(super) next: Option<Handle>,
 }
 
-/// A sight of the store's clock.
+/// A sample of the store's clock.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Sample {
-    /// What it showed, in ms.
+    /// Time of the store's clock, in ms.
     pub(super) store_ms: u64,
-    /// When it was asked: it showed that no earlier.
+    /// Send time of the call: the clock showed `store_ms` no earlier.
     pub(super) asked: Time,
-    /// When the answer came: it showed that no later.
+    /// Arrival time of the answer: the clock showed `store_ms` no later.
     pub(super) answered: Time,
 }
 
 impl Sample {
-    /// The most that the store's clock can show at `time`.
+    /// The latest time that the store's clock can show at `time`, in ms.
     pub(super) fn at_most(self, time: Time) -> u64 {
         self.store_ms + ms(time.since(self.asked))
     }
 
-    /// The process's time at which the store's clock shows this, or a later one.
+    /// Process time at which the store's clock shows `store_ms` or later.
     pub(super) fn no_earlier(self, store_ms: u64) -> Time {
         self.answered + Duration::from_millis(store_ms.saturating_sub(self.store_ms))
     }
 
-    /// The most that the store's clock can have shown at `time`, before it was asked; less by a call's time at most.
+    /// The latest time that the store's clock can have shown at `time`, which is before the sample was taken,
+    /// in ms; it is too late by at most the duration of the call.
     pub(super) fn before(self, time: Time) -> u64 {
         self.store_ms.saturating_sub(ms(self.asked.since(time)))
     }
 }
 
-/// The lease, held by this process.
+/// A lease that this process holds.
 #[derive(Debug, Clone)]
 pub(super) struct Held {
     pub(super) version: Revision,
     pub(super) term: u64,
-    /// The term under which this process took it, which another follows if the store comes back from an older copy meanwhile.
+    /// The term under which this process took the lease. `term` moves on if the store is restored from an older
+    /// copy meanwhile.
     pub(super) taken: u64,
     pub(super) until: Time,
     pub(super) orders_from: Time,
-    /// Who else may have given the last orders.
+    /// The other machine that may have sent the last orders before this lease.
     pub(super) former: Option<Former>,
 }
 
 impl Lease {
-    /// The fencing number, while this process holds the lease.
+    /// The term, which fences orders, while this process holds the lease.
     #[must_use]
     pub fn holds(&self, now: Time) -> Option<u64> {
         self.held.as_ref().filter(|held| now < held.until).map(|held| held.term)
     }
 
-    /// The fencing number, while this process may send orders.
+    /// The term, which fences orders, while this process may send orders.
     #[must_use]
     pub fn orders(&self, now: Time) -> Option<u64> {
         let held = self.held.as_ref().filter(|held| now < held.until && now >= held.orders_from);
-        // Until the new era's row is there, the fencing number may not be this one's own.
+        // Until the new era's row is written, another process may have been given this term.
         held.filter(|held| held.version.era == self.era).map(|held| held.term)
     }
 
-    /// How long until this process may send orders, if it holds the lease.
+    /// Time until this process may send orders, if it holds the lease.
     #[must_use]
     pub fn orders_in(&self, now: Time) -> Option<Duration> {
         self.held.as_ref().filter(|held| now < held.until).map(|held| held.orders_from.since(now))
     }
 
-    /// The term under which the process took the lease that was last seen to hold it; 0 if none was. What that has told the others since
-    /// then holds on.
+    /// The term under which the last known holder took the lease; 0 if there was none. Everything that this
+    /// holder has sent to other entry VMs since then remains valid.
     #[must_use]
     pub fn taken_term(&self) -> u64 {
         let taken = self.held.as_ref().map(|held| held.taken);
         taken.or_else(|| self.hub().map(|row| row.term)).unwrap_or_default()
     }
 
-    /// Who was last seen to hold it.
+    /// The row of the last known holder.
     #[must_use]
     pub fn hub(&self) -> Option<&Row> {
         self.seen.as_ref().map(|seen| &seen.row)
--- a/fleet/src/lease/row.rs
+++ b/fleet/src/lease/row.rs
@@ -1,4 +1,4 @@
-//! The lease's row, and the calls of the store about it.
+//! The row of the lease, and the calls to the store that read and write it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,58 +13,60 @@
 use crate::record::ms;
 use crate::revision::Revision;
 
-/// The content of the row.
+/// Content of the row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The machine that holds it.
+    /// Name of the machine that holds the lease.
     pub holder: Name,
-    /// Where the holder listens for frames.
+    /// Address on which the holder accepts frames.
     pub address: SocketAddr,
-    /// Grows with each change of hands, over all eras; fences orders.
+    /// Number that grows with each change of holder, over all eras; it fences orders.
     pub term: u64,
-    /// When it is over at the latest, by the store's clock, in ms.
+    /// Latest expiry of the lease by the store's clock, in ms.
     pub until_ms: u64,
-    /// When the holder's process started, by the store's clock, in ms.
+    /// Start time of the holder's process by the store's clock, in ms.
     #[serde(default)]
     pub started_ms: u64,
-    /// Whether the holder knows that all the store had lost before this era has been written again.
+    /// Whether the holder has confirmed that everything the store lost before this era has been written again.
     #[serde(default)]
     pub settled: bool,
-    /// Engines that the holder knows.
+    /// Number of engines that the holder has listed.
     #[serde(default)]
     pub engines: u32,
-    /// Whether the holder has given it back.
+    /// Whether the holder has released the lease.
     pub released: bool,
-    /// Who else may have given orders last; none if nobody did.
+    /// The machine that may have sent the last orders before the holder; none if no machine did.
     #[serde(default)]
     pub former: Option<Former>,
-    /// Requests that crash engines: processes that start with nothing know them from here.
+    /// Requests that crash engines. A process that has just started learns them from here.
     #[serde(default)]
     pub quarantine: Vec<Kept>,
-    /// Shares of workspaces' limits that may be held: the next holder of the lease gives out none of them.
+    /// Shares of workspaces' limits that may be in use; the next holder of the lease does not hand them out
+    /// again.
     #[serde(default)]
     pub outstanding: Box<Outstanding>,
-    /// Repeats that may have been given; none where that is not known.
+    /// Repeats of requests that may have been granted; none if the number is not known.
     #[serde(default)]
     pub repeats: Option<Box<Spent>>,
-    /// Which builds have served; none where the holder does not know that yet.
+    /// Builds that have served requests; none while the holder does not know them.
     #[serde(default)]
     pub builds: Option<Box<Report>>,
 }
 
-/// A machine that may have given orders, before the holder of the lease.
+/// A machine that may have sent orders before the holder of the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Former {
-    /// The machine; empty where any may have been it.
+    /// Name of the machine; empty if it may be any machine.
     pub holder: Name,
-    /// Until when it may have given any, by the store's clock, in ms.
+    /// Latest time at which it may have sent orders, by the store's clock, in ms.
     pub until_ms: u64,
 }
 
 impl Row {
-    /// Who may have given the last orders by the store's time `store_ms`: the holder, unless its lease was over before it was to give
-    /// any, or that time has not come. Several may follow each other within seconds, and the gap between two machines' orders does not
-    /// begin anew with each.
+    /// The machine that may have sent the last orders before the store's time `store_ms`. That is the holder,
+    /// unless its lease expires before it may send its first order or that moment has not come yet; then it is
+    /// the holder's predecessor. Several holders may follow each other within seconds, and the gap between the
+    /// orders of two machines must not begin anew with each.
     pub(super) fn orderer(&self, gap: Duration, store_ms: u64) -> Option<Former> {
         let began_ms = match &self.former {
             Some(former) if former.holder != self.holder => former.until_ms + ms(gap),
@@ -77,41 +79,41 @@
     }
 }
 
-/// Bits of a term that count changes of hands within an era. The era is above them; together they stay below 2^53 for two million eras,
-/// which all readers of JSON take.
+/// Low bits of a term, which count the changes of holder within an era. The bits above are the era. For two
+/// million eras a term stays below 2^53, the limit of integers that all JSON readers accept.
 const TERM_BITS: u32 = 32;
 
-/// The first term of an era: larger than all of the eras before.
+/// The first term of an era; it is larger than every term of earlier eras.
 #[must_use]
 pub const fn first_term(era: u64) -> u64 {
     (era << TERM_BITS) + 1
 }
 
-/// The era in which a term was given.
+/// The era that a term belongs to.
 #[must_use]
 pub const fn era_of(term: u64) -> u64 {
     term >> TERM_BITS
 }
 
-/// A row with the store's version of it.
+/// A row with its version in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Seen {
-    /// The era that the row is of, and the store's version of it.
+    /// Era of the row, and its version in the store.
     pub version: Revision,
-    /// Its content.
+    /// Content of the row.
     pub row: Row,
 }
 
-/// A call of the store.
+/// A call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
     /// Read the row of the newest era that has one.
     Read,
-    /// Write the row of an era if it still has this version; 0 for a row that does not exist.
+    /// Write the row of an era if its version is still the expected one.
     Write {
-        /// The era, and the version that the row must have.
+        /// Era, and the version that the row must have; version 0 for a row that does not exist.
         expected: Revision,
-        /// The new content.
+        /// New content of the row.
         row: Row,
     },
 }
@@ -119,23 +121,23 @@
 /// The store's answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// The store's clock when it answered, in ms; none if it did not.
+    /// Time of the store's clock when it answered, in ms; none if it did not answer.
     pub store_ms: Option<u64>,
-    /// The era that the answer names; none if there was no answer.
+    /// Era that the answer names; none if there was no answer.
     pub era: Option<u64>,
-    /// What came of the call.
+    /// Result of the call.
     pub outcome: Outcome,
 }
 
-/// What came of a call.
+/// Result of a call to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The row as it is; none if there is none.
+    /// Content of the row; none if it does not exist.
     Read(Option<Seen>),
-    /// The row was written and has this version now.
+    /// The row was written; its new version.
     Written(u64),
-    /// The row was not written, since it is another; none if there is none.
+    /// The row was not written because its version differs; its content, or none if it does not exist.
     Conflict(Option<Seen>),
-    /// It is not known whether anything was done.
+    /// The call may or may not have been carried out.
     Unknown,
 }
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -1,8 +1,8 @@
-//! What each engine holds, and the orders that change it, as the holder of the lease keeps it.
+//! Inventory of each engine, and the orders that change it, as tracked by the holder of the lease.
 //!
-//! Engines may run orders that were not answered, and late. Each order therefore names the number of
-//! orders that the engine has accepted before: one that is still on its way is dead as soon as
-//! another was accepted, and no two that were decided on the same state can both take effect.
+//! An engine may carry out an order without answering it, and late. Each order therefore contains the number of
+//! orders that the engine has accepted before. A delayed order becomes invalid as soon as the engine accepts
+//! another one, and of two orders that were decided on the same state only one can take effect.
 
 mod orders;
 
@@ -26,47 +26,47 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Time between looks at an order that takes longer than expected.
+/// Time between two reports that are requested while an order takes longer than expected.
 const LOOK_AGAIN: Duration = Duration::from_millis(200);
-/// Loads from the weight store that are left for models without any copy.
+/// Loads from the weight store that are reserved for models without any copy.
 const COLD_RESERVE: usize = 2;
 
-/// All engines' books.
+/// Inventories of all engines.
 #[derive(Debug, Default)]
 pub struct Ledger {
     books: BTreeMap<Name, Book>,
-    /// Loads that were not answered, by engine.
+    /// Load orders that were not answered, by engine.
     late: BTreeMap<Name, Vec<Late>>,
-    /// Grows with each change of what an engine holds.
+    /// Version number, incremented with each change of an inventory.
     version: u64,
-    /// When loads from the weight store were ordered lately.
+    /// Times at which loads from the weight store were ordered within the rate window.
     cold: VecDeque<Time>,
-    /// Whether nobody has given orders before.
+    /// Whether this is the first lease ever, so that no engine has accepted an order before.
     fresh: bool,
 }
 
 impl Ledger {
-    /// Begins anew under a lease that was just taken. `fresh`: nobody has given orders before.
+    /// Discards all inventories, for a lease that was just taken. `fresh`: no machine has sent orders before.
     pub(crate) fn begin(&mut self, fresh: bool) {
         self.books.clear();
         self.cold.clear();
         self.fresh = fresh;
     }
 
-    /// The version of what it says of engines.
+    /// Version number of the inventories.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
-    /// Notes a load that was not answered.
+    /// Remembers an order that was not answered, if it is a load.
     fn note_late(&mut self, engine: &Name, late: Late) {
         if matches!(late.order, Order::Load { .. } | Order::LoadAdapter { .. }) {
             self.late.entry(engine.clone()).or_default().push(late);
         }
     }
 
-    /// Loads that an engine may still carry out though they were not answered.
+    /// Load orders that an engine did not answer and may still carry out.
     fn late_at(&mut self, now: Time, engine: &Name) -> &[Late] {
         let Some(late) = self.late.get_mut(engine) else {
             return &[];
@@ -79,12 +79,12 @@
         self.books.get(engine)
     }
 
-    /// The books of the engines that hold a model, ready or not.
+    /// Inventories of the engines that hold a model, in any phase.
     pub(crate) fn holding(&self, model: &Name) -> impl Iterator<Item = (&Name, &Book)> {
         self.books.iter().filter(move |(_, book)| book.kept(model).is_some())
     }
 
-    /// What those engines hold that have changed since a version.
+    /// Residencies of the engines whose inventories have changed since `version`.
     pub(crate) fn changed_after(&self, version: u64) -> Vec<Resident> {
         let changed = self.books.iter().filter(|(_, book)| book.changed > version && book.known());
         changed
@@ -96,7 +96,7 @@
             .collect()
     }
 
-    /// Loads from the weight store that may begin now.
+    /// Number of loads from the weight store that may begin now.
     pub(crate) fn cold_left(&mut self, now: Time, rate: f64, settings: &Settings) -> usize {
         while self.cold.front().is_some_and(|at| now.since(*at) > settings.load_window) {
             self.cold.pop_front();
@@ -106,7 +106,8 @@
     }
 }
 
-/// An entry VM was refused by an engine that was thought to hold what it asked for: the engine is asked.
+/// Asks an engine for a report after it has refused a request of an entry VM because, contrary to its
+/// inventory, the model or adapter is absent.
 pub(crate) fn doubt(state: &mut State, now: Time, refused: &Absent) {
     let Some(book) = state.ledger.books.get_mut(&refused.engine) else {
         return;
@@ -117,7 +118,7 @@
     }
 }
 
-/// Brings the books in line with the engines that there are.
+/// Adds and removes inventories so that they match the listed engines.
 pub(crate) fn sync(state: &mut State, now: Time) {
     let engines = &state.engines;
     state.ledger.books.retain(|id, _| engines.contains_key(id));
@@ -138,14 +139,14 @@
     }
 }
 
-/// What the engine holds is not known until it has been asked.
+/// Marks the inventory as uncertain until the engine has sent a report.
 fn unsure(book: &mut Book, now: Time) {
     book.sequence = None;
     book.queue.clear();
     book.check_at = Some(now + REPORT_LAG);
 }
 
-/// Sets the timer for the next thing that is due at an engine's book.
+/// Sets the timer for the next event that is due at an engine.
 fn wake_for(state: &mut State, now: Time, id: &Name) {
     let State { ledger, timers, .. } = state;
     let Some(book) = ledger.books.get_mut(id) else {
@@ -156,7 +157,7 @@
     }
 }
 
-/// Sets the timer for an engine's book, unless one is to fire that is no later.
+/// Sets the timer of an inventory, unless one is set that fires no later.
 fn wake_at(timers: &mut Timers<Timer>, now: Time, id: &Name, book: &mut Book, at: Time) {
     let set = book.wakes_at.filter(|set| *set > now);
     if set.is_none_or(|set| at < set) {
@@ -165,7 +166,7 @@
     }
 }
 
-/// An adapter may have become ready, or the engine is to be asked what it holds.
+/// Marks adapters as ready whose load time is over, and asks the engine for a report if one is due.
 pub(crate) fn check(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
     if state.lease.holds(now).is_none() {
         return;
@@ -201,7 +202,8 @@
         book.reporting = true;
         out.push(Effect::Report { engine: id.clone(), incarnation, address });
     }
-    // What is due and could not be done is taken up when the answer that it waits for comes, or the engine's pause ends.
+    // An event that is due but cannot be handled now is taken up when the awaited answer comes or the engine's
+    // pause ends.
     let next = book.due().filter(|at| *at > now).min();
     if let Some(next) = next {
         wake_at(&mut state.timers, now, id, book, next);
@@ -212,7 +214,7 @@
     drive(state, now, id, out);
 }
 
-/// An engine said what it holds.
+/// Handles an engine's report, or its failure to send one.
 pub(crate) fn reported(
     state: &mut State,
     now: Time,
@@ -238,7 +240,7 @@
         Some(report) if report.incarnation < book.incarnation && report.incarnation.0.is_some() => {
             book.check_at = Some(now + REPORT_LAG);
         }
-        // What it says may be from before the order that is under way.
+        // The report may have been made before the order under way took effect.
         _ if book.pending.is_some() => book.check_at = Some(now + REPORT_LAG),
         Some(report) if !report.busy && known.is_none_or(|known| report.sequence >= known) => {
             book.adopt(&report.held);
@@ -260,7 +262,7 @@
     drive(state, now, id, out);
 }
 
-/// An engine registered itself anew: that tells when a model was loaded or dropped.
+/// Handles a new registration of an engine, whose entry shows that a model has been loaded or dropped.
 pub(crate) fn registered(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
     let Some(entry) = state.engines.get(id).map(|engine| engine.entry.clone()) else {
         return;
@@ -294,8 +296,8 @@
     }
 }
 
-/// An engine started again under its id: it holds nothing, has accepted nothing, and is asked what there is. An order
-/// that is under way may still reach it.
+/// Handles a restart of an engine under its old id: it holds nothing, has accepted no orders, and is asked for
+/// a report. An order that is under way may still reach it.
 fn restart(state: &mut State, now: Time, id: &Name, incarnation: Incarnation) {
     let Some(book) = state.ledger.books.get_mut(id) else {
         return;
@@ -307,7 +309,7 @@
     }
 }
 
-/// Tells everyone what an engine holds now.
+/// Publishes the inventory of an engine to all entry VMs.
 fn publish(state: &mut State, id: &Name, out: &mut Vec<Effect>) {
     state.ledger.version += 1;
     let version = state.ledger.version;
@@ -323,7 +325,7 @@
     flow::stir_later(state);
 }
 
-/// Loads from the weight store that an engine carries out, or will.
+/// Number of loads from the weight store that an engine carries out or that are queued for it.
 pub(crate) fn cold_running(state: &State, engine: &Engine) -> usize {
     let Some(book) = state.ledger.book(&engine.entry.id) else {
         return 0;
@@ -333,7 +335,7 @@
     loading.filter(|(model, _)| !memory.contains(model) && !disk.contains(model)).count()
 }
 
-/// How many of the loads that may begin now are for models that have copies already.
+/// Number of the remaining loads that may be used for models that already have a copy.
 pub(crate) const fn beyond_reserve(cold_left: usize) -> usize {
     cold_left.saturating_sub(COLD_RESERVE)
 }
--- a/fleet/src/ledger/orders.rs
+++ b/fleet/src/ledger/orders.rs
@@ -1,4 +1,4 @@
-//! Orders on their way to engines: which is sent next, what an engine's answer means, and what is sent once more.
+//! Orders to engines: which order is sent next, the handling of answers, and retries.
 
 use std::time::Duration;
 
@@ -13,11 +13,11 @@
 use crate::record::Record;
 use crate::state::State;
 
-/// Sendings of one order that is not answered, beyond the first. They name the same state of the engine, so
-/// that only one of them can take effect.
+/// Maximum number of retries of an unanswered order. All of them name the same state of the engine, so that
+/// only one can take effect.
 const RESENDS: u32 = 2;
 
-/// Decides on orders for an engine, to be sent in turn.
+/// Queues orders for an engine; they are sent one after the other.
 pub(crate) fn order(
     state: &mut State,
     now: Time,
@@ -31,7 +31,7 @@
     drive(state, now, engine, out);
 }
 
-/// Sends the next order to an engine if it can be sent.
+/// Sends the next queued order to an engine, if that is possible now.
 pub(crate) fn drive(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
     let Some(term) = state.lease.orders(now) else {
         return;
@@ -44,7 +44,8 @@
     if engine.health.pause(now).is_some() {
         return;
     }
-    // Shared and not copied: a pool names each model and adapter, and this runs for each engine with each plan.
+    // The configuration is shared instead of copied: a pool lists each model and adapter, and this function
+    // runs for each engine with each plan.
     let config = state.config.clone();
     let Some(pool) = config.as_ref().and_then(|config| config.pool(&service)) else {
         return;
@@ -93,7 +94,7 @@
     if let Order::UnloadAdapter { model, adapter } = &next
         && let Some(copy) = book.kept_mut(model)
     {
-        // Nobody is to use it any more; it takes its place until the engine says otherwise.
+        // No entry VM may use the adapter any more; it occupies its place until the engine's next report.
         for held in copy.adapters.iter_mut().filter(|held| held.name == *adapter) {
             held.ready_at = Some(now + REPORT_LAG);
         }
@@ -109,7 +110,7 @@
     })));
 }
 
-/// An engine answered an order, or may have got it.
+/// Handles an engine's answer to an order. Without an answer the engine may still have received the order.
 pub(crate) fn ordered(
     state: &mut State,
     now: Time,
@@ -118,7 +119,8 @@
     receipt: Option<Receipt>,
     out: &mut Vec<Effect>,
 ) {
-    // The answer counts also while the engine is off the list: it may be back before its book is given up.
+    // The answer also counts while the engine is missing from the list: it may be listed again before its
+    // inventory is discarded.
     let entry = state.engines.get(id).map(|engine| &engine.entry);
     let config = state.config.clone();
     let pool = config.as_ref().zip(entry).and_then(|(config, entry)| config.pool(&entry.service));
@@ -145,21 +147,21 @@
         sequence,
     }));
     if receipt.is_none() {
-        // It may be carried out long after one that is sent in its place.
+        // The order may be carried out long after the one that is sent in its place.
         state.ledger.note_late(id, Late::new(now, order.clone(), sequence, incarnation));
     }
     let Some(book) = state.ledger.books.get_mut(id) else {
         return;
     };
     match receipt {
-        // The adapter is in use, and goes once its runs have ended.
+        // The adapter is in use; the engine drops it once its runs have ended.
         Some(Receipt::Accepted) if matches!(order, Order::UnloadAdapter { .. }) => unsure(book, now),
         Some(Receipt::Accepted) => {
             let expected = order.duration(pool, &cached);
             book.accepted(now, &order, expected, adapter_ready);
         }
         Some(Receipt::Holds) => match &order {
-            // It takes effect at once, and counts.
+            // The unload takes effect at once, and the engine counts it as accepted.
             Order::UnloadAdapter { .. } => book.accepted(now, &order, Duration::ZERO, adapter_ready),
             Order::LoadAdapter { model, adapter } => book.holds(model, adapter),
             Order::Load { .. } | Order::Unload { .. } => unsure(book, now),
@@ -176,7 +178,7 @@
     drive(state, now, id, out);
 }
 
-/// Sends the order that was not answered once more.
+/// Sends the unanswered order again.
 fn resend(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
     let engine = state.engines.get(id).filter(|engine| engine.health.pause(now).is_none());
     let (Some(term), Some(engine)) = (state.lease.orders(now), engine) else {
--- a/fleet/src/order.rs
+++ b/fleet/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, what engines answer to them, and what engines say that they hold.
+//! Orders to engines, the engines' answers to them, and the engines' reports of their inventories.
 
 use std::time::Duration;
 
@@ -8,38 +8,39 @@
 use crate::config::Pool;
 use crate::engine::{Cached, Held, Incarnation};
 
-/// A change of what an engine holds.
+/// A change of an engine's inventory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
     /// Load a model.
     Load {
-        /// The model.
+        /// Name of the model.
         model: Name,
     },
     /// Drop a model with its adapters once its runs have ended.
     Unload {
-        /// The model.
+        /// Name of the model.
         model: Name,
     },
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a model that is loaded.
     LoadAdapter {
-        /// The model.
+        /// Name of the model.
         model: Name,
-        /// The adapter.
+        /// Name of the adapter.
         adapter: Name,
     },
     /// Drop an adapter.
     UnloadAdapter {
-        /// The model.
+        /// Name of the model.
         model: Name,
-        /// The adapter.
+        /// Name of the adapter.
         adapter: Name,
     },
 }
 
 impl Order {
-    /// Memory that the engine needs in addition for it, in MB; as much as it has for a model that is not declared.
+    /// Additional memory that the engine needs for this order, in MB; the whole memory of an engine for a model
+    /// that is not declared.
     pub(crate) fn memory_mb(&self, pool: &Pool) -> f64 {
         match self {
             Self::Load { model } => pool.model(model).map_or(pool.memory_mb, |model| model.memory_mb),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// How long an engine takes for it that has copies of weights at hand.
+    /// Time that an engine takes to carry out this order, given the weights that it has cached.
     pub(crate) fn duration(&self, pool: Option<&Pool>, cached: &Cached) -> Duration {
         let Self::Load { model } = self else {
             return Duration::ZERO;
@@ -71,29 +72,30 @@
 /// An engine's answer to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receipt {
-    /// It is being carried out.
+    /// The order is being carried out.
     Accepted,
-    /// It holds already, or was carried out at once.
+    /// The order was carried out at once, or its result was already in place.
     Holds,
     /// Another order is under way, or the engine has accepted others.
     Conflict,
-    /// It will never be carried out: another engine is there, or the order makes no sense.
+    /// The order will never be carried out: it was meant for another incarnation of the engine, or it is
+    /// invalid.
     Refused,
 }
 
-/// What an engine says of itself. It is some hundred ms old.
+/// An engine's report of its state. It is up to some hundred ms old.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Which start of the engine says so.
+    /// Incarnation of the engine that reports.
     pub incarnation: Incarnation,
-    /// Orders that it has accepted.
+    /// Number of orders that it has accepted.
     pub sequence: u64,
-    /// Whether one is under way.
+    /// Whether an order is being carried out.
     pub busy: bool,
-    /// What it holds.
+    /// Models and adapters that it holds.
     pub held: Vec<Held>,
-    /// Whether it leaves, and is to get no more work.
+    /// Whether it is shutting down and is to get no more requests.
     pub leaving: bool,
-    /// Adapters on their way to it.
+    /// Adapters that it is loading, as pairs of model and adapter.
     pub fetching: Vec<(Name, Name)>,
 }
--- a/fleet/src/place.rs
+++ b/fleet/src/place.rs
@@ -1,4 +1,5 @@
-//! Which models are to be moved where, for a given demand. It decides on one view and knows nothing else.
+//! Computes which copies of models to load and drop for a given demand. The result depends on the input of the
+//! plan alone.
 
 mod worth;
 
@@ -18,90 +19,93 @@
 
 use worth::Worths;
 
-/// How many times what a copy that makes way is worth the one that comes must be worth.
+/// Minimum ratio of the utility of a new copy to the utility of the copy that it replaces.
 const GAIN: f64 = 1.5;
-/// What a request under way speaks against an engine, in copies needed.
+/// Cost of placing a copy at an engine for each request under way there, in copies needed.
 const OPEN_COST: f64 = 0.03;
-/// What a copy in the same availability zone speaks against a place, in copies needed: a zone that is cut off
-/// serves only what it holds.
+/// Cost of placing a copy for each other copy of the model in the same availability zone, in copies needed: a
+/// zone that is cut off serves only the models that it holds.
 const ZONE_COST: f64 = 0.8;
-/// Changes decided on in one plan, at least.
+/// Lower bound for the maximum number of changes in one plan.
 const MOVES: usize = 4;
-/// Time without a request after which a model counts as unused, and for which demand must have been watched.
+/// Time without a request after which a model counts as unused; demand must have been observed for at least as
+/// long.
 const UNUSED: Duration = Duration::from_secs(2);
-/// Time in vain after which callers of a model without any copy get one in place of the last copy of a model that nobody asks
-/// for, where further copies of others have taken the room that all models have: those callers are being refused.
+/// Waiting time after which a model without any copy may replace the last copy of an unused model. This applies
+/// where all models would have room, but further copies of other models have taken it; the waiting callers are
+/// being refused meanwhile.
 const OVERDUE: Duration = Duration::from_secs(2);
-/// Models in one line of the log.
+/// Maximum number of models in one log record.
 const MODELS_LOGGED: usize = 8;
 
-/// What a plan is made from.
+/// Input of a plan.
 #[derive(Clone, Debug)]
 pub struct View<'a> {
-    /// The sizes.
+    /// Configuration of the pool: sizes, load times and limits of its models and engines.
     pub pool: &'a Pool,
-    /// The engines.
+    /// Engines of the pool.
     pub spots: Vec<Spot>,
-    /// How much each model is asked for.
+    /// Smoothed demand by model.
     pub demand: BTreeMap<Name, Trend>,
-    /// Loads from the weight store that may begin now.
+    /// Number of loads from the weight store that may begin now.
     pub cold_left: usize,
-    /// Loads from the weight store under way.
+    /// Number of loads from the weight store under way.
     pub cold_running: usize,
-    /// How long demand has been watched.
+    /// Time for which demand has been observed.
     pub watched: Duration,
     /// Time from one plan to the next.
     pub every: Duration,
-    /// Now.
+    /// Current time.
     pub now: Time,
-    /// Mechanisms that are switched off.
+    /// Mechanisms that are disabled.
     pub without: &'a [Mechanism],
 }
 
-/// An engine, as a plan sees it.
+/// State of an engine at the time of a plan.
 #[derive(Clone, Debug, Default)]
 pub struct Spot {
-    /// Its id.
+    /// Id of the engine.
     pub engine: Name,
-    /// Whether it serves and will go on to.
+    /// Whether it serves requests and is expected to continue.
     pub usable: bool,
-    /// Whether it has named a limit of requests a second: what it holds serves little, and it is to get no more.
+    /// Whether it has announced a limit of requests per second. Its copies serve few requests, and it gets no
+    /// further copies.
     pub limited: bool,
-    /// Whether it can be given an order.
+    /// Whether it can accept an order now.
     pub idle: bool,
-    /// What it holds.
+    /// Copies at the engine, present or expected, with their phases.
     pub copies: Vec<(Name, Phase)>,
-    /// Models whose copies have not been ready for long enough to have earned their loads.
+    /// Models whose copies have been ready for less than their minimum residence time.
     pub young: Vec<Name>,
-    /// Memory that nothing takes, in MB.
+    /// Free memory, in MB.
     pub free_mb: f64,
-    /// Copies of weights that it can load without the weight store.
+    /// Weights that it can load without the weight store.
     pub cached: Cached,
-    /// Requests under way there.
+    /// Number of requests under way at the engine.
     pub open: u32,
-    /// Its availability zone.
+    /// Availability zone of the engine.
     pub zone: Name,
 }
 
 impl Spot {
-    /// Whether it holds a model, or will.
+    /// Whether it holds a model or is expected to.
     fn holds(&self, model: &Name) -> bool {
         self.copies.iter().any(|(held, _)| held == model)
     }
 }
 
-/// A change at one engine.
+/// A change of the copies at one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
-    /// The engine.
+    /// Id of the engine.
     pub engine: Name,
-    /// The model that makes way.
+    /// Model to drop.
     pub drop: Option<Name>,
-    /// The model that comes.
+    /// Model to load.
     pub load: Option<Name>,
 }
 
-/// What is to be changed now.
+/// Returns the changes to make now, the most useful first.
 #[must_use]
 pub fn moves(view: View<'_>) -> Vec<Move> {
     let most = view.moves_max();
@@ -117,37 +121,37 @@
     out
 }
 
-/// A view, with the copies in it counted, to which decided changes are added.
+/// The input of a plan with counted copies; each decided change is applied to both.
 #[derive(Debug)]
 struct Placer<'a> {
     view: View<'a>,
     tally: Tally,
     worths: Worths,
-    /// Whether there are more models than the engines have places for.
+    /// Whether the engines lack room for all models.
     short: bool,
 }
 
-/// An engine that can take an order.
+/// An engine that can accept an order.
 #[derive(Debug)]
 struct Offer<'a> {
     spot: &'a Spot,
-    /// Copies that may make way there, the one that is worth least first.
+    /// Copies that may be dropped there, by increasing utility.
     victims: Vec<Victim<'a>>,
 }
 
-/// A copy that may make way.
+/// A copy that may be dropped.
 #[derive(Debug)]
 struct Victim<'a> {
     model: &'a Name,
     memory_mb: f64,
-    /// What it is worth.
+    /// Utility lost when the copy is dropped.
     lost: f64,
-    /// Whether it makes way only for a model whose callers have waited in vain for long.
+    /// Whether it may be dropped only for a model whose callers have waited for at least `OVERDUE`.
     only_overdue: bool,
 }
 
 impl Offer<'_> {
-    /// The copy that is worth least of those that make enough room, and what it is worth.
+    /// The copy with the lowest utility whose removal frees enough memory, and that utility.
     fn victim(&self, memory_mb: f64, overdue: bool) -> Option<(Option<&Name>, f64)> {
         let enough = |victim: &&Victim<'_>| {
             (overdue || !victim.only_overdue) && self.spot.free_mb + victim.memory_mb >= memory_mb
@@ -161,23 +165,26 @@
         self.demand.get(model).map_or(0.0, |trend| trend.busy)
     }
 
-    /// Changes decided on in this plan, at most: those that the weight store serves until the next one.
+    /// Maximum number of changes in this plan: the number of loads that the weight store serves until the next
+    /// plan.
     fn moves_max(&self) -> usize {
         let served = self.pool.loads_per_s * self.every.as_secs_f64();
         (served.ceil() as usize).max(MOVES)
     }
 
-    /// Whether so little is known of demand that no copy should make way for a model that nobody waits for: one that has
-    /// just begun to plan takes the busiest models for quiet ones. Before there is any demand, nothing else matters.
+    /// Whether demand has been observed for too short a time to drop a copy for a model that nobody waits for:
+    /// an entry VM that has just begun to plan would mistake the busiest models for unused ones. Before the
+    /// first request this does not matter.
     fn is_new_to_demand(&self) -> bool {
         let watched = !self.watched.is_zero() && self.watched < UNUSED;
         watched && !self.without.contains(&Mechanism::WatchedDrops)
     }
 
-    /// Whether another load from the weight store would take as long as is declared. The store serves as many at once as
-    /// its rate and the time of a load come to (Little's law); each beyond them makes all slower, so that the model
-    /// that is needed most comes later. With six at once where two are served, the busiest model's three copies were there
-    /// after 2 to 4.5 s and not after 1.2 s, by a log with a line a second.
+    /// Whether another load from the weight store would finish within its declared time. The number of loads
+    /// that the store serves at once is the product of its rate and the time of one load (Little's law). Each
+    /// load beyond that slows down all others, so that the model that is needed most arrives later. With six
+    /// loads at once where two are served, the three copies of the busiest model were ready after 2 to 4.5 s
+    /// instead of 1.2 s, as seen in a log with one record per second.
     fn cold_is_fast(&self, model: &Name) -> bool {
         if self.without.contains(&Mechanism::BoundedLoads) {
             return true;
@@ -186,13 +193,13 @@
         (self.cold_running as f64) < (self.pool.loads_per_s * load_s).max(1.0)
     }
 
-    /// Whether nobody has asked for a model for a while, though others were asked for.
+    /// Whether a model has had no request for a while although demand was observed.
     fn unused(&self, model: &Name) -> bool {
         let asked = self.demand.get(model).and_then(|trend| trend.asked);
         self.watched >= UNUSED && asked.is_none_or(|at| self.now.since(at) >= UNUSED)
     }
 
-    /// What is logged of it.
+    /// Log record of the placement.
     pub(crate) fn record(&self, service: &Name) -> Record {
         let tally = Tally::of(&self.spots);
         let placed = |model: &Model| Placed {
@@ -225,7 +232,7 @@
         Self { tally: Tally::of(&view.spots), worths, short, view }
     }
 
-    /// The change that helps most.
+    /// The change with the highest utility.
     fn next(&self) -> Option<Move> {
         let mut wanted: Vec<(&Name, f64)> = Vec::new();
         for model in &self.view.pool.models {
@@ -242,13 +249,13 @@
         wanted.iter().find_map(|(model, worth)| self.place(&offers, model, *worth))
     }
 
-    /// Engines that can take an order, each with what makes way there most easily.
+    /// Engines that can accept an order, each with the copies that may be dropped there.
     fn offers(&self) -> Vec<Offer<'_>> {
         let spots = self.view.spots.iter().filter(|spot| spot.usable && spot.idle && !spot.limited);
         spots.map(|spot| Offer { spot, victims: self.victims(spot) }).collect()
     }
 
-    /// The best place for another copy of a model.
+    /// The best engine for another copy of a model, if there is one.
     fn place(&self, offers: &[Offer<'_>], model: &Name, worth: f64) -> Option<Move> {
         let memory_mb = self.worths.memory_mb(model);
         let missing = self.tally.expected(model) == 0;
@@ -256,7 +263,7 @@
             if missing { self.view.cold_left } else { ledger::beyond_reserve(self.view.cold_left) };
         let from_store = cold_left > 0 && self.view.cold_is_fast(model);
         let waited_for = self.view.demand.get(model).is_some_and(|trend| trend.waiting > 0);
-        // Where not all models have room, one that nobody asks for takes none from others.
+        // If the engines lack room for all models, a model that nobody waits for does not replace another.
         let spared = missing && !waited_for && (self.short || self.view.is_new_to_demand());
         let overdue = missing && waited_for && self.worths.starved(model) >= OVERDUE;
         let mut best: Option<(f64, &Offer<'_>, Option<&Name>)> = None;
@@ -286,7 +293,7 @@
         })
     }
 
-    /// The copies at an engine that may make way, with what they are worth, the least first.
+    /// The copies at an engine that may be dropped, by increasing utility.
     fn victims<'b>(&self, spot: &'b Spot) -> Vec<Victim<'b>> {
         let mut victims = Vec::with_capacity(spot.copies.len());
         for (model, phase) in &spot.copies {
@@ -307,7 +314,7 @@
         victims
     }
 
-    /// A copy that nobody uses, at an engine without room for any other model.
+    /// The removal of an unused copy at an engine that lacks room for the largest model.
     fn spare(&self) -> Option<Move> {
         if self.view.without.contains(&Mechanism::EarlyDrop) {
             return None;
@@ -326,7 +333,7 @@
         None
     }
 
-    /// Takes a change as done.
+    /// Applies a change to the input and the counts.
     fn carry(&mut self, step: &Move) {
         let Self { view, tally, .. } = self;
         let Some(spot) = view.spots.iter_mut().find(|spot| spot.engine == step.engine) else {
@@ -349,7 +356,7 @@
     }
 }
 
-/// Where an engine gets a model's weights from.
+/// The source from which an engine loads a model's weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     Memory,
@@ -358,7 +365,7 @@
 }
 
 impl Source {
-    /// How much it speaks against a place, in copies needed.
+    /// Cost of placing a copy that is loaded from this source, in copies needed.
     const fn cost(self) -> f64 {
         match self {
             Self::Memory => 0.0,
--- a/fleet/src/place/worth.rs
+++ b/fleet/src/place/worth.rs
@@ -1,8 +1,9 @@
-//! What copies of models are worth, in copies needed: one measure for first, further and last copies.
+//! Utility of copies of models, in copies needed: one measure for first, further and last copies.
 //!
-//! A model needs as many copies as keep each engine's time for reading and its slots within bounds. Requests that find no
-//! slot at all count many times, whether their model has no copy or too few. Where models have no room beside each other,
-//! a copy comes if it is worth more than the one that makes way.
+//! A model needs enough copies to keep the time that each engine spends on reading its prompts, and the slots
+//! in use, within bounds. Requests that find no slot at all have a higher weight, whether their model has no
+//! copy or too few. Where the engines lack room for all models, a copy is loaded if its utility is higher than
+//! that of the copy it replaces.
 
 use std::time::Duration;
 
@@ -11,49 +12,50 @@
 
 use crate::place::View;
 
-/// Part of its time for which a copy's engine should read the model's prompts at most: streams stand still
-/// meanwhile.
+/// Maximum fraction of its time that an engine should spend on reading the prompts of one model: its streams
+/// stall meanwhile.
 const READING_PER_COPY: f64 = 0.08;
-/// Part of its slots that a copy should take at most.
+/// Maximum fraction of an engine's slots that one copy should use.
 const SLOTS_PER_COPY: f64 = 0.3;
-/// How much more a request counts that finds no slot than one that finds a busy engine.
+/// Weight of a request that finds no slot, relative to one that finds a busy engine.
 const UNSERVED: f64 = 10.0;
-/// What a model without any copy needs if nobody asks for it, in copies.
+/// Copies needed by a model that has no copy and no demand.
 const UNASKED_NEED: f64 = 0.3;
-/// Time in vain after which callers of a model without any copy count twice.
+/// Waiting time after which the callers of a model without any copy have twice their weight.
 const TURN: Duration = Duration::from_secs(1);
-/// What the last copy of a model that nobody asks for is worth where not all models have room, in copies needed: less
-/// than one caller of a model without any copy, and more than a model with enough copies.
+/// Utility of the last copy of an unused model where the engines lack room for all models, in copies needed:
+/// less than that of a copy for one waiting caller of a model without any, more than that of a further copy for
+/// a model that has enough.
 const UNUSED_WORTH: f64 = 1.0;
 
-/// The models of a pool, with what their copies are worth.
+/// Utility of the copies of each model of a pool.
 #[derive(Debug)]
 pub(crate) struct Worths {
     by_model: FxHashMap<Name, Model>,
-    /// Slots of an engine.
+    /// Slots per engine.
     slots: f64,
-    /// The memory of the largest model, in MB.
+    /// Memory of the largest model, in MB.
     pub(crate) largest_mb: f64,
-    /// The memory of any copy that the pool does not name: as much as anything may take, in MB.
+    /// Memory assumed for a model that the pool does not list, in MB: the whole memory of an engine.
     unknown_mb: f64,
 }
 
-/// A model, and how much it is asked for.
+/// Size of a model, and the demand for it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Model {
     memory_mb: f64,
     /// Requests under way or waiting.
     busy: f64,
-    /// Copies that it should have.
+    /// Number of copies that it should have.
     need: f64,
-    /// For how long callers have waited in vain.
+    /// Time for which requests have waited while none was served.
     starved: Duration,
-    /// Whether nobody has asked for it for a while.
+    /// Whether there has been no request for a while.
     unused: bool,
 }
 
 impl Worths {
-    /// What the copies of a view's models are worth.
+    /// Computes the utilities of the models in the input of a plan.
     pub(crate) fn of(view: &View<'_>) -> Self {
         let slots = f64::from(view.pool.slots.max(1));
         let model = |model: &crate::config::Model| {
@@ -73,25 +75,25 @@
         self.by_model.get(model).copied().unwrap_or_default()
     }
 
-    /// Whether the pool names a model.
+    /// Whether the pool lists a model.
     pub(crate) fn names(&self, model: &Name) -> bool {
         self.by_model.contains_key(model)
     }
 
-    /// The memory that a copy takes, in MB.
+    /// Memory of a copy, in MB.
     pub(crate) fn memory_mb(&self, model: &Name) -> f64 {
         self.by_model.get(model).map_or(self.unknown_mb, |model| model.memory_mb)
     }
 
-    /// The mean memory of a copy, in MB.
+    /// Mean memory of a copy, in MB.
     pub(crate) fn mean_mb(&self) -> f64 {
         let sum: f64 = self.by_model.values().map(|model| model.memory_mb).sum();
         sum / self.by_model.len().max(1) as f64
     }
 
-    /// What one more copy is worth beside so many others at engines that take any number of requests: the requests that find no slot
-    /// without it, and how busy the others are. Where the only ones are at engines in need, it counts like a first one that is
-    /// asked for.
+    /// Utility of one more copy beside `copies` others at engines without a rate limit: the requests that find
+    /// no slot without it, and the load of the others. If all other copies are at engines with a rate limit, it
+    /// counts like a first copy of a requested model.
     pub(crate) fn further(&self, model: &Name, copies: usize) -> f64 {
         let model = self.model(model);
         if copies == 0 {
@@ -102,27 +104,27 @@
         UNSERVED.mul_add(served / (self.slots * SLOTS_PER_COPY), model.need / copies as f64)
     }
 
-    /// What the first copy is worth. It grows with the time for which callers have waited in vain, so that each model that
-    /// is asked for gets its turn.
+    /// Utility of the first copy. It grows with the time for which callers have waited, so that each requested
+    /// model gets a copy eventually.
     pub(crate) fn first(&self, model: &Name) -> f64 {
         let model = self.model(model);
         let turns = 1.0 + model.starved.as_secs_f64() / TURN.as_secs_f64();
         UNSERVED * model.need.max(UNASKED_NEED) * turns
     }
 
-    /// What the last copy is worth where not all models have room.
+    /// Utility of the last copy where the engines lack room for all models.
     pub(crate) fn last(&self, model: &Name) -> f64 {
         let model = self.model(model);
         let least = if model.unused { UNUSED_WORTH } else { 0.0 };
         (UNSERVED * model.need).max(least)
     }
 
-    /// For how long callers of a model without any copy have waited in vain.
+    /// Time for which the callers of a model have waited while none was served.
     pub(crate) fn starved(&self, model: &Name) -> Duration {
         self.model(model).starved
     }
 
-    /// Whether nobody has asked for a model for a while, though others were asked for.
+    /// Whether a model has had no request for a while although demand was observed.
     pub(crate) fn unused(&self, model: &Name) -> bool {
         self.model(model).unused
     }
--- a/fleet/src/plan.rs
+++ b/fleet/src/plan.rs
@@ -1,8 +1,9 @@
-//! Placement: which models and adapters are to be where, decided by the holder of the lease.
+//! Periodic placement of models and adapters on engines, decided by the holder of the lease.
 //!
-//! It answers demand that moves to other models within seconds. Where there is room, each model keeps a copy at all times;
-//! beyond that, copies go from where they are worth least to where they are worth most. A copy that nobody uses and that is
-//! not the last is dropped ahead of need, so that the next load need not wait for it.
+//! Placement follows demand, which moves to other models within seconds. If there is room, each model keeps one
+//! copy at all times. Further copies move from where their utility is lowest to where it is highest. A copy
+//! that is unused and not the last of its model is dropped in advance, so that the next load does not have to
+//! wait for the unload.
 
 use std::time::Duration;
 
@@ -20,11 +21,11 @@
 use crate::state::State;
 use crate::timer::Timer;
 
-/// Times of its load for which a copy stays at least where models have no room beside each other: an engine then spends no
-/// more than a third of its time on loads.
+/// Minimum residence time of a copy as a multiple of its load time, where the engines lack room for all models:
+/// an engine then spends at most a third of its time on loads.
 const EARNED: u32 = 2;
 
-/// A plan is due.
+/// Makes the next plan and sends the orders that follow from it.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.timers.set(now + state.settings.plan_every, Timer::Plan);
     if state.lease.holds(now).is_none() {
@@ -32,7 +33,7 @@
     }
     ledger::sync(state, now);
     take_in(state, now);
-    // A timer that fired while the lease was not held, or the engine not listed, did nothing.
+    // A timer that fired while this process did not hold the lease or the engine was not listed had no effect.
     let managed: Vec<Name> = state.engines.keys().cloned().collect();
     for id in &managed {
         ledger::check(state, now, id, out);
@@ -54,7 +55,7 @@
     }
 }
 
-/// Takes in what all entry VMs have under way.
+/// Updates the aggregated demand from the counters of all entry VMs.
 fn take_in(state: &mut State, now: Time) {
     let own = state.demand.take();
     for demand in &own {
--- a/fleet/src/tally.rs
+++ b/fleet/src/tally.rs
@@ -1,4 +1,4 @@
-//! Copies of models, counted by how far they are and by availability zone.
+//! Counts of the copies of models by phase and by availability zone.
 
 use boragecove_core::name::Name;
 use rustc_hash::FxHashMap;
@@ -6,12 +6,12 @@
 use crate::engine::Phase;
 use crate::place::Spot;
 
-/// The copies at engines that serve and will go on to.
+/// Counts of the copies at usable engines.
 #[derive(Debug, Default)]
 pub(crate) struct Tally {
     by_model: FxHashMap<Name, Count>,
     by_zone: FxHashMap<(Name, Name), usize>,
-    /// Those of the copies that are at engines in need.
+    /// Counts of the copies at engines with a rate limit.
     limited: FxHashMap<Name, Count>,
 }
 
@@ -33,7 +33,7 @@
 }
 
 impl Tally {
-    /// Counts all copies.
+    /// Counts the copies at all usable engines.
     pub(crate) fn of(spots: &[Spot]) -> Self {
         let mut tally = Self::default();
         for spot in spots.iter().filter(|spot| spot.usable) {
@@ -47,13 +47,13 @@
         tally
     }
 
-    /// Counts one more.
+    /// Adds a copy.
     pub(crate) fn add(&mut self, model: &Name, phase: Phase, zone: &Name) {
         *self.by_model.entry(model.clone()).or_default().of(phase) += 1;
         *self.by_zone.entry((model.clone(), zone.clone())).or_default() += 1;
     }
 
-    /// Counts one less.
+    /// Removes a copy.
     pub(crate) fn remove(&mut self, model: &Name, phase: Phase, zone: &Name) {
         if let Some(count) = self.by_model.get_mut(model) {
             let count = count.of(phase);
@@ -68,40 +68,40 @@
         self.by_model.get(model).copied().unwrap_or_default()
     }
 
-    /// Copies that serve.
+    /// Number of ready copies.
     pub(crate) fn ready(&self, model: &Name) -> usize {
         self.count(model).ready
     }
 
-    /// Copies that are being loaded.
+    /// Number of copies that are being loaded.
     pub(crate) fn loading(&self, model: &Name) -> usize {
         self.count(model).loading
     }
 
-    /// Copies that are being dropped.
+    /// Number of copies that are being dropped.
     pub(crate) fn closing(&self, model: &Name) -> usize {
         self.count(model).closing
     }
 
-    /// Copies that serve or soon will.
+    /// Number of copies that are ready or being loaded.
     pub(crate) fn expected(&self, model: &Name) -> usize {
         let count = self.count(model);
         count.ready + count.loading
     }
 
-    /// Those of them that are at engines that take any number of requests.
+    /// Number of copies that are ready or being loaded at engines without a rate limit.
     pub(crate) fn expected_free(&self, model: &Name) -> usize {
         let limited = self.limited.get(model).copied().unwrap_or_default();
         self.expected(model).saturating_sub(limited.ready + limited.loading)
     }
 
-    /// Copies that serve at engines that take any number of requests.
+    /// Number of ready copies at engines without a rate limit.
     pub(crate) fn ready_free(&self, model: &Name) -> usize {
         let limited = self.limited.get(model).copied().unwrap_or_default();
         self.ready(model).saturating_sub(limited.ready)
     }
 
-    /// Copies in an availability zone.
+    /// Number of copies in an availability zone.
     pub(crate) fn in_zone(&self, model: &Name, zone: &Name) -> usize {
         self.by_zone.get(&(model.clone(), zone.clone())).copied().unwrap_or_default()
     }
--- a/fleet/tests/adapter_copies.rs
+++ b/fleet/tests/adapter_copies.rs
@@ -1,4 +1,4 @@
-//! Adapters get copies at more engines when those that hold them are crowded.
+//! An adapter is loaded at further engines when those that hold it are crowded.
 
 mod node;
 
@@ -9,8 +9,8 @@
 use boragecove_fleet::order::Order;
 use node::{Node, WRITER, config, entry, listing, millis, orders, row};
 
-/// The holder of the lease. Of two engines that hold a model, one holds its adapter `a7` too, and other models need
-/// nothing.
+/// The holder of the lease. Two engines hold model `m0`, and one of them also holds its adapter `a7`. No model
+/// needs another copy.
 fn hub() -> Node {
     let mut hub = Node::bare("hub");
     hub.feed(Event::Configured(std::sync::Arc::new(config(1))));
@@ -28,7 +28,7 @@
     hub
 }
 
-/// Another entry VM has this many requests for the adapter under way at `w1`.
+/// A frame of another entry VM that has `open` requests for the adapter under way at `w1`.
 fn frame(open: u32) -> Event {
     let target = Target { service: WRITER.into(), model: "m0".into(), adapter: Some("a7".into()) };
     Event::Framed(Box::new(Frame {
@@ -47,19 +47,19 @@
 }
 
 #[test]
-fn crowded_gets_another() {
+fn crowded_adapter_gets_another_copy() {
     let order = Order::LoadAdapter { model: "m0".into(), adapter: "a7".into() };
     assert_eq!(adapters_ordered(&mut hub(), 8), [("w2".to_owned(), order)], "all 8 slots of w1 are taken");
 }
 
 #[test]
-fn room_needs_none() {
+fn free_slots_need_no_copy() {
     assert_eq!(adapters_ordered(&mut hub(), 1), []);
 }
 
 #[test]
-fn one_on_its_way() {
+fn ordered_copy_is_awaited() {
     let mut hub = hub();
     assert_eq!(adapters_ordered(&mut hub, 8).len(), 1);
-    assert_eq!(adapters_ordered(&mut hub, 9), [], "the copy that was ordered may relieve it");
+    assert_eq!(adapters_ordered(&mut hub, 9), [], "the ordered copy may relieve w1");
 }
--- a/fleet/tests/adapter_waits.rs
+++ b/fleet/tests/adapter_waits.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for adapters, at many entry VMs at once: each adapter is brought, and whoever waits for it learns so.
+//! Requests at many entry VMs that wait for adapters: each adapter is loaded, and each waiting entry VM is
+//! informed.
 
 mod node;
 
@@ -21,7 +22,8 @@
     streamed,
 };
 
-/// The holder of the lease. Two engines hold `m0` and `m1`, two others `m2` and `m3`, and nothing is to be moved.
+/// The holder of the lease. Two engines hold `m0` and `m1`, two others `m2` and `m3`, and no model is to be
+/// moved.
 fn hub() -> Node {
     leader(vec![
         row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"])),
@@ -31,7 +33,7 @@
     ])
 }
 
-/// The holder of the lease, where each model is at one engine.
+/// The holder of the lease; each model is at one engine.
 fn single() -> Node {
     leader(vec![
         row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"])),
@@ -39,7 +41,7 @@
     ])
 }
 
-/// The holder of the lease of these engines, which have room for eight adapters each.
+/// The holder of the lease with these engines, each with room for eight adapters.
 fn leader(rows: Vec<Row>) -> Node {
     let mut hub = Node::bare("hub");
     let mut config = config(1);
@@ -58,7 +60,7 @@
     hub
 }
 
-/// Requests for these adapters of `m0` arrive and wait.
+/// Requests for these adapters of `m0` arrive and wait. Returns them and the orders that were sent.
 fn ask(hub: &mut Node, adapters: &[&str]) -> (Vec<Id>, Vec<Dispatch>) {
     let mut sent = Vec::new();
     let requests = adapters.iter().map(|adapter| {
@@ -70,7 +72,7 @@
     (requests, sent)
 }
 
-/// An engine accepts an order. Returns the orders that follow.
+/// The engine accepts an order. Returns the orders that follow.
 fn accept(hub: &mut Node, dispatch: &Dispatch) -> Vec<Dispatch> {
     hub.feed(Event::Ordered {
         engine: dispatch.engine.clone(),
@@ -88,7 +90,7 @@
     Target { service: WRITER.into(), model: model.into(), adapter: Some(adapter.into()) }
 }
 
-/// What an entry VM says whose callers wait for these adapters.
+/// A frame of an entry VM whose requests wait for these adapters.
 fn waiting(vm: &str, targets: &[(&str, &str)]) -> Event {
     let demand = |(model, adapter): &(&str, &str)| Demand {
         target: target(model, adapter),
@@ -100,10 +102,11 @@
     Event::Framed(Box::new(Frame { vm: vm.into(), demand, ..Frame::default() }))
 }
 
-/// The load of hundreds of entry VMs whose callers wait: each frame made the leader look for places for what all of them wait
-/// for, until it stood still.
+/// Hundreds of entry VMs have waiting requests. Each frame once made the leader search engines for all adapters
+/// that any entry VM waited for, which overloaded it. A frame must trigger the search for its own adapters
+/// only.
 #[test]
-fn frame_seeks_its_own() {
+fn frame_places_its_own_adapters_only() {
     let mut hub = hub();
     for vm in 0..200 {
         let (model, adapter) = (format!("m{}", vm % 4), format!("a{}", vm % 9 + 1));
@@ -111,16 +114,16 @@
     }
     let before = hub.state.places_sought();
     hub.feed(waiting("vm-200", &[("m0", "a7")]));
-    assert_eq!(hub.state.places_sought() - before, 1, "one adapter is waited for by that frame");
+    assert_eq!(hub.state.places_sought() - before, 1, "that frame waits for one adapter");
     let before = hub.state.places_sought();
     hub.arrive(streamed("/brief/1", "m1", Some("a8")));
-    assert_eq!(hub.state.places_sought() - before, 1, "and one by a request that comes to the leader");
+    assert_eq!(hub.state.places_sought() - before, 1, "a request at the leader waits for one");
 }
 
-/// Adapters that come to one engine one after the other: only the first was told of, and the others stayed on their way for all
-/// until something else happened there.
+/// Several adapters are loaded at one engine in sequence. Only the first was published, and the others counted
+/// as loading until the next event at that engine.
 #[test]
-fn each_is_told() {
+fn each_ready_adapter_is_published() {
     let mut hub = single();
     let (requests, mut sent) = ask(&mut hub, &["a1", "a2", "a3"]);
     let mut effects = Vec::new();
@@ -133,26 +136,28 @@
     for request in requests {
         assert!(
             is_sent(&effects, request),
-            "{request:?}: its adapter was there 20 ms after the order was accepted"
+            "{request:?}: its adapter was ready 20 ms after the order was accepted"
         );
     }
 }
 
-/// The lease is over for a moment, and renewed: an adapter that came meanwhile stayed on its way for all.
+/// The lease expires briefly and is renewed. An adapter that became ready meanwhile counted as loading for
+/// good.
 #[test]
-fn told_after_a_lapse() {
+fn published_after_lease_lapse() {
     let mut hub = single();
     let (requests, sent) = ask(&mut hub, &["a1"]);
     hub.now = hub.now + Settings::default().lease_length;
     accept(&mut hub, &sent[0]);
     hub.pass(millis(50));
-    assert_eq!(hub.state.lease().holds(hub.now), None, "the store has not taken the renewal");
+    assert_eq!(hub.state.lease().holds(hub.now), None, "the store has not accepted the renewal");
     hub.lease(3_000, Outcome::Written(101));
     let effects = hub.pass(millis(300));
-    assert!(is_sent(&effects, requests[0]), "it is told with the next plan");
+    assert!(is_sent(&effects, requests[0]), "the next plan publishes the adapter");
 }
 
-/// An order is not answered while its engine wants nothing: what the engine holds was never asked, and it got no order any more.
+/// An order is not answered while its engine has asked for a pause. The engine was never asked for a report,
+/// and got no further orders.
 #[test]
 fn paused_engine_is_asked() {
     let mut hub = single();
@@ -164,12 +169,13 @@
     hub.feed(Event::Ordered { engine: engine.clone(), incarnation, receipt: None });
     let effects = hub.pass(millis(800));
     let asked = |effect: &Effect| matches!(effect, Effect::Report { engine: of, .. } if *of == engine);
-    assert!(effects.iter().any(asked), "an order that was not answered may have been carried out");
+    assert!(effects.iter().any(asked), "an unanswered order may have been carried out");
 }
 
-/// An engine is gone from the list, and back before the next plan: what came meanwhile stayed on its way for all.
+/// An engine disappears from the list and returns before the next plan. An adapter that became ready meanwhile
+/// counted as loading for good.
 #[test]
-fn told_of_one_that_is_back() {
+fn published_when_engine_returns() {
     let mut hub = single();
     let (_, sent) = ask(&mut hub, &["a1"]);
     accept(&mut hub, &sent[0]);
@@ -178,12 +184,13 @@
     hub.feed(listing(vec![row(4, entry("w1", WRITER, "zone-a", &["m0", "m1"]))], 4, false));
     hub.pass(millis(300));
     let later = hub.arrive(streamed("/brief/1", "m0", Some("a1")));
-    assert!(hub.step(later).is_some_and(|step| matches!(step, Step::Send(_))), "it is there");
+    assert!(hub.step(later).is_some_and(|step| matches!(step, Step::Send(_))), "the adapter is ready");
 }
 
-/// Six adapters for one engine at once: an engine fetches four, and the orders for the others were dropped until the next plan.
+/// Six adapters are ordered for one engine at once. An engine loads four at a time, and the orders for the
+/// others were dropped until the next plan.
 #[test]
-fn more_than_are_fetched() {
+fn more_adapters_than_parallel_loads() {
     let mut hub = single();
     let (requests, mut sent) = ask(&mut hub, &["a1", "a2", "a3", "a4", "a5", "a6"]);
     let mut effects = Vec::new();
@@ -202,7 +209,7 @@
     }
 }
 
-/// What an entry VM that is not the hub has told it last.
+/// The last frame that an entry VM has sent to the hub.
 fn told(effects: &[Effect]) -> Option<&Frame> {
     effects.iter().rev().find_map(|effect| match effect {
         Effect::Frame { frame, .. } => Some(&**frame),
@@ -210,13 +217,13 @@
     })
 }
 
-/// The adapters that a frame says are waited for.
+/// The adapters that a frame reports as waited for.
 fn waited_for(frame: &Frame) -> Vec<&str> {
     let waiting = frame.demand.iter().filter(|demand| demand.waiting > 0);
     waiting.filter_map(|demand| demand.target.adapter.as_deref()).collect()
 }
 
-/// An entry VM of so many, which knows its hub.
+/// One of `nodes` entry VMs, connected to its hub.
 fn follower(nodes: u32) -> Node {
     let mut node = Node::ready("a");
     node.pass(millis(10));
@@ -231,51 +238,52 @@
     Event::Replied(Some(Box::new(reply)))
 }
 
-/// A request begins to wait while a frame is under way: the hub was told 1.5 s later, with the next one, where there are hundreds of
-/// entry VMs.
+/// A request begins to wait while a frame is under way. The hub learned of it only with the next regular frame,
+/// 1.5 s later with hundreds of entry VMs.
 #[test]
-fn wait_behind_a_frame() {
+fn wait_during_a_frame() {
     let mut node = follower(295);
     node.arrive(streamed("/brief/1", "m0", Some("a1")));
     assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1"]), "no frame is under way");
     node.arrive(streamed("/brief/1", "m0", Some("a2")));
-    assert_eq!(told(&node.effects), None, "one is under way");
+    assert_eq!(told(&node.effects), None, "a frame is under way");
     node.feed(replied(295));
-    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1", "a2"]), "the hub knows nothing of a2");
+    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1", "a2"]), "the hub has not been informed of a2");
     node.feed(replied(295));
-    assert_eq!(told(&node.effects), None, "the hub knows of both");
+    assert_eq!(told(&node.effects), None, "the hub has been informed of both");
 }
 
-/// A refusal as absent is told once: with a frame that was lost, the hub never asked the engine.
+/// An engine's refusal as absent was reported to the hub once. If that frame was lost, the hub never asked the
+/// engine.
 #[test]
 fn refusal_in_a_lost_frame() {
     let mut node = follower(3);
     let (request, attempt) = node.sent(streamed("/brief/1", "m1", None));
     node.ended(request, attempt.number, End::Refused(Cause::Absent));
-    let frame = told(&node.effects).expect("it waits, and says so");
+    let frame = told(&node.effects).expect("a frame reports the waiting request");
     assert_eq!(frame.absent.len(), 1);
     node.feed(Event::Replied(None));
     let next = node.pass(Duration::from_secs(2));
     let next = told(&next).expect("the next frame is due");
-    assert_eq!(next.absent.len(), 1, "the hub may not have heard of it");
+    assert_eq!(next.absent.len(), 1, "the hub may not have received the refusal");
 }
 
-/// Two adapters are waited for, and the hub's answer brings one: the other was told of with the next interval, 1.5 s later where there
-/// are hundreds of entry VMs.
+/// Two adapters are waited for, and the hub's answer reports one as loaded. The other was reported again only
+/// with the next regular frame, 1.5 s later with hundreds of entry VMs.
 #[test]
-fn rest_of_the_waits() {
+fn remaining_waits_are_reported() {
     let mut node = follower(295);
     node.arrive(streamed("/brief/1", "m0", Some("a1")));
     node.arrive(streamed("/brief/1", "m0", Some("a2")));
     node.feed(replied(295));
     assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1", "a2"]));
     node.feed(brought("a1"));
-    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a2"]), "the hub is to hold its answer for a2");
+    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a2"]), "the hub is asked to hold its answer for a2");
     node.feed(replied(295));
-    assert_eq!(told(&node.effects), None, "that brought nothing");
+    assert_eq!(told(&node.effects), None, "that answer contained no adapter");
 }
 
-/// The hub's answer when an adapter of `m0` is at `w1`.
+/// The hub's answer that reports an adapter of `m0` at `w1`.
 fn brought(adapter: &str) -> Event {
     let copy = Copy { model: "m0".into(), phase: Phase::Ready, adapters: vec![adapter.into()] };
     let resident = Resident {
@@ -288,14 +296,14 @@
     Event::Replied(Some(Box::new(reply)))
 }
 
-/// The answer to a frame waits for what the frame waits for: it went out with whatever changed first, and the next frame was an
-/// interval away.
+/// The answer to a frame is held until one of the adapters that the frame waits for is ready. It was sent with
+/// the first change of any engine, and the next frame was a whole interval later.
 #[test]
-fn held_for_its_own() {
+fn answer_held_for_own_adapters() {
     let mut hub = single();
     let Event::Framed(frame) = waiting("vm-1", &[("m0", "a1")]) else { unreachable!() };
     let sent = orders(hub.feed(Event::Framed(frame.clone())));
-    assert!(boragecove_fleet::awaits(&hub.state, hub.now, &frame), "a1 is on its way");
+    assert!(boragecove_fleet::awaits(&hub.state, hub.now, &frame), "a1 is being loaded");
     let others = orders(hub.feed(waiting("vm-2", &[("m2", "a2")])));
     accept(&mut hub, &others[0]);
     let met = |hub: &Node, effects: &[Effect]| {
@@ -305,33 +313,33 @@
         })
     };
     let effects = hub.pass(millis(30));
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::Changed(_))), "a2 is there");
-    assert!(!met(&hub, &effects), "that is not what it waits for");
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::Changed(_))), "a2 is ready");
+    assert!(!met(&hub, &effects), "the frame does not wait for a2");
     accept(&mut hub, &sent[0]);
     let effects = hub.pass(millis(30));
-    assert!(met(&hub, &effects), "a1 is there");
-    assert!(!boragecove_fleet::awaits(&hub.state, hub.now, &frame), "nothing is on its way any more");
+    assert!(met(&hub, &effects), "a1 is ready");
+    assert!(!boragecove_fleet::awaits(&hub.state, hub.now, &frame), "no adapter is being loaded any more");
 }
 
-/// Nothing is held for what the hub cannot bring soon.
+/// An answer is not held if the hub cannot load the adapter soon.
 #[test]
-fn nothing_to_hold_for() {
+fn answer_not_held_without_load() {
     let mut hub = single();
     let awaits = |hub: &mut Node, model: &str, adapter: &str| {
         let Event::Framed(frame) = waiting("vm-1", &[(model, adapter)]) else { unreachable!() };
         hub.feed(Event::Framed(frame.clone()));
         boragecove_fleet::awaits(&hub.state, hub.now, &frame)
     };
-    assert!(awaits(&mut hub, "m0", "a1"), "it is on its way");
+    assert!(awaits(&mut hub, "m0", "a1"), "the adapter is being loaded");
     assert!(!awaits(&mut hub, "m9", "a1"), "no engine holds that model");
     hub.now = hub.now + Settings::default().lease_length;
-    assert!(!awaits(&mut hub, "m0", "a2"), "it may give no orders");
+    assert!(!awaits(&mut hub, "m0", "a2"), "the lease has expired, so no orders may be sent");
 }
 
-/// An engine answers an order while it is off the list for a moment: the order stayed under way for good, and the engine got no
-/// other one until the lease changed hands.
+/// An engine answers an order while it is briefly not listed. The order stayed under way, and the engine got no
+/// other one until the next change of the lease's holder.
 #[test]
-fn answered_while_gone() {
+fn order_answered_while_unlisted() {
     let mut hub = single();
     let (_, sent) = ask(&mut hub, &["a1"]);
     hub.feed(listing(vec![removed(3, "w1")], 3, false));
@@ -339,25 +347,26 @@
     hub.feed(listing(vec![row(4, entry("w1", WRITER, "zone-a", &["m0", "m1"]))], 4, false));
     hub.pass(millis(300));
     let (_, next) = ask(&mut hub, &["a2"]);
-    assert_eq!(next.len(), 1, "it can have the next order");
+    assert_eq!(next.len(), 1, "the engine accepts the next order");
 }
 
-/// All engines with a model are suspected, and one of them goes on to answer another request: those that waited for it were refused.
+/// All engines with a model are suspected of a failure, and one of them goes on to answer another request.
+/// Requests that waited for the model were refused.
 #[test]
-fn heard_again() {
+fn suspected_engine_answers_again() {
     let mut node = Node::ready("a");
     let (running, _) = node.sent(streamed("/brief/1", "m1", None));
     node.pass(millis(600));
     let waiting = node.arrive(streamed("/brief/1", "m1", None));
-    assert_eq!(node.step(waiting), None, "its only engine is silent");
+    assert_eq!(node.step(waiting), None, "the only engine does not answer");
     let effects = node.feed(began(running)).to_vec();
     assert!(is_sent(&effects, waiting), "the engine has answered");
 }
 
-/// The leader changes: what is known of each engine was forgotten with the first word of the new one, which knows nothing yet, and
-/// requests for adapters that are there waited until it had asked all engines and been asked again.
+/// The leader changes. The first message of the new leader, whose inventories were still empty, made the others
+/// discard theirs, and requests for loaded adapters waited until it had asked all engines.
 #[test]
-fn known_over_a_change() {
+fn inventory_survives_leader_change() {
     let mut node = follower(295);
     node.feed(brought("a1"));
     let (request, attempt) = node.sent(streamed("/brief/1", "m0", Some("a1")));
@@ -366,30 +375,30 @@
     let reply = Reply { leads: true, nodes: 295, listed: 4.into(), view, ..Reply::default() };
     node.feed(Event::Replied(Some(Box::new(reply))));
     let (_, attempt) = node.sent(streamed("/brief/1", "m0", Some("a1")));
-    assert_eq!(*attempt.engine, *"w1", "nobody gives orders for seconds, so that it is still there");
+    assert_eq!(*attempt.engine, *"w1", "no orders are sent for seconds after the change, so the adapter is still loaded");
 }
 
-/// A new leader knows what engines hold from the one before and from their entries, which name no adapters. It took the entries for
-/// the last word, and told everyone so, until each engine had been asked.
+/// A new leader starts from the inventories of its predecessor and from the engines' entries, which name no
+/// adapters. It took the entries for complete and published them until each engine had answered.
 #[test]
-fn known_to_the_next_leader() {
+fn next_leader_verifies_inventory() {
     let mut node = follower(3);
     node.feed(brought("a1"));
     node.pass(Duration::from_secs(4));
     node.lease(61_000, Outcome::Read(Some(hub_row())));
     node.lease(61_005, Outcome::Written(100));
-    assert!(node.state.lease().holds(node.now).is_some(), "it has the lease");
+    assert!(node.state.lease().holds(node.now).is_some(), "it holds the lease");
     let effects = node.pass(millis(300));
     let asks = |effect: &Effect| matches!(effect, Effect::Report { engine, .. } if **engine == *"w1");
-    assert!(effects.iter().any(asks), "it asks the engine");
+    assert!(effects.iter().any(asks), "the engine is asked for a report");
     let asker = Frame { vm: "b".into(), config: 1, listed: 4.into(), ..Frame::default() };
     let told = boragecove_fleet::reply(&mut node.state, node.now, &asker);
-    assert_eq!(told.residencies, [], "it has no answer yet");
+    assert_eq!(told.residencies, [], "the engine has not answered yet");
     let (_, attempt) = node.sent(streamed("/brief/1", "m0", Some("a1")));
     assert_eq!(*attempt.engine, *"w1");
     let held = vec![Held { model: "m0".into(), adapters: vec!["a2".into()] }];
     let report = Report { sequence: 7, held, ..Report::default() };
     node.feed(Event::Reported { engine: "w1".into(), report: Some(report) });
     let told = boragecove_fleet::reply(&mut node.state, node.now, &asker);
-    assert_eq!(told.residencies.len(), 1, "what the engine says is told");
+    assert_eq!(told.residencies.len(), 1, "the engine's report is published");
 }
--- a/fleet/tests/crash_storm.rs
+++ b/fleet/tests/crash_storm.rs
@@ -1,8 +1,8 @@
-//! Crashing requests among others, in a deployment where entry VMs restart and are suspended, connections break and engines
-//! come and go: drawn at random, on many seeds.
+//! Randomized simulation of crashing requests among others, in a deployment where entry VMs restart and are
+//! suspended, connections break, and engines come and go; run with many seeds.
 //!
-//! What must hold: three seconds after a request has ended its third engine, it ends three more at most. Others are served
-//! but for a few that were beside it twice.
+//! Requirement: from three seconds after the third crash under a request, it crashes at most three more
+//! engines. Other requests are served, except a few that ran at crashed engines twice.
 
 mod links;
 mod node;
@@ -25,16 +25,16 @@
 
 const VMS: usize = 9;
 const ENGINES: usize = 12;
-/// Time within which those that are in touch know what one of them has seen.
+/// Time within which all connected entry VMs learn what one of them has observed.
 const CONTACT: Duration = Duration::from_secs(3);
-/// Engines that a request may end after that, once three have ended under it.
+/// Maximum number of engines that a request may crash after that, once three have crashed under it.
 const LATER_MAX: usize = 3;
-/// How long an engine that crashed is gone.
+/// Time for which a crashed engine is gone.
 const DOWN: Duration = Duration::from_secs(2);
-/// From a run's beginning to its first event, and to its end.
+/// Time from the begin of a run to its first event, and to its end.
 const FIRST: Duration = Duration::from_millis(60);
 const WHOLE: Duration = Duration::from_millis(600);
-/// From the beginning of a crashing request's run to its engine's end.
+/// Time from the begin of a crashing request's run to the crash of its engine.
 const FUSE: Duration = Duration::from_millis(80);
 
 #[derive(Clone, Debug)]
@@ -52,17 +52,17 @@
 struct World {
     links: Links,
     rng: fastrand::Rng,
-    /// The store's version of the engines' table.
+    /// Version of the engines' table in the store.
     version: u64,
-    /// Engines that run, and when those that crashed are back under another id.
+    /// Running engines, and the times at which crashed engines return under another id.
     engines: BTreeSet<Name>,
     back: Vec<Time>,
     named: usize,
     runs: Vec<Run>,
     drawn: u64,
-    /// Times of the engines' ends under each poison.
+    /// Times of the crashes under each crashing request.
     ends: Vec<Vec<Time>>,
-    /// Requests that are at fault for nothing, and those of them that were refused for crashes.
+    /// Numbers of harmless requests, and of those that were refused because of crashes.
     sound: usize,
     wronged: usize,
 }
@@ -112,7 +112,7 @@
         self.sound += usize::from(poison.is_none());
     }
 
-    /// Does what an entry VM wants for requests.
+    /// Carries out the effects of an entry VM for requests.
     fn follow(&mut self, vm: usize, request: Id, text: &str, poison: Option<usize>, effects: &[Effect]) {
         for effect in effects {
             match effect {
@@ -151,7 +151,7 @@
         self.follow(run.vm, request, &run.text, run.poison, &effects);
     }
 
-    /// An engine's process ends: what runs there breaks, and its row goes later.
+    /// Crashes an engine: its runs break, and its row is removed later.
     fn crash(&mut self, engine: &Name, poison: Option<usize>) {
         self.engines.remove(engine);
         self.back.push(self.links.now + DOWN);
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Ten milliseconds.
+    /// Advances the simulation by ten milliseconds.
     fn tick(&mut self) {
         self.links.pass(millis(10));
         let now = self.links.now;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// A connection breaks, and its engine's port is open.
+    /// Breaks a random connection while the engine's port is open.
     fn reset(&mut self) {
         if self.runs.is_empty() {
             return;
@@ -218,7 +218,7 @@
         self.links.feed(run.vm, probed);
     }
 
-    /// The store learns that engines are gone: that takes some seconds.
+    /// Removes the rows of crashed engines, as the store does after some seconds.
     fn expire(&mut self) {
         for number in 1..=self.named {
             let id: Name = format!("w{number}").into();
@@ -233,7 +233,7 @@
     }
 }
 
-/// An entry VM that is asked for a way to an engine.
+/// An entry VM that is asked for a path to an engine.
 fn other() -> Relay {
     Relay { vm: "vm-other".into(), address: ([10, 0, 0, 9], 7_000).into() }
 }
@@ -262,7 +262,7 @@
         }
         match suspended {
             None if world.rng.f64() < 0.002 => {
-                // The hub now and then.
+                // Suspends the hub in half of the cases.
                 let at = if world.rng.bool() { 0 } else { world.rng.usize(..VMS) };
                 world.links.suspend(at, true);
                 suspended = Some((at, world.links.now + Duration::from_secs(1)));
@@ -279,10 +279,10 @@
         world.tick();
     }
     for (poison, ends) in world.ends.iter().enumerate() {
-        assert!(!ends.is_empty(), "seed {seed}: poison {poison} never came");
+        assert!(!ends.is_empty(), "seed {seed}: no crash under request {poison}");
         let Some(third) = ends.get(2) else { continue };
         let later = ends.iter().filter(|end| **end > *third + CONTACT).count();
-        assert!(later <= LATER_MAX, "seed {seed}: {later} ends later, {} in all", ends.len());
+        assert!(later <= LATER_MAX, "seed {seed}: {later} later crashes, {} in total", ends.len());
     }
     let allowed = 5 + world.sound / 500;
     assert!(world.wronged <= allowed, "seed {seed}: {} of {} refused", world.wronged, world.sound);
