--- a/fleet/tests/crashing_requests.rs
+++ b/fleet/tests/crashing_requests.rs
@@ -1,9 +1,11 @@
-//! Requests under which engines crash: what gets one quarantined, what clears it, and who knows of it.
+//! Requests under which engines crash: what quarantines a request, what clears it, and how other entry VMs
+//! learn of it.
 //!
-//! Seen: 18 engines of one service stopped answering, one after the other, each with up to 30 runs of all entry VMs. One
-//! path and body was part of seven of the nine ends whose log lines were left, and had not begun to answer in any; each
-//! of the others was part of one. It came in again under a new id each time, at every entry VM, and was sent once each time.
-//! Cause: a broken run was forgotten with its request, and nobody counted what the runs that broke had in common.
+//! Observed: 18 engines of one service crashed one after the other, each with up to 30 runs of all entry VMs.
+//! One path and body was among the runs of seven of the nine crashes whose logs were left, and its answer had
+//! not begun in any of them; each other request was among the runs of one crash. It arrived again under a new
+//! id each time, at every entry VM, and was sent once each time. Cause: a broken run was forgotten with its
+//! request, and nothing counted what the broken runs had in common.
 
 mod links;
 mod node;
@@ -29,22 +31,22 @@
     step_of, streamed,
 };
 
-/// A request for m0, which two engines hold, with this body.
+/// A request with this body for m0, which two engines hold.
 fn body(text: &str) -> Arrival {
     Arrival { fingerprint: Fingerprint::of(HOST, "/brief/1", text.as_bytes()), ..brief("m0") }
 }
 
-/// The same of a plain service, which needs no place in a schedule.
+/// A call with this body to a plain service, which needs no slot.
 fn call(text: &str) -> Arrival {
     Arrival { fingerprint: Fingerprint::of(HOST, "/ack/1", text.as_bytes()), ..plain("/ack/1") }
 }
 
-/// The engine of an attempt crashes under it.
+/// The engine of an attempt crashes.
 fn crash(node: &mut Node, id: Id, attempt: &Attempt) -> Vec<Effect> {
     lose(node, id, attempt, Reach::Closed)
 }
 
-/// An attempt's connection breaks, and its engine's port answers like this.
+/// The connection of an attempt breaks, and probes of its engine's port give `reach`.
 fn lose(node: &mut Node, id: Id, attempt: &Attempt, reach: Reach) -> Vec<Effect> {
     node.pass(millis(50));
     node.ended(id, attempt.number, End::Lost);
@@ -70,12 +72,12 @@
     })
 }
 
-/// Other entry VMs that are asked for what they see.
+/// Number of other entry VMs that are asked for a probe.
 fn asks(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::IndirectProbe { .. })).count()
 }
 
-/// All engines are well again.
+/// All engines run again.
 fn mend(node: &mut Node) {
     for engine in ["w1", "w2", "g1", "g2"] {
         node.feed(Event::Probed { engine: engine.into(), reach: Reach::Open });
@@ -103,7 +105,7 @@
     effects.iter().filter_map(message).collect()
 }
 
-/// A process that has been told of two others.
+/// A process that has two other entry VMs in its list of members.
 fn follower(vm: &str) -> Node {
     let mut node = Node::ready(vm);
     node.pass(millis(10));
@@ -128,16 +130,16 @@
 fn second_crash_quarantines() {
     let mut node = Node::ready("a");
     crash_under(&mut node, body("x"));
-    assert_eq!(quarantined(&node), 0, "one crash may be another's fault");
+    assert_eq!(quarantined(&node), 0, "another request may have caused one crash");
     crash_under(&mut node, body("x"));
     let refusal = node.refused(body("x"));
     assert_eq!((refusal.code, refusal.code.status()), (Code::CrashesBackends, 400));
-    assert_eq!(refusal.retry_after, None, "it is not invited back");
+    assert_eq!(refusal.retry_after, None, "no retry is suggested");
     node.sent(body("y"));
 }
 
 #[test]
-fn caller_is_told_that_it_may_have_run() {
+fn lost_run_is_refused_without_retry() {
     let mut node = Node::ready("a");
     let (id, attempt) = node.sent(body("x"));
     let Some(Step::Refuse(Refusal { code, retry_after })) = node.ended(id, attempt.number, End::Lost) else {
@@ -146,7 +148,8 @@
     assert_eq!((code, retry_after), (Code::BackendFailed, None));
 }
 
-/// What was beside the cause is sent anew and answered; from then on the crash says nothing against it.
+/// A request that merely ran at a crashed engine is sent again and answered; from then on that crash does not
+/// count against it.
 #[test]
 fn answer_clears() {
     let mut node = Node::ready("a");
@@ -158,7 +161,8 @@
     node.sent(body("beside"));
 }
 
-/// An engine that fails requests, perhaps before it runs them, says nothing for one: the next crash is its second.
+/// A failure from an engine, which may not have run the request, does not clear it: the next crash is its
+/// second.
 #[test]
 fn failure_clears_nothing() {
     let mut node = Node::ready("a");
@@ -169,9 +173,9 @@
     node.refused(body("x"));
 }
 
-/// What was sent before an answer cleared it says nothing afterwards, whatever becomes of its engine.
+/// A run that was sent before the request was cleared does not count afterwards, even if its engine crashes.
 #[test]
-fn older_runs_are_cleared_too() {
+fn runs_before_the_answer_do_not_count() {
     let mut node = Node::ready("a");
     crash_under(&mut node, body("x"));
     let (older, at_older) = node.sent(body("x"));
@@ -184,9 +188,10 @@
     assert_eq!(quarantined(&node), 0);
 }
 
-/// A request that crashes engines never begins to answer: a stream that has begun is another's victim.
+/// A request that crashes engines never begins to be answered: a stream that has begun was broken by another
+/// request.
 #[test]
-fn begun_streams_are_victims() {
+fn begun_streams_do_not_count() {
     let mut node = Node::ready("a");
     for _ in 0..5 {
         let (id, attempt) = node.sent(body("long"));
@@ -197,9 +202,9 @@
     node.sent(body("long"));
 }
 
-/// Connections that are reset or cut, and answers that are spoilt, are no crash: the port is open, or silent.
+/// Broken connections and invalid answers are no crash if the port is open or does not answer.
 #[test]
-fn broken_connections_count_for_nothing() {
+fn broken_connections_do_not_count() {
     for (end, reach) in [(End::Lost, Reach::Open), (End::Lost, Reach::Silent), (End::Broken, Reach::Closed)] {
         let mut node = Node::ready("a");
         for _ in 0..6 {
@@ -213,11 +218,12 @@
     }
 }
 
-/// A partition may refuse connections in the place of engines that are well. Seen in a play of a day with such a cut: one
-/// engine, which went on serving its own zone, counted as crashed twice within half a second, and a sound request was
-/// refused everywhere. Who is on the engine's side of the cut says that its port is open; from here nobody else can be asked.
+/// A partition may refuse connections to engines that run. Observed in a simulated day with such a partition:
+/// one engine, which went on serving its own zone, counted as crashed twice within half a second, and a
+/// harmless request was refused everywhere. An entry VM on the engine's side of the partition finds the port
+/// open; if none can be asked, nothing counts.
 #[test]
-fn refusing_partition_counts_for_nothing() {
+fn refusing_partition_does_not_count() {
     let open = Some(Reach::Open);
     for answers in [&[open][..], &[None, open], &[None, None]] {
         let mut node = follower("a");
@@ -237,7 +243,8 @@
     }
 }
 
-/// Of an engine in another availability zone only an entry VM of that zone can tell: the others see what this one sees.
+/// For an engine in another availability zone, an entry VM of that zone is asked: the others are on the same
+/// side of a partition as this one.
 #[test]
 fn prober_is_on_the_other_side() {
     let mut node = follower("a");
@@ -258,9 +265,9 @@
     assert_eq!(asks(&node.effects), 0);
 }
 
-/// Engines that are taken away break what runs there: that was announced.
+/// An engine that shuts down as announced breaks its runs: that is no crash.
 #[test]
-fn leaving_engines_count_for_nothing() {
+fn announced_shutdown_does_not_count() {
     let mut node = Node::ready("a");
     for version in (10..).step_by(10).take(4) {
         let (id, attempt) = node.sent(body("x"));
@@ -275,15 +282,16 @@
     node.sent(body("x"));
 }
 
-/// A lookup that many callers make runs at several engines at once: when a rack of them fails, that is one sign and no more.
+/// A call that many callers make runs at several backend servers at once: if a rack of them fails, that counts
+/// once.
 #[test]
-fn crashes_at_once_are_one() {
+fn simultaneous_crashes_count_once() {
     let mut node = Node::ready("a");
     let (first, at_first) = node.sent(plain("/ack/1"));
     let mut further = std::iter::repeat_with(|| node.sent(plain("/ack/1"))).take(40);
     let (second, at_second) = further
         .find(|(_, attempt)| attempt.engine != at_first.engine)
-        .expect("they are spread over both engines");
+        .expect("requests are spread over both engines");
     crash(&mut node, first, &at_first);
     crash(&mut node, second, &at_second);
     assert_eq!(quarantined(&node), 0);
@@ -291,8 +299,9 @@
     node.sent(plain("/ack/1"));
 }
 
-/// The same prompt comes several times at once, and each ends an engine: after three of them it is quarantined, though none was sent after
-/// another's end. Else the next such burst would end as many again, however much later it comes.
+/// The same prompt arrives several times at once, and each run crashes an engine: after three crashes it is
+/// quarantined, although none was sent after another's crash. Otherwise the next such burst would crash as many
+/// engines again, however much later it comes.
 #[test]
 fn burst_quarantines() {
     let mut node = Node::ready("a");
@@ -305,7 +314,7 @@
             burst.push((id, attempt));
         }
     }
-    assert!(burst.len() >= 3, "they are spread");
+    assert!(burst.len() >= 3, "requests are spread over the engines");
     for (id, attempt) in &burst[..2] {
         crash(&mut node, *id, attempt);
     }
@@ -314,9 +323,10 @@
     assert_eq!(quarantined(&node), 1);
 }
 
-/// Under a request that may be repeated a second engine breaks: before that is known for a crash, no third one gets it.
+/// A second engine breaks under a request that may be repeated: before it is decided whether that was a crash,
+/// no third engine gets the request.
 #[test]
-fn no_repeat_in_doubt() {
+fn no_third_engine_while_undecided() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
     let effects = crash(&mut node, id, &first);
@@ -330,7 +340,8 @@
     assert_eq!(refusal.code, Code::BackendFailed);
 }
 
-/// Those under way end with the quarantine; one that an engine has begun to answer goes on, and clears.
+/// The quarantine ends equal requests under way. One whose answer has begun continues, and its success lifts
+/// the quarantine.
 #[test]
 fn ends_what_is_under_way() {
     let mut node = Node::ready("a");
@@ -348,9 +359,9 @@
     node.sent(body("x"));
 }
 
-/// A stream that had begun breaks after the quarantine: it is not taken up at another engine.
+/// A stream that had begun breaks after the quarantine: it is not resumed at another engine.
 #[test]
-fn nothing_is_resumed() {
+fn broken_stream_is_not_resumed() {
     let mut node = Node::ready("a");
     let stream = || Arrival { fingerprint: body("x").fingerprint, ..streamed("/digest/1", "m0", None) };
     let (begun, attempt) = node.sent(stream());
@@ -377,9 +388,9 @@
     node.refused(body("x"));
 }
 
-/// Whoever sends ever new bodies pays a crash for each, and takes a bounded room.
+/// A client that sends new bodies again and again needs a crash for each, and the memory used is bounded.
 #[test]
-fn ever_new_bodies() {
+fn new_bodies_use_bounded_memory() {
     let mut node = Node::ready("a");
     for number in 0..600 {
         let text = format!("x{number}");
@@ -391,7 +402,7 @@
 }
 
 #[test]
-fn others_are_told_at_once() {
+fn others_are_informed_at_once() {
     let mut node = follower("a");
     let told = crash_under(&mut node, call("x"));
     let news: Vec<Message> =
@@ -406,9 +417,9 @@
     other.refused(call("x"));
 }
 
-/// The same crash, told by two entry VMs that both had the request there, is one.
+/// A crash that two entry VMs report, both of which had sent the request there, counts once.
 #[test]
-fn one_crash_told_twice() {
+fn crash_reported_twice_counts_once() {
     let mut a = follower("a");
     let mut b = follower("b");
     let told = crash_under(&mut a, call("x"));
@@ -419,7 +430,7 @@
     assert_eq!(quarantined(&b), 0);
 }
 
-/// After a restart of all entry VMs, and while nobody can be asked: the lease's row tells.
+/// After a restart of all entry VMs, when none can be asked, the lease's row contains the quarantine.
 #[test]
 fn restart_of_all() {
     let mut hub = Node::ready("hub");
@@ -431,7 +442,7 @@
         Effect::Lease(lease::Call::Write { row, .. }) => Some(row.clone()),
         _ => None,
     });
-    let row = row.expect("it renews its lease");
+    let row = row.expect("the lease is renewed");
     let bytes = rmp_serde::to_vec_named(&row).expect("encodes");
     let mut node = Node::bare("a");
     node.pass(millis(10));
@@ -443,7 +454,7 @@
 }
 
 #[test]
-fn old_quarantine_of_the_row() {
+fn expired_quarantine_in_the_row() {
     let mut node = Node::bare("a");
     node.pass(millis(10));
     let request = Fingerprint::of(HOST, "/brief/1", b"x");
@@ -453,9 +464,9 @@
     assert_eq!(quarantined(&node), 0);
 }
 
-/// Across a cut that has healed, frames and answers bring either side what the other is certain of.
+/// After a partition has healed, frames and their answers exchange the verdicts of both sides.
 #[test]
-fn healed_cut() {
+fn healed_partition() {
     let mut hub = Node::ready("hub");
     hub.lead();
     crash_under(&mut hub, call("there"));
@@ -483,7 +494,7 @@
     assert_eq!(reply.crashing.len(), 2);
     let same = Frame { digest: reply.digest, ..frame };
     let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &same);
-    assert_eq!(reply.crashing, [], "what both know is not told again");
+    assert_eq!(reply.crashing, [], "verdicts known to both are not sent again");
 }
 
 /// An entry VM that missed that a request was cleared does not bring the quarantine back.
@@ -507,10 +518,10 @@
     hub.feed(Event::Framed(Box::new(frame(cleared))));
     hub.pass(Duration::from_mins(2));
     let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame(quarantined));
-    assert_eq!(told.digest, 0, "to be told again does not prolong it");
+    assert_eq!(told.digest, 0, "receiving it again does not prolong it");
 }
 
-/// An entry VM that knows an answer of then and missed the crashes after it does not lift the quarantine.
+/// An entry VM that has an older answer and missed the crashes after it does not lift the quarantine.
 #[test]
 fn older_answer_lifts_nothing() {
     let request = Fingerprint::of(HOST, "/brief/1", b"x");
@@ -520,7 +531,7 @@
         |status| Frame { vm: "b".into(), crashing: vec![Entry { request, status }], ..Frame::default() };
     let quarantined = Status::Quarantined { left: Duration::from_mins(5), times: 1 };
     hub.feed(Event::Framed(Box::new(frame(quarantined))));
-    // The quarantine began five minutes ago, the answer six.
+    // The quarantine began five minutes ago, the answer six minutes ago.
     let older = Status::Cleared { left: Duration::from_mins(4) };
     hub.feed(Event::Framed(Box::new(frame(older))));
     hub.refused(body("x"));
@@ -530,7 +541,8 @@
     other.refused(body("x"));
 }
 
-/// 295 entry VMs, nine in ten of them with small links, and their hub suspended: two of them see a crash each.
+/// 295 entry VMs, nine in ten of them with slow links, and a suspended hub: two entry VMs observe one crash
+/// each.
 #[test]
 fn hundreds_without_a_hub() {
     let rates: Vec<f64> = (0..295).map(|at| if at % 10 == 0 { LARGE } else { SMALL }).collect();
@@ -547,19 +559,20 @@
         links.pass(millis(600));
     }
     let knows = (1..295).filter(|at| links.state(*at).crashes().quarantined(links.now) == 1).count();
-    assert!(knows >= 293, "{knows} of 294 know after 0.6 s");
+    assert!(knows >= 293, "{knows} of 294 are informed after 0.6 s");
 }
 
-/// One crash of an engine with many runs was logged by every entry VM, run by run: 37,000 lines on a day with 295 of them. Whoever
-/// saw it says so; the others say what they hold back from then on.
+/// One crash of an engine with many runs was logged by every entry VM for each run: 37,000 log records on a day
+/// with 295 entry VMs. The one that saw the crash logs it; the others log the requests that they block from
+/// then on.
 #[test]
-fn one_line_a_crash() {
+fn one_log_record_per_crash() {
     let lines = |effects: &[Effect]| {
         effects.iter().filter(|effect| matches!(effect, Effect::Record(Record::Crash { .. }))).count()
     };
     let mut seen = Node::ready("a");
     let effects = crash_under(&mut seen, call("first"));
-    assert_eq!(lines(&effects), 1, "it saw the crash");
+    assert_eq!(lines(&effects), 1, "this entry VM saw the crash");
     let suspect = |text: &str| Suspect {
         request: call(text).fingerprint,
         engine: None,
@@ -575,14 +588,14 @@
         lines(node.feed(Event::Pushed(Box::new(message))))
     };
     let mut other = Node::ready("b");
-    assert_eq!(told(&mut other, &["first", "second", "third"]), 0, "another saw it");
+    assert_eq!(told(&mut other, &["first", "second", "third"]), 0, "another entry VM saw the crash");
     other.pass(millis(500));
-    assert_eq!(told(&mut other, &["first"]), 1, "it sends that one to no engine any more");
+    assert_eq!(told(&mut other, &["first"]), 1, "it blocks that request from now on");
     let cleared = |text: &str| Entry {
         request: call(text).fingerprint,
         status: Status::Cleared { left: Duration::from_mins(10) },
     };
     let crashes = News { suspects: Vec::new(), entries: vec![cleared("second"), cleared("first")] };
     let message = Message { crashes, ..Message::default() };
-    assert_eq!(lines(other.feed(Event::Pushed(Box::new(message)))), 1, "it sends the first one again");
+    assert_eq!(lines(other.feed(Event::Pushed(Box::new(message)))), 1, "it no longer blocks the first request");
 }
--- a/fleet/tests/demand_trend.rs
+++ b/fleet/tests/demand_trend.rs
@@ -1,4 +1,4 @@
-//! Demand as the one that plans sees it: for how long callers have waited in vain.
+//! Smoothed demand as seen by the planner: the time for which requests wait while none is served.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     appetite.trend(&"writer".into(), &"m1".into())
 }
 
-/// Updates a quarter of a second apart, from a time on, with so many requests that wait and that are under way.
+/// Makes `count` updates, 250 ms apart, with `waiting` requests that wait and `open` requests under way.
 fn updates(appetite: &mut Appetite, from_ms: u64, count: u64, waiting: u32, open: u32) {
     for number in 0..count {
         let demand = Demand { target: target(), waiting, open, ..Demand::default() };
@@ -21,16 +21,16 @@
     }
 }
 
-/// One that begins to plan long after its process started has not seen anybody wait for all that time.
+/// A process that begins to plan long after its start has not observed the waiting requests in between.
 #[test]
-fn first_look_counts_little() {
+fn first_update_adds_little_waiting_time() {
     let mut appetite = Appetite::default();
     updates(&mut appetite, 60_000, 1, 1, 0);
     assert!(trend(&appetite).starved <= Duration::from_secs(1), "{:?}", trend(&appetite).starved);
 }
 
 #[test]
-fn waiting_adds_up() {
+fn waiting_time_accumulates() {
     let mut appetite = Appetite::default();
     updates(&mut appetite, 60_000, 13, 1, 0);
     let starved = trend(&appetite).starved;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn one_served_begins_anew() {
+fn served_request_resets_waiting_time() {
     let mut appetite = Appetite::default();
     updates(&mut appetite, 60_000, 13, 1, 0);
     updates(&mut appetite, 63_250, 1, 1, 1);
--- a/fleet/tests/engine_orders.rs
+++ b/fleet/tests/engine_orders.rs
@@ -1,4 +1,4 @@
-//! Orders change what engines hold without ever overfilling one, though answers are lost and orders run late.
+//! Orders never exceed an engine's limits, although answers are lost and orders are carried out late.
 
 mod engine;
 mod node;
@@ -16,7 +16,7 @@
 use node::{Node, WRITER, brief, entry, listing, millis, model, orders, pool, row, step_of, streamed};
 
 #[test]
-fn counted_from_zero() {
+fn sequence_starts_at_zero() {
     let mut node = Node::ready("a");
     node.lead();
     let first = orders(&node.pass(millis(300)));
@@ -33,11 +33,11 @@
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
     assert_eq!(orders(&node.effects).len(), 1);
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
-    assert_eq!(orders(&node.effects).len(), 0, "it is on its way");
+    assert_eq!(orders(&node.effects).len(), 0, "the adapter is being loaded");
 }
 
 #[test]
-fn unanswered_is_sent_again() {
+fn unanswered_order_is_resent() {
     let mut node = Node::ready("a");
     node.lead();
     node.pass(millis(300));
@@ -72,9 +72,9 @@
     assert!(matches!(node.step(id), Some(Step::Send(attempt)) if attempt.engine == engine));
 }
 
-/// An engine that lacks what the book says that it holds is asked, also if nothing else happens there.
+/// An engine that lacks a model of its inventory is asked for a report, even if no other event occurs there.
 #[test]
-fn doubt_asks_the_engine() {
+fn refusal_as_absent_asks_the_engine() {
     let mut hub = settled();
     let absent = vec![Absent { engine: "w1".into(), model: "m0".into(), adapter: None }];
     let mut effects =
@@ -85,7 +85,7 @@
     assert!(asked);
 }
 
-/// The lease holder of engines that hold every model, so that nothing is to be moved.
+/// The holder of the lease. Its engines hold every model, so that no model is to be moved.
 fn settled() -> Node {
     let mut hub = Node::bare("hub");
     hub.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
@@ -99,9 +99,9 @@
     hub
 }
 
-/// Loads from the weight store, in any window, whatever demand does.
+/// The number of loads from the weight store in any window stays bounded, whatever demand does.
 #[test]
-fn cold_loads_are_rationed() {
+fn cold_loads_are_rate_limited() {
     let settings = boragecove_fleet::settings::Settings::default();
     let mut hub = Node::bare("hub");
     let mut config = node::config(1);
@@ -122,7 +122,7 @@
     let mut held: std::collections::BTreeMap<Name, Vec<String>> = std::collections::BTreeMap::new();
     for at in 0..400 {
         let mut effects = hub.pass(millis(50));
-        // What was loaded is there 50 ms later.
+        // A loaded model appears in the engine's entry 50 ms later.
         let rows = held.iter().map(|(id, models)| {
             let models: Vec<&str> = models.iter().map(String::as_str).collect();
             row(100 + at, entry(id, WRITER, "zone-a", &models))
@@ -147,7 +147,7 @@
         }
     }
     assert!(loads.len() > 20, "{} loads in 20 s", loads.len());
-    // The platform bears 2.0 x 5 x 1.1 + 3 = 14 in any five seconds.
+    // The platform tolerates 2.0 x 5 x 1.1 + 3 = 14 loads in any five seconds.
     for at in &loads {
         let near =
             loads.iter().filter(|other| **other >= *at && other.since(*at) < settings.load_window).count();
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn no_adapter_while_moving() {
+fn no_adapter_order_during_model_load() {
     let mut node = Node::bare("a");
     node.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
     node.feed(listing(vec![row(1, entry("w1", WRITER, "zone-a", &["m0"]))], 1, true));
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn closing_gets_no_requests() {
+fn closing_copy_gets_no_requests() {
     let mut node = Node::ready("a");
     node.lead();
     let moving = orders(&node.pass(millis(300)));
@@ -221,7 +221,7 @@
                         );
                     }
                     Effect::Report { engine, .. } => {
-                        // What it says is a hundred milliseconds old when it comes.
+                        // A report arrives 100 ms after the state that it describes.
                         let asked = engines.iter().find(|known| known.id == engine).expect("known");
                         reports.push((node.now + millis(100), engine, asked.report()));
                     }
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn waits_for_ready() {
+fn request_waits_until_adapter_is_ready() {
     let mut node = Node::ready("a");
     node.lead();
     node.pass(millis(300));
@@ -271,13 +271,13 @@
         incarnation: Incarnation::default(),
         receipt: Some(Receipt::Accepted),
     });
-    assert_eq!(node.step(id), None, "an adapter takes some ms to be fetched");
+    assert_eq!(node.step(id), None, "an adapter takes some ms to be loaded");
     assert!(matches!(step_of(&node.pass(millis(50)), id), Some(Step::Send(_))));
 }
 
-/// A load that waits for its room counts as on its way: no second engine makes room for the same model.
+/// A queued load that waits for room counts as loading: no second engine makes room for the same model.
 #[test]
-fn queued_load_counts() {
+fn queued_load_counts_as_loading() {
     let mut hub = Node::bare("hub");
     hub.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
     let rows = vec![
@@ -297,5 +297,5 @@
         receipt: Some(Receipt::Accepted),
     });
     let more = orders(&hub.pass(millis(1_500)));
-    assert_eq!(more, [], "the dropped copy still has streams, and m3 is decided on");
+    assert_eq!(more, [], "the dropped copy still has streams, and the load of m3 is queued");
 }
--- a/fleet/tests/lease_clock.rs
+++ b/fleet/tests/lease_clock.rs
@@ -1,4 +1,5 @@
-//! The lease: one holder at a time, whatever is lost, late or suspended, and no two machines' orders too close.
+//! The lease: at most one holder at a time, whatever calls are lost or late and whatever processes are
+//! suspended, and a minimum gap between the orders of two machines.
 
 mod node;
 mod store;
@@ -32,22 +33,22 @@
 }
 
 #[test]
-fn first_takes_it() {
+fn first_reader_takes_lease() {
     let mut node = Node::bare("a");
     node.lead();
-    assert_eq!(node.state.lease().orders(node.now), Some(1), "nobody has given orders before");
+    assert_eq!(node.state.lease().orders(node.now), Some(1), "no machine has sent orders before");
 }
 
 #[test]
-fn held_by_another() {
+fn lease_held_by_another() {
     let mut node = Node::bare("a");
     node.pass(millis(10));
     node.lease(1_000, Outcome::Read(Some(other(9, 2_000, false))));
-    assert!(lease_calls(&node.effects).is_empty(), "it is not over by the store's clock");
+    assert!(lease_calls(&node.effects).is_empty(), "the lease has not expired by the store's clock");
 }
 
 #[test]
-fn over_by_the_stores_clock() {
+fn expired_by_the_stores_clock() {
     let mut node = Node::bare("a");
     node.pass(millis(10));
     node.lease(2_300, Outcome::Read(Some(other(9, 2_000, false))));
@@ -58,11 +59,11 @@
     );
     node.lease(2_305, Outcome::Written(10));
     assert!(node.state.lease().holds(node.now).is_some());
-    assert!(node.state.lease().orders(node.now).is_none(), "the other's last orders are less than 3 s old");
+    assert!(node.state.lease().orders(node.now).is_none(), "the last orders of the other machine are less than 3 s old");
 }
 
 #[test]
-fn waits_out_the_other() {
+fn waits_for_order_gap() {
     let settings = Settings { lease_renew: millis(100), ..Settings::default() };
     let mut node = Node::with("a", settings);
     node.pass(millis(10));
@@ -81,11 +82,11 @@
     assert!(node.state.lease().orders(node.now).is_some());
 }
 
-/// The load of entry VMs that are killed or restarted one after the other: the holder goes within three seconds of taking
-/// the lease, before it may give orders. The next waits for the last orders that there were, and not for that one's.
-/// Seen: no orders for 7 s while demand moved.
+/// Entry VMs are killed or restarted one after the other, so that each holder disappears within three seconds
+/// of taking the lease, before it may send orders. The next holder must wait for the last orders that were
+/// possible instead of counting from the silent holder. Observed: no orders for 7 s while demand moved.
 #[test]
-fn silent_holder_costs_nothing() {
+fn holder_without_orders_adds_no_gap() {
     let former = |holder: &str| Some(Former { holder: holder.into(), until_ms: 1_000 });
     let take = |seen: Seen| {
         let mut node = Node::bare("a");
@@ -99,18 +100,18 @@
     };
     let mut silent = other(9, 3_500, false);
     silent.row.former = former("c");
-    assert_eq!(take(silent.clone()), (former("c"), Some(millis(295))), "c's orders count, b has given none");
+    assert_eq!(take(silent.clone()), (former("c"), Some(millis(295))), "the orders of c count; b has sent none");
     silent.row.former = former("a");
-    assert_eq!(take(silent), (former("a"), Some(millis(0))), "its own orders were the last");
+    assert_eq!(take(silent), (former("a"), Some(millis(0))), "the last orders were its own");
     let mut ordering = other(9, 3_500, false);
     ordering.row.former = Some(Former { holder: "c".into(), until_ms: 400 });
     let last = Some(Former { holder: "b".into(), until_ms: 3_500 });
-    assert_eq!(take(ordering), (last, Some(millis(2_795))), "b may have begun to give orders");
+    assert_eq!(take(ordering), (last, Some(millis(2_795))), "b may have begun to send orders");
 }
 
-/// A holder that restarts before it may give orders still has to wait for those of the one before it.
+/// A holder that restarts before it may send orders still has to wait for those of its predecessor.
 #[test]
-fn restarted_in_the_gap() {
+fn restart_within_order_gap() {
     let mut node = Node::bare("b");
     node.pass(millis(10));
     let mut seen = other(9, 5_000, false);
@@ -120,9 +121,10 @@
     assert_eq!(node.state.lease().orders_in(node.now), Some(millis(2_195)));
 }
 
-/// The same where its lease would have lasted beyond that gap: it has given no order of its own yet, and the other's are too young.
+/// As above, with a lease that would have outlasted the gap: the holder has sent no orders of its own yet, and
+/// those of its predecessor are too recent.
 #[test]
-fn restarted_late_in_the_gap() {
+fn restart_late_in_order_gap() {
     let mut node = Node::bare("b");
     node.pass(millis(10));
     let mut seen = other(9, 6_500, false);
@@ -133,17 +135,18 @@
 }
 
 #[test]
-fn restarted_holder_goes_on() {
+fn restarted_holder_continues() {
     let mut node = Node::bare("b");
     node.pass(millis(10));
     node.lease(1_000, Outcome::Read(Some(other(9, 5_000, false))));
     node.lease(1_005, Outcome::Written(10));
-    assert!(node.state.lease().orders(node.now).is_some(), "the same machine has given the orders before");
+    assert!(node.state.lease().orders(node.now).is_some(), "the same machine has sent the previous orders");
 }
 
-/// In a rolling restart, the lease goes to an entry VM that has been restarted already: the others are next.
+/// In a rolling restart, the lease goes to an entry VM that has already been restarted: the others are
+/// restarted next.
 #[test]
-fn restarted_takes_it_first() {
+fn restarted_process_takes_lease_first() {
     let takes = |started_ms: u64, released_for: u64| {
         let mut node = Node::bare("a");
         node.pass(millis(10));
@@ -156,12 +159,12 @@
     };
     assert!(takes(28_000, 50), "it started long after the holder did");
     assert!(!takes(5_200, 50), "it started with the holder, and may be the next to stop");
-    assert!(takes(5_200, 600), "nobody else took it");
+    assert!(takes(5_200, 600), "no other machine took the lease");
 }
 
-/// A holder that gives the lease back sends no more orders: the next one's three seconds begin then.
+/// A holder that releases the lease sends no more orders, so the three seconds of its successor begin at once.
 #[test]
-fn given_back_at_once() {
+fn release_ends_lease_at_once() {
     let mut node = Node::bare("a");
     node.lead();
     node.pass(millis(395));
@@ -178,24 +181,24 @@
     let mut node = Node::with("a", settings);
     node.pass(millis(10));
     node.lease(0, Outcome::Read(None));
-    assert!(lease_calls(&node.effects).is_empty(), "a stronger machine may take it");
+    assert!(lease_calls(&node.effects).is_empty(), "a stronger machine may take the lease");
     node.pass(millis(1_500));
     node.lease(1_500, Outcome::Read(None));
     assert!(
         matches!(&*lease_calls(&node.effects), [Call::Write { expected: Revision { version: 0, .. }, .. }]),
-        "none did"
+        "no stronger machine took the lease"
     );
 }
 
-/// The load after an outage of the store: all look at a lease that has been over for long. Of 65 entry VMs, 59 are weak, and
-/// a stronger one is to have its look before one of them takes it.
+/// After an outage of the store, all entry VMs read a lease that expired long ago. Of 65 entry VMs, 59 are
+/// weak, and a stronger one must be able to read the row before one of them takes the lease.
 #[test]
 fn weak_machine_waits_after_outage() {
     for row in [other(9, 2_000, false), other(9, 2_000, true)] {
         let mut node = Node::with("a", Settings { weak: true, ..Settings::default() });
         node.pass(millis(10));
         node.lease(10_000, Outcome::Read(Some(row.clone())));
-        assert!(lease_calls(&node.effects).is_empty(), "a stronger machine may take it");
+        assert!(lease_calls(&node.effects).is_empty(), "a stronger machine may take the lease");
         let mut waited = millis(0);
         while waited < millis(2_500) {
             let looked = lease_calls(&node.pass(millis(100))) == [Call::Read];
@@ -205,12 +208,12 @@
                 break;
             }
         }
-        assert!((millis(1_200)..=millis(2_000)).contains(&waited), "none did, after {waited:?}");
+        assert!((millis(1_200)..=millis(2_000)).contains(&waited), "taken after {waited:?}");
     }
 }
 
 #[test]
-fn lost_answer_is_found() {
+fn write_with_lost_answer_is_detected() {
     let mut node = Node::bare("a");
     node.pass(millis(10));
     node.lease(0, Outcome::Read(None));
@@ -221,7 +224,7 @@
     node.feed(Event::Lease(Answer { store_ms: None, era: None, outcome: Outcome::Unknown }));
     assert_eq!(lease_calls(&node.effects), [Call::Read]);
     node.lease(40, Outcome::Read(Some(Seen { version: 77.into(), row: written })));
-    assert!(node.state.lease().holds(node.now).is_some(), "the write was done after all");
+    assert!(node.state.lease().holds(node.now).is_some(), "the write was done although its answer was lost");
 }
 
 #[test]
@@ -229,7 +232,7 @@
     let mut node = Node::bare("a");
     node.lead();
     node.now = node.now + millis(2_500);
-    assert!(node.state.lease().holds(node.now).is_none(), "it slept through the end of its lease");
+    assert!(node.state.lease().holds(node.now).is_none(), "the lease expired while the process was suspended");
 }
 
 #[test]
--- a/fleet/tests/model_placement.rs
+++ b/fleet/tests/model_placement.rs
@@ -1,4 +1,4 @@
-//! Placement follows demand: what is moved where, for given loads.
+//! Placement follows demand: which models are loaded and dropped for a given demand.
 
 mod node;
 
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn missing_comes_first() {
+fn missing_model_comes_first() {
     let pool = pool();
     let spots = vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"])];
     let steps = moves(view(&pool, spots, &[("m0", trend(1.0, 0.01)), ("m1", trend(6.0, 0.1))]));
@@ -68,7 +68,7 @@
     assert!(steps.iter().all(|step| step.drop.is_none()), "each is the only copy of its model: {steps:?}");
 }
 
-/// Demand moves from one model to another within seconds: the copies follow.
+/// Demand moves from one model to another within seconds, and the copies follow.
 #[test]
 fn copies_follow_demand() {
     let pool = pool();
@@ -84,9 +84,9 @@
     assert!(steps.iter().all(|step| step.drop.as_deref() != Some("m2")));
 }
 
-/// A model that nobody asks for takes no copy from one that many ask for.
+/// A model without demand does not replace a copy of a model with high demand.
 #[test]
-fn hottest_is_kept() {
+fn busiest_model_is_kept() {
     let pool = pool();
     let spots = vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"])];
     let demand = [("m0", trend(60.0, 0.8)), ("m1", trend(1.0, 0.01)), ("m2", trend(1.0, 0.01))];
@@ -94,7 +94,7 @@
     assert!(steps.iter().all(|step| step.drop.as_deref() != Some("m0")), "{steps:?}");
 }
 
-/// A zone that is cut off serves only what it holds.
+/// A zone that is cut off serves only the models that it holds, so a further copy is placed in another zone.
 #[test]
 fn other_zone_first() {
     let pool = pool();
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn unused_makes_room() {
+fn unused_copy_is_dropped() {
     let pool = pool();
     let idle = Trend { asked: None, ..Trend::default() };
     let spots =
@@ -131,7 +131,7 @@
     assert!(matches!(dropped[..], [Move { load: None, .. }]), "one of two unused copies: {steps:?}");
 }
 
-/// Before anybody has asked for anything, nothing is known to be unused.
+/// Before the first request, no model counts as unused.
 #[test]
 fn nothing_dropped_before_traffic() {
     let pool = pool();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn small_fits_beside() {
+fn small_model_fits_in_free_memory() {
     let mut pool = pool();
     pool.models[3] = model("m3", 40.0);
     let spots = vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"])];
@@ -152,10 +152,10 @@
     assert!(steps.iter().any(|step| step.load.as_deref() == Some("m3") && step.drop.is_none()), "{steps:?}");
 }
 
-/// The load after an outage: many models lack copies at once. The weight store serves two loads at once here, and
-/// makes all slower beyond; what an engine has on its own disk needs none of that.
+/// After an outage, many models lack copies at once. The weight store serves two loads at a time here, and each
+/// further load slows down all of them; a load from an engine's own disk does not count.
 #[test]
-fn few_from_the_store_at_once() {
+fn parallel_loads_from_store_are_limited() {
     let mut pool = pool();
     pool.loads_per_s = 1.0;
     let empty = |id: &str| spot(id, "a", &[]);
@@ -168,17 +168,17 @@
     first.cold_left = 20;
     let steps = moves(first);
     let loaded: Vec<&str> = steps.iter().filter_map(|step| step.load.as_deref()).collect();
-    assert_eq!(loaded, ["m0", "m1", "m3"], "the two that are needed most, and one from a disk");
+    assert_eq!(loaded, ["m0", "m1", "m3"], "the two models needed most, and one from a disk");
     let mut later = view(&pool, spots, &demand);
     later.cold_left = 20;
     later.cold_running = 2;
     let steps = moves(later);
     let loaded: Vec<&str> = steps.iter().filter_map(|step| step.load.as_deref()).collect();
-    assert_eq!(loaded, ["m3"], "until one of them is done");
+    assert_eq!(loaded, ["m3"], "no further load from the weight store until one has finished");
 }
 
-/// The load after a restart of all entry VMs: one that has just begun to plan has seen next to nothing of the busiest
-/// model. Its copies do not make way for models that nobody waits for until more is known.
+/// After a restart of all entry VMs, a new planner has observed hardly any demand for the busiest model. Until
+/// it has, no copy is dropped for a model that nobody waits for.
 #[test]
 fn new_planner_drops_nothing() {
     let pool = pool();
@@ -197,28 +197,29 @@
     let asked = Trend { waiting: 1, ..trend(1.0, 0.0) };
     waited_for.demand.insert("m3".into(), asked);
     let steps = moves(waited_for);
-    assert_eq!(loads(&steps, "m3"), 1, "somebody waits for it: {steps:?}");
+    assert_eq!(loads(&steps, "m3"), 1, "a request waits for m3: {steps:?}");
     let steps = moves(view(&pool, spots, &demand));
-    assert_eq!(loads(&steps, "m3"), 1, "it has been watched for long: {steps:?}");
+    assert_eq!(loads(&steps, "m3"), 1, "demand has been observed for long enough: {steps:?}");
 }
 
-/// The load after a quarter of the engines have crashed: tens of models are at none, and their callers wait. Four moves in a
-/// plan are 16 loads a second, where the weight store serves 30.
+/// A quarter of the engines have crashed: tens of models have no copy, and requests wait for them. Four changes
+/// per plan would use 16 loads per second of the 30 that the weight store serves.
 #[test]
-fn store_is_made_use_of() {
+fn store_rate_is_used() {
     let models = (0..60).map(|number| model(&format!("m{number}"), 70.0)).collect();
     let pool = Pool { loads_per_s: 30.0, models, ..pool() };
     let spots = || (0..40).map(|number| spot(&format!("w{number}"), "a", &[])).collect();
     let missing = View { cold_left: 150, ..view(&pool, spots(), &[]) };
-    assert_eq!(moves(missing).len(), 8, "30 a second, four plans a second");
+    assert_eq!(moves(missing).len(), 8, "30 loads per second, four plans per second");
     let pool = Pool { loads_per_s: 2.0, ..pool };
     let missing = View { cold_left: 10, ..view(&pool, spots(), &[]) };
-    assert_eq!(moves(missing).len(), 4, "a slow one has its rate and its loads at once as bounds");
+    assert_eq!(moves(missing).len(), 4, "a slow store is limited by its rate and its number of parallel loads");
 }
 
-/// An engine that names a limit serves little of what it holds: what is asked for comes elsewhere, what nobody asks for stays.
+/// An engine with a rate limit serves few requests. A model with demand gets a copy at another engine; a model
+/// without demand does not.
 #[test]
-fn held_in_need() {
+fn copies_at_rate_limited_engine() {
     let pool = pool();
     let limited = |spot: Spot| Spot { limited: true, ..spot };
     let spots =
@@ -228,12 +229,13 @@
     let steps = moves(view(&pool, spots, &demand));
     assert_eq!(loads(&steps, "m1"), 1, "{steps:?}");
     assert_eq!(loads(&steps, "m2"), 0, "{steps:?}");
-    assert!(steps.iter().all(|step| *step.engine != *"w1"), "it gets no orders: {steps:?}");
+    assert!(steps.iter().all(|step| *step.engine != *"w1"), "w1 gets no orders: {steps:?}");
 }
 
-/// Beside a copy at an engine in need, the only other one makes way for nothing that is worth less.
+/// If the only other copy of a model is at an engine with a rate limit, a copy is not replaced by one of lower
+/// utility.
 #[test]
-fn kept_beside_need() {
+fn only_copy_beside_rate_limited_one_is_kept() {
     let pool = pool();
     let spots = |limited| {
         let first = Spot { limited, ..spot("w1", "a", &["m0", "m1"]) };
@@ -244,13 +246,13 @@
         let steps = moves(view(&pool, spots(limited), &demand));
         steps.iter().any(|step| step.drop.as_deref() == Some("m0"))
     };
-    assert!(dropped(false), "one of two makes way");
+    assert!(dropped(false), "one of two copies is replaced");
     assert!(!dropped(true));
 }
 
-/// A copy that is still being loaded replaces none: the only one that serves stays, though nobody uses it.
+/// A copy that is still being loaded does not count: the only ready copy stays, although it is unused.
 #[test]
-fn loading_replaces_none() {
+fn loading_copy_does_not_count_as_ready() {
     let pool = pool();
     let idle = Trend { asked: None, ..Trend::default() };
     let mut spots =
--- a/fleet/tests/part_storm.rs
+++ b/fleet/tests/part_storm.rs
@@ -1,7 +1,9 @@
-//! Parts of prompts that end engines, among sound requests that share the others: drawn at random, on many seeds.
+//! Randomized simulation of prompt parts that crash engines, among harmless requests that share the other
+//! parts; run with many seeds.
 //!
-//! What must hold: from three seconds after the fifth end of an engine under a part, at most three requests with it are sent
-//! to engines. Sound requests with the same first part begin as others do, and none is refused for what it is not.
+//! Requirement: from three seconds after the fifth crash under a part, at most three requests with it are sent
+//! to engines. Harmless requests with the same first part are served as often as others, and hardly any are
+//! refused by mistake.
 
 mod links;
 mod node;
@@ -12,15 +14,15 @@
 use node::millis;
 use storm::{Bad, LATER_MAX, Outcome, Settings, play};
 
-/// Sound requests with the first part of bad ones begin at least so often.
+/// Minimum fraction of harmless requests whose answer begins at the first attempt.
 const KIN_MIN: f64 = 0.95;
 
 fn check(settings: &Settings, outcome: &Outcome) {
     let context = format!("{settings:?}\n{outcome:?}");
     assert!(outcome.later.iter().all(|later| *later <= LATER_MAX), "sent later: {context}");
-    assert!(outcome.kin.share() >= KIN_MIN, "with the same first part: {context}");
-    assert!(outcome.others.share() >= KIN_MIN, "others: {context}");
-    assert!(outcome.wronged <= 5 + outcome.sound / 500, "refused wrongly: {context}");
+    assert!(outcome.kin.share() >= KIN_MIN, "fraction served with the same first part: {context}");
+    assert!(outcome.others.share() >= KIN_MIN, "fraction of others served: {context}");
+    assert!(outcome.wronged <= 5 + outcome.sound / 500, "refused by mistake: {context}");
 }
 
 fn check_seeds(count: u64, settings: &Settings) {
@@ -32,25 +34,25 @@
     });
 }
 
-/// Guards against parts of prompts that end engine after engine, since no two of the requests that hold one are alike.
+/// Different requests that share a part crash engine after engine.
 #[test]
 fn bad_second_part() {
     check_seeds(4, &Settings::default());
 }
 
-/// Sound requests had the part before it went bad.
+/// Harmless requests contained the part before it began to crash engines.
 #[test]
-fn part_that_was_sound() {
+fn part_that_was_harmless() {
     check_seeds(2, &Settings { parts: vec![Bad::Second(7)], sound: 200.0, ..Settings::default() });
 }
 
-/// All requests with that first part end engines.
+/// All requests with one first part crash engines.
 #[test]
 fn bad_first_part() {
     check_seeds(2, &Settings { parts: vec![Bad::First(2)], bad: 0.0, ..Settings::default() });
 }
 
-/// The same where engines take up to half a second to read, so that hardly any answer of others begins meanwhile.
+/// As above, with engines that read for up to 0.5 s, so that hardly any other answer begins meanwhile.
 #[test]
 fn slow_bad_first_part() {
     let read = millis(500);
@@ -66,32 +68,32 @@
     check_seeds(2, &Settings { parts, ..Settings::default() });
 }
 
-/// One every five seconds.
+/// One bad request every five seconds.
 #[test]
 fn rare_bad_part() {
     check_seeds(2, &Settings { bad: 0.2, lasts: Duration::from_secs(40), ..Settings::default() });
 }
 
-/// Engines take up to two seconds to read: many runs beside the bad one have not begun.
+/// Engines read for up to two seconds: the answers of many other runs at a crashed engine have not begun.
 #[test]
 fn slow_readers() {
     check_seeds(2, &Settings { read: Duration::from_secs(2), ..Settings::default() });
 }
 
-/// An engine sends a first event before it ends.
+/// An engine sends a first event before it crashes.
 #[test]
-fn end_after_first_event() {
+fn crash_after_first_event() {
     check_seeds(2, &Settings { begins: true, ..Settings::default() });
 }
 
-/// All answers end with their connections: what a crash breaks off after an event looks whole.
+/// All answers end with their connections: an answer that a crash breaks off after an event looks complete.
 #[test]
 fn answers_without_length() {
     check_seeds(2, &Settings { closes: true, ..Settings::default() });
     check_seeds(2, &Settings { closes: true, begins: true, ..Settings::default() });
 }
 
-/// Clients try again at once, at other entry VMs, and streams are resumed.
+/// Clients retry at once, at other entry VMs, and streams are resumed.
 #[test]
 fn impatient_clients() {
     check_seeds(2, &Settings { tries: 3, ..Settings::default() });
@@ -106,7 +108,7 @@
 }
 
 #[test]
-fn leader_frozen() {
+fn leader_suspended() {
     let frozen = Some((Duration::from_secs(3), Duration::from_secs(10)));
     check_seeds(2, &Settings { frozen, ..Settings::default() });
 }
@@ -117,9 +119,9 @@
     check_seeds(1, &Settings { vms: 65, lasts: Duration::from_secs(15), ..Settings::default() });
 }
 
-/// All engines end at the same moment, for another cause, beside a bad part.
+/// All engines crash at the same moment for another cause, while a bad part crashes engines as well.
 #[test]
-fn waves_beside() {
+fn waves_of_other_crashes() {
     let waves = (0..4).map(|at| Duration::from_secs(4 + at * 4)).collect();
     let settings = Settings { waves, down: millis(500), sound: 200.0, ..Settings::default() };
     for seed in 0..2 {
@@ -129,9 +131,10 @@
     }
 }
 
-/// All engines end at the same moment again and again, for another cause: no part is held to be bad, however long requests wait.
+/// All engines crash at the same moment repeatedly for another cause: no part is quarantined, however long
+/// requests wait.
 #[test]
-fn waves_accuse_nobody() {
+fn waves_quarantine_nothing() {
     let settings = Settings { parts: Vec::new(), down: millis(500), sound: 200.0, ..Settings::default() };
     let cases = [(5_000, 30), (5_000, 2_000), (1_000, 30), (1_000, 2_000), (2_000, 2_000)];
     std::thread::scope(|scope| {
@@ -141,7 +144,7 @@
             let settings = Settings { waves, read: millis(read), lasts, ..settings.clone() };
             scope.spawn(move || {
                 let outcome = play(settings);
-                assert_eq!(outcome.wronged, 0, "a wave each {gap} ms, reading up to {read} ms: {outcome:?}");
+                assert_eq!(outcome.wronged, 0, "a wave every {gap} ms, reading for up to {read} ms: {outcome:?}");
             });
         }
     });
--- a/fleet/tests/prompt_parts.rs
+++ b/fleet/tests/prompt_parts.rs
@@ -1,5 +1,5 @@
-//! Parts of prompts under which engines crash: what convicts one, what speaks for it, who is told, and what becomes of requests that
-//! hold it.
+//! Shared parts of prompts under which engines crash: what quarantines a part, what clears it, how other entry
+//! VMs learn of it, and how requests that contain it are handled.
 
 mod links;
 mod node;
@@ -20,9 +20,9 @@
 use boragecove_fleet::schedule::Grant;
 use node::{HOST, Node, WRITER, began, config, entry, listing, millis, row, step_of, streamed};
 
-/// The part that ends engines.
+/// The part that crashes engines.
 const BAD: &str = "b";
-/// Time within which a part with enough against it is convicted, once engines answer.
+/// Time within which a part with sufficient evidence is quarantined, once engines answer other requests.
 const JUDGED: Duration = Duration::from_secs(1);
 
 struct Scene {
@@ -38,7 +38,7 @@
         Self { node, drawn: 0 }
     }
 
-    /// A request like no other, with these parts.
+    /// A request with a unique body and these shared parts.
     fn request(&mut self, model: &str, parts: &[&str]) -> Arrival {
         self.drawn += 1;
         let fingerprint = Fingerprint::of(HOST, "/brief/1", format!("{}", self.drawn).as_bytes());
@@ -46,7 +46,7 @@
         Arrival { fingerprint, parts, ..streamed("/brief/1", model, None) }
     }
 
-    /// A request that is sent at once, with a place at its engine if it needs one.
+    /// Sends a request at once; grants it a slot at its engine if it needs one.
     fn sent(&mut self, arrival: Arrival) -> (Id, Attempt) {
         let id = self.node.arrive(arrival);
         if self.node.step(id).is_none() {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A request that is answered well.
+    /// A request that is answered successfully.
     fn answer(&mut self, model: &str, parts: &[&str]) -> Vec<Effect> {
         let arrival = self.request(model, parts);
         let (id, attempt) = self.sent(arrival);
@@ -75,7 +75,7 @@
         effects
     }
 
-    /// A request whose engine crashes under it.
+    /// A request whose engine crashes while it runs.
     fn crash(&mut self, model: &str, parts: &[&str]) -> Vec<Effect> {
         let arrival = self.request(model, parts);
         let (id, attempt) = self.sent(arrival);
@@ -92,7 +92,7 @@
         effects
     }
 
-    /// Others are answered for as long as a conviction takes.
+    /// Other requests are answered for as long as a quarantine takes.
     fn others(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
         for _ in 0..3 {
@@ -102,7 +102,7 @@
         effects
     }
 
-    /// Three crashes, with others served.
+    /// Three crashes, and successful answers to other requests.
     fn convict(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
         for _ in 0..3 {
@@ -135,22 +135,22 @@
     effects.iter().filter_map(message).collect()
 }
 
-/// Guards against requests of which no two are alike, and that end engine after engine by a part that they share.
+/// Different requests crash engine after engine through a part that they share.
 #[test]
-fn shared_part_convicted() {
+fn shared_part_quarantined() {
     let mut scene = Scene::new();
     scene.convict();
     let arrival = scene.request("m0", &["f", BAD]);
     let refusal = scene.node.refused(arrival);
-    assert_eq!((refusal.code.status(), refusal.retry_after), (400, None), "not invited back");
-    assert!(!scene.is_refused("m0", &["f", "c"]), "the same first part");
+    assert_eq!((refusal.code.status(), refusal.retry_after), (400, None), "no retry is suggested");
+    assert!(!scene.is_refused("m0", &["f", "c"]), "only the first part is the same");
     assert!(!scene.is_refused("m0", &["f"]));
     assert!(!scene.is_refused("m0", &[]));
-    assert!(scene.is_refused("m1", &["g", BAD]), "whatever else a request holds");
+    assert!(scene.is_refused("m1", &["g", BAD]), "whatever the other parts of the request");
 }
 
 #[test]
-fn two_crashes_convict_nobody() {
+fn two_crashes_quarantine_nothing() {
     let mut scene = Scene::new();
     scene.crash("m0", &["f", BAD]);
     scene.crash("m0", &["f", BAD]);
@@ -158,7 +158,7 @@
     assert!(!scene.is_refused("m0", &["f", BAD]));
 }
 
-/// Crashes long ago count as well, if no answer came since.
+/// Crashes that are minutes apart count together if no answer came in between.
 #[test]
 fn crashes_minutes_apart() {
     let mut scene = Scene::new();
@@ -182,9 +182,9 @@
     assert!(!scene.is_refused("m0", &["f", "c"]));
 }
 
-/// A first event alone says little: some engines end just after it.
+/// A first event alone does not clear a part: some engines crash shortly after it.
 #[test]
-fn first_event_clears_nobody() {
+fn first_event_clears_nothing() {
     let mut scene = Scene::new();
     for _ in 0..3 {
         let arrival = scene.request("m0", &["f", BAD]);
@@ -198,9 +198,9 @@
     assert!(scene.is_refused("m0", &["f", BAD]));
 }
 
-/// Streams that were being written for long are victims.
+/// Streams that had been written for some time before the crash do not count.
 #[test]
-fn long_streams_are_victims() {
+fn long_streams_do_not_count() {
     let mut scene = Scene::new();
     for _ in 0..4 {
         let arrival = scene.request("m0", &["c"]);
@@ -213,9 +213,9 @@
     assert!(!scene.is_refused("m0", &["c"]));
 }
 
-/// Nobody is convicted while no engine answers anybody.
+/// No part is quarantined while no engine answers any request.
 #[test]
-fn nobody_answered() {
+fn no_quarantine_without_answers() {
     let mut scene = Scene::new();
     for _ in 0..4 {
         scene.crash("m0", &["f", BAD]);
@@ -227,9 +227,9 @@
     assert!(scene.is_refused("m0", &["f", BAD]));
 }
 
-/// A part that one model's engines cannot bear is refused for that model.
+/// A part that crashes the engines of one model is refused for that model only.
 #[test]
-fn part_of_one_model() {
+fn part_with_one_model() {
     let mut scene = Scene::new();
     for _ in 0..3 {
         scene.crash("m0", &["f", BAD]);
@@ -240,9 +240,9 @@
     assert!(!scene.is_refused("m1", &["f", BAD]));
 }
 
-/// What a convicted part explains speaks against no other.
+/// Crashes that a quarantined part explains do not count against other parts.
 #[test]
-fn explained_crashes() {
+fn explained_crashes_do_not_count() {
     let mut scene = Scene::new();
     for _ in 0..4 {
         let beside = scene.request("m0", &["c"]);
@@ -262,7 +262,7 @@
     assert!(!scene.is_refused("m0", &["c"]));
 }
 
-/// Requests that wait at an engine, or for one, end with the conviction; those that are answered go on.
+/// The quarantine ends requests that wait at an engine, or for one; those whose answers have begun continue.
 #[test]
 fn ends_what_is_under_way() {
     let mut scene = Scene::new();
@@ -281,9 +281,9 @@
     assert_eq!(step_of(&effects, answered), None);
 }
 
-/// Where two crashes speak against a part, its requests are not given to another engine at once.
+/// With two crashes counted against a part, a broken request that contains it is not sent to another engine.
 #[test]
-fn no_repeat_of_suspects() {
+fn suspects_are_not_repeated() {
     let mut scene = Scene::new();
     scene.crash("m0", &["f", BAD]);
     scene.crash("m0", &["f", BAD]);
@@ -293,9 +293,9 @@
     assert!(matches!(step_of(&effects, id), Some(Step::Refuse(_))), "{:?}", step_of(&effects, id));
 }
 
-/// A conviction that an answer proves wrong ends for all.
+/// A quarantine that a successful answer refutes ends.
 #[test]
-fn answer_lifts_it() {
+fn answer_lifts_quarantine() {
     let mut scene = Scene::new();
     scene.node.lead();
     let arrival = scene.request("m0", &["c"]);
@@ -310,7 +310,7 @@
     };
     let crashes = News { suspects: (0..3).rev().map(suspect).collect(), entries: Vec::new() };
     scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
-    // An answer that has just begun, and goes on later.
+    // An answer that has just begun, and continues later.
     scene.node.feed(began(id));
     scene.others();
     assert!(scene.is_refused("m0", &["c"]));
@@ -318,7 +318,7 @@
     assert!(!scene.is_refused("m0", &["c"]));
 }
 
-/// An answer of before the crashes speaks for nobody: a part may go bad.
+/// An answer from before the crashes does not clear a part: a part may begin to crash engines later.
 #[test]
 fn older_answer_lifts_nothing() {
     let mut scene = Scene::new();
@@ -334,7 +334,7 @@
     assert!(scene.is_refused("m0", &["f", BAD]));
 }
 
-/// After its time it is tried once more; one crash is enough then.
+/// After its quarantine a part is tried again; one crash then suffices for the next.
 #[test]
 fn one_crash_after_the_quarantine() {
     let mut scene = Scene::new();
@@ -349,9 +349,10 @@
     assert!(scene.is_refused("m0", &["f", BAD]), "for longer than the first time");
 }
 
-/// Whoever was not there goes by the hub's answer, and by the lease's row if all were killed.
+/// An entry VM that missed the messages learns the quarantine from the hub's answer, or from the lease's row
+/// after a restart of all.
 #[test]
-fn others_learn() {
+fn others_learn_of_quarantine() {
     let mut scene = Scene::new();
     scene.node.lead();
     let effects = scene.convict();
@@ -360,14 +361,14 @@
     let part = Fingerprint::of_part(BAD);
     let quarantined = |entry: &Entry| matches!(entry.status, Status::Quarantined { .. });
     assert!(reply.crashing.iter().any(|entry| entry.request == part && quarantined(entry)));
-    // It had written its row before that.
+    // The holder had written its row before the quarantine.
     scene.node.lease(3_000, Outcome::Written(101));
     let effects = [effects, scene.node.pass(Duration::from_secs(2))].concat();
     let row = effects.iter().rev().find_map(|effect| match effect {
         Effect::Lease(lease::Call::Write { row, .. }) => Some(row.clone()),
         _ => None,
     });
-    let row = row.expect("it renews its lease");
+    let row = row.expect("the lease is renewed");
     assert!(row.quarantine.iter().any(|kept: &Kept| kept.request == part));
     let mut other = Node::bare("c");
     other.pass(millis(10));
@@ -382,9 +383,9 @@
     row(1, entry(engine, WRITER, "zone-a", &["m0"]))
 }
 
-/// The crash of one engine, told by several entry VMs, is one strike.
+/// The crash of one engine that several entry VMs report counts once.
 #[test]
-fn one_crash_told_often() {
+fn crash_reported_by_several_counts_once() {
     let mut scene = Scene::new();
     let suspect = |number: u64| Suspect {
         request: Fingerprint::of(HOST, "/", &number.to_le_bytes()),
@@ -403,7 +404,7 @@
     assert!(!scene.is_refused("m0", &["c"]));
 }
 
-/// Thousands of parts, each with a crash, take a bounded room and push nobody guilty out.
+/// Thousands of parts with one crash each use bounded memory and do not evict a quarantined part.
 #[test]
 fn thousands_of_parts() {
     let mut scene = Scene::new();
@@ -424,9 +425,9 @@
     assert!(scene.node.state.crashes().parts_known() <= 4_096);
 }
 
-/// Who sees an answer on a part that others suspect tells them, once.
+/// An entry VM that observes a successful answer with a part that others suspect informs them once.
 #[test]
-fn others_are_told_that_it_is_sound() {
+fn others_are_informed_of_cleared_part() {
     let mut scene = Scene::new();
     scene.node.lead();
     let frame = Frame {
@@ -445,15 +446,15 @@
         message.crashes.entries.iter().filter(sound).count()
     };
     let told: usize = pushed(&effects).iter().map(cleared).sum();
-    assert_eq!(told, 2, "the part, and the part with its model");
+    assert_eq!(told, 2, "the part, and its combination with the model");
     scene.answer("m0", &["c"]);
     let effects = scene.node.pass(Duration::from_secs(1));
     assert_eq!(pushed(&effects).iter().map(cleared).sum::<usize>(), 0);
 }
 
-/// A conviction has a line in the log.
+/// A quarantine of a part is logged once.
 #[test]
-fn conviction_logged() {
+fn quarantine_is_logged() {
     let mut scene = Scene::new();
     let effects = scene.convict();
     let part = Fingerprint::of_part(BAD).to_string();
@@ -466,9 +467,9 @@
     assert_eq!(lines.collect::<Vec<_>>(), [("quarantined", 3)]);
 }
 
-/// However many crashes there are, accused parts are looked at once at a time, and not for ever.
+/// However many crashes there are, only one evaluation timer is set at a time, and it ends.
 #[test]
-fn one_look_at_a_time() {
+fn one_evaluation_timer_at_a_time() {
     let mut scene = Scene::new();
     for _ in 0..8 {
         scene.crash("m0", &["f", BAD]);
@@ -478,14 +479,15 @@
     let accused = wakes(&scene.node.pass(Duration::from_secs(2)));
     scene.node.pass(Duration::from_mins(11));
     let forgotten = wakes(&scene.node.pass(Duration::from_secs(2)));
-    // One each 50 ms, and two for each suspected engine.
+    // One wake-up each 50 ms, and two for each suspected engine.
     assert!(
         accused <= forgotten + 40 + 2 * 8,
-        "{accused} wake-ups in two seconds, {forgotten} once it is forgotten"
+        "{accused} wake-ups in two seconds, {forgotten} after the evidence has expired"
     );
 }
 
-/// What a crash costs on the way: each shared part, and it with its model, is a hash of 19 bytes.
+/// Size of the message for a crash: each shared part, and its combination with the model, adds a hash of 19
+/// bytes.
 #[test]
 fn bytes_of_a_crash() {
     let suspect = |parts: usize| Suspect {
@@ -501,9 +503,9 @@
     assert!(bytes(2) <= bytes(0) + 4 * 19, "{} and {}", bytes(0), bytes(2));
 }
 
-/// An entry VM that knows no parts yet, as while all are replaced, is understood.
+/// A message from an older version without parts, as sent during a rolling update, can be decoded.
 #[test]
-fn older_sender_understood() {
+fn message_of_older_version_decodes() {
     let older = (Fingerprint::of(HOST, "/", b"x"), Some("i-1"), millis(100), millis(50));
     let bytes = rmp_serde::to_vec(&older).expect("encodes");
     let suspect: Suspect = rmp_serde::from_slice(&bytes).expect("decodes");
--- a/fleet/tests/scarce_places.rs
+++ b/fleet/tests/scarce_places.rs
@@ -1,12 +1,13 @@
-//! Demand for more models than engines have places for.
+//! Demand for more models than the engines have room for.
 //!
-//! The load that this answers: hundreds of models of which a few take most of the demand, others take turns, and the
-//! busiest change every few seconds. Models fill the places, so that a copy comes only where another goes. With last
-//! copies that never went, the busiest model of 26 stayed at one of 15 engines for 15 s, with twice as many requests as it
-//! has slots, models that callers waited for never came, and six engines had nothing to do.
+//! Hundreds of models, of which a few have most of the demand, others have demand in turns, and the busiest
+//! change every few seconds. The models fill all engines, so a copy can be loaded only in place of another.
+//! When the last copy of a model was never dropped, the busiest of 26 models stayed at one of 15 engines for 15
+//! s, with twice as many requests as slots, models that callers waited for were never loaded, and six engines
+//! were idle.
 //!
-//! The figures are the users': engines with one to three places and 12 or 16 slots, loads of 1.2 s, plans every 250 ms,
-//! memory of demand that halves in 1.2 s.
+//! The sizes are those of the users: engines with room for one to three models and 12 or 16 slots, loads of 1.2
+//! s, a plan every 250 ms, and a half-life of demand of 1.2 s.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,18 +28,18 @@
 /// Memory of a model, in MB.
 const MODEL_MB: f64 = 66.0;
 
-/// Engines that carry out what is planned, for demand that a test sets.
+/// Engines that carry out the planned changes, for a demand that a test sets.
 struct World {
     pool: Pool,
     spots: Vec<Spot>,
-    /// When loads that run are done, by engine.
+    /// Times at which running loads finish, by engine.
     loading: BTreeMap<Name, Time>,
-    /// When copies became ready, by engine and model.
+    /// Times at which copies became ready, by engine and model.
     ready: BTreeMap<(Name, Name), Time>,
     trends: BTreeMap<Name, Trend>,
     now: Time,
     began: Time,
-    /// Loads so far.
+    /// Number of loads so far.
     loads: usize,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl World {
-    /// Engines with so many places each, that hold the first models one after the other.
+    /// Engines with room for `places` models each, which hold the first models in turn.
     fn new(models: usize, engines: usize, places: usize) -> Self {
         let model =
             |number| Model { name: name(number), memory_mb: MODEL_MB, cold: LOAD, ..Model::default() };
@@ -89,7 +90,7 @@
         self.spots.iter().filter(holds).count()
     }
 
-    /// Requests at the engines that hold a model: all that there are, spread over its copies.
+    /// Number of requests at an engine: the demand for each of its models is spread evenly over the copies.
     fn open(&self, spot: &Spot, demand: &BTreeMap<Name, f64>) -> u32 {
         let share = |(model, _): &(Name, Phase)| {
             demand.get(model).map_or(0.0, |busy| busy / self.copies(model).max(1) as f64)
@@ -97,7 +98,7 @@
         spot.copies.iter().map(share).sum::<f64>().round() as u32
     }
 
-    /// One plan, and the time until the next. `demand`: requests that are under way or wait, by model.
+    /// Makes one plan and advances to the next. `demand`: requests under way or waiting, by model.
     fn step(&mut self, demand: &BTreeMap<Name, f64>) -> Vec<Move> {
         self.now = self.now + STEP;
         self.finish();
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Takes in demand as the one that plans does.
+    /// Updates the smoothed demand in the same way as the planner.
     fn watch(&mut self, demand: &BTreeMap<Name, f64>) {
         let keep = (-STEP.as_secs_f64() / 1.2).exp2();
         for model in self.pool.models.iter().map(|model| model.name.clone()) {
@@ -168,13 +169,13 @@
         let Some(spot) = self.spots.iter_mut().find(|spot| spot.engine == step.engine) else {
             panic!("no such engine: {step:?}");
         };
-        assert!(spot.idle && spot.usable, "{step:?} at an engine that is at work");
+        assert!(spot.idle && spot.usable, "{step:?} at a busy engine");
         if let Some(drop) = &step.drop {
             spot.copies.retain(|(model, _)| model != drop);
             spot.free_mb += MODEL_MB;
         }
         if let Some(load) = &step.load {
-            assert!(spot.free_mb >= MODEL_MB, "{step:?} without room");
+            assert!(spot.free_mb >= MODEL_MB, "{step:?} without free memory");
             spot.copies.push((load.clone(), Phase::Loading));
             spot.free_mb -= MODEL_MB;
             spot.idle = false;
@@ -183,7 +184,8 @@
         }
     }
 
-    /// Runs for a time under one demand. Returns the longest time for which each model that is asked for had no copy.
+    /// Runs for `length` under constant demand. Returns the longest time for which each model with demand had
+    /// no ready copy.
     fn run(&mut self, length: Duration, demand: &BTreeMap<Name, f64>) -> BTreeMap<Name, Duration> {
         let mut absent: BTreeMap<Name, (Duration, Duration)> = BTreeMap::new();
         let until = self.now + length;
@@ -203,38 +205,38 @@
     of.iter().map(|(model, busy)| (name(*model), *busy)).collect()
 }
 
-/// The busiest model and those that nobody has a copy of get places of last copies that nobody asks for.
+/// The busiest model and those without a copy replace the last copies of unused models.
 #[test]
-fn last_copies_yield() {
+fn last_copies_are_replaced() {
     let mut world = World::new(26, 15, 1);
     let asked = demand(&[(0, 20.0), (1, 8.0), (2, 6.0), (15, 2.0), (16, 1.0), (17, 1.0)]);
     let absent = world.run(Duration::from_secs(6), &asked);
     assert!(
         world.copies("m0") >= 3,
-        "20 requests at engines of 12 slots, beside idle ones: {}",
+        "20 requests need more copies at engines of 12 slots while others are idle: {}",
         world.copies("m0")
     );
     for (model, time) in absent {
-        assert!(time <= Duration::from_secs(4), "{model} was absent for {time:?}");
+        assert!(time <= Duration::from_secs(4), "{model} had no copy for {time:?}");
     }
 }
 
-/// Each model that is asked for again and again is served, however rarely, beside others with steady demand.
+/// Each model with steady demand is served, however small the demand, beside others with high demand.
 #[test]
-fn nobody_starves() {
+fn every_requested_model_is_served() {
     for (models, engines, places) in [(26, 15, 1), (35, 12, 2), (60, 12, 3)] {
         let mut world = World::new(models, engines, places);
         let all: Vec<(usize, f64)> = (0..models).map(|at| (at, if at < 3 { 14.0 } else { 1.0 })).collect();
         let absent = world.run(Duration::from_secs(40), &demand(&all));
         for (model, time) in absent {
-            assert!(time <= Duration::from_secs(12), "{model} of {models} was absent for {time:?}");
+            assert!(time <= Duration::from_secs(12), "{model} of {models} had no copy for {time:?}");
         }
     }
 }
 
-/// Where all models are asked for all the time, engines serve more than they load.
+/// If all models have steady demand, engines spend more time on serving than on loading.
 #[test]
-fn copies_earn_their_loads() {
+fn load_time_is_bounded() {
     let mut world = World::new(26, 15, 1);
     let all: Vec<(usize, f64)> = (0..26).map(|at| (at, 1.0)).collect();
     world.run(Duration::from_secs(30), &demand(&all));
@@ -242,7 +244,8 @@
     assert!(loading <= 0.34, "engines spend {loading:.2} of their time on loads");
 }
 
-/// Demand that moves to other models every four seconds: the busiest has a copy within two of them, and more by the end.
+/// Demand moves to other models every four seconds: the busiest has a copy within two of them, and more by the
+/// end.
 #[test]
 fn moving_demand() {
     for (models, engines, places) in [(26, 15, 1), (35, 12, 2)] {
@@ -254,7 +257,7 @@
             for (model, time) in absent {
                 assert!(
                     time <= Duration::from_secs(2),
-                    "{model} of {models} was absent for {time:?}, phase {phase}"
+                    "{model} of {models} had no copy for {time:?}, phase {phase}"
                 );
             }
             assert!(world.copies(&name(hot)) >= 2, "phase {phase} of {models}");
@@ -262,9 +265,10 @@
     }
 }
 
-/// A cut leaves engines with a part of the models: what is asked for comes, although each copy there is a last one.
+/// A partition leaves engines that hold only some of the models: models with demand are loaded, although each
+/// copy there is the last of its model.
 #[test]
-fn cut_off_with_a_part() {
+fn partition_with_some_models() {
     let mut world = World::new(45, 18, 3);
     for spot in world.spots.iter_mut().skip(6) {
         spot.usable = false;
@@ -272,13 +276,13 @@
     let asked = demand(&[(0, 6.0), (7, 3.0), (30, 2.0), (44, 1.0)]);
     let absent = world.run(Duration::from_secs(6), &asked);
     for (model, time) in absent {
-        assert!(time <= Duration::from_secs(3), "{model} was absent for {time:?}");
+        assert!(time <= Duration::from_secs(3), "{model} had no copy for {time:?}");
     }
 }
 
-/// Where there is room for all models, each keeps a copy whatever is asked for.
+/// If there is room for all models, each keeps a copy whatever the demand.
 #[test]
-fn all_stay_where_there_is_room() {
+fn every_model_keeps_a_copy_if_there_is_room() {
     for (models, engines, places) in [(206, 84, 3), (248, 204, 3), (13, 9, 2)] {
         let mut world = World::new(models, engines, places);
         let hot = (0..models / 10).map(|at| (at, 40.0)).collect::<Vec<_>>();
@@ -293,18 +297,18 @@
     }
 }
 
-/// As many places as models, of which the busiest takes two: a model without a copy is asked for, and each other copy is the
-/// last of a model that nobody asks for. Seen: 21 models at seven engines of three places, and callers of one of them
-/// refused for 12 s and more.
+/// The engines have room for exactly one copy of each model, but the busiest model has two. A model without a
+/// copy is requested, and each other copy is the last of an unused model. Observed: 21 models at seven engines
+/// with room for three each, and the callers of one model refused for 12 s and longer.
 #[test]
-fn asked_for_without_slack() {
+fn requested_model_without_spare_room() {
     let mut world = World::new(21, 7, 3);
     let spot = world.spots.iter_mut().find(|spot| spot.copies.iter().any(|(model, _)| **model == *"m20"));
-    let spot = spot.expect("an engine holds it");
+    let spot = spot.expect("an engine holds m20");
     spot.copies.retain(|(model, _)| **model != *"m20");
     spot.copies.push((name(0), Phase::Ready));
     world.run(Duration::from_secs(5), &demand(&[(0, 30.0)]));
     let absent = world.run(Duration::from_secs(15), &demand(&[(0, 30.0), (20, 1.0)]));
     let time = absent[&name(20)];
-    assert!(time <= Duration::from_secs(12), "m20 was absent for {time:?}");
+    assert!(time <= Duration::from_secs(12), "m20 had no copy for {time:?}");
 }
--- a/fleet/tests/storm/mod.rs
+++ b/fleet/tests/storm/mod.rs
@@ -1,7 +1,7 @@
-//! A deployment in which requests share parts of their prompts, and one part ends each engine that begins to write on it: drawn
-//! at random, without a network.
+//! Simulated deployment in which requests share parts of their prompts, and one part crashes each engine that
+//! begins to write an answer to it. Events are drawn at random, without a network.
 
-#![allow(dead_code, reason = "each test uses what it needs")]
+#![allow(dead_code, reason = "each test uses a part of this module")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -20,69 +20,69 @@
 use crate::links::{LARGE, Links, SMALL};
 use crate::node::{BUILD, HOST, WRITER, config, entry, listing, millis, removed, row, streamed};
 
-/// Time within which those that are in touch know what one of them has seen.
+/// Time within which all connected entry VMs learn what one of them has observed.
 pub const CONTACT: Duration = Duration::from_secs(3);
-/// Ends of engines under a part after which, and [`CONTACT`] later, hardly any request with it is to be sent.
+/// Number of crashes under a part after which, and [`CONTACT`] later, hardly any request with it may be sent.
 pub const ENDS_MAX: usize = 5;
-/// Sendings after that.
+/// Maximum number of requests sent after that.
 pub const LATER_MAX: usize = 3;
-/// A tick of the world.
+/// Time step of the simulation.
 const TICK: Duration = Duration::from_millis(10);
-/// From a sending to the run's beginning.
+/// Time from sending a request to the begin of its run.
 const ARRIVAL: Duration = Duration::from_millis(10);
-/// From an answer's first event to its end, and between two events.
+/// Time from an answer's first event to its end, and between two events.
 const WRITING: Duration = Duration::from_millis(600);
 const EVENT: Duration = Duration::from_millis(100);
-/// Requests that share a first part, and parts that are second.
+/// Number of different first parts, and of different second parts.
 pub const FIRSTS: u64 = 5;
 pub const SECONDS: u64 = 200;
 
-/// What happens in a deployment.
+/// Parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct Settings {
     pub seed: u64,
     pub vms: usize,
     pub engines: usize,
     pub slots: u32,
-    /// Sound requests a second.
+    /// Harmless requests per second.
     pub sound: f64,
-    /// Requests a second with each bad part.
+    /// Requests per second with each bad part.
     pub bad: f64,
-    /// Bad parts: the second of a prompt, or the first.
+    /// Parts that crash engines.
     pub parts: Vec<Bad>,
-    /// The longest time that an engine reads before it writes; the shortest is 30 ms.
+    /// Maximum time that an engine reads before it writes; the minimum is 30 ms.
     pub read: Duration,
-    /// From the beginning of an answer on a bad part to its engine's end.
+    /// Time from the begin of an answer with a bad part to the crash of its engine.
     pub fuse: Duration,
-    /// Whether such an engine sends a first event before it ends.
+    /// Whether such an engine sends a first event before it crashes.
     pub begins: bool,
-    /// Whether answers end with their connections, so that those that a crash breaks off look whole.
+    /// Whether answers end with their connections, so that an answer that a crash breaks off looks complete.
     pub closes: bool,
-    /// How long an engine that ended is gone.
+    /// Time for which a crashed engine is gone.
     pub down: Duration,
-    /// When all engines end for another cause.
+    /// Times at which all engines crash for another cause.
     pub waves: Vec<Duration>,
-    /// When entry VMs are killed, and which part of them.
+    /// Times at which entry VMs are killed, each with the fraction of them.
     pub kills: Vec<(Duration, f64)>,
-    /// When the leader stands still, and for how long.
+    /// Time at which the leader is suspended, and for how long.
     pub frozen: Option<(Duration, Duration)>,
-    /// When bad requests come.
+    /// Time from which bad requests arrive.
     pub from: Duration,
     pub lasts: Duration,
-    /// The route.
+    /// Path of the requests.
     pub path: &'static str,
-    /// Requests whose clients come again at once if they fail: tries of each.
+    /// Number of tries of each client; a failed request is retried at once.
     pub tries: u32,
 }
 
-/// A part that ends engines.
+/// A part that crashes engines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Bad {
-    /// The first of a prompt.
+    /// The first part of a prompt.
     First(u64),
-    /// The second; sound requests have had it before.
+    /// A second part that harmless requests contained before.
     Second(u64),
-    /// The second; no sound request has it.
+    /// A second part that no harmless request contains.
     Fresh(u64),
 }
 
@@ -127,15 +127,15 @@
     request: Id,
     attempt: u32,
     engine: Name,
-    /// When it reaches the engine.
+    /// When the request reaches the engine.
     begins: Time,
-    /// When it writes its first event.
+    /// When the engine writes the first event.
     writes: Time,
-    /// When it has told of an event last; none before the first.
+    /// When the last event was reported; none before the first.
     told: Option<Time>,
 }
 
-/// What came of sound requests.
+/// Counts of harmless requests and of those whose answers began.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Served {
     pub asked: usize,
@@ -148,22 +148,23 @@
     }
 }
 
-/// What came of a storm.
+/// Result of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Engines that ended under each bad part.
+    /// Number of crashes under each bad part.
     pub ends: Vec<usize>,
-    /// Sendings with each, from [`CONTACT`] after the fifth end.
+    /// Number of requests with each bad part that were sent from [`CONTACT`] after the fifth crash.
     pub later: Vec<usize>,
-    /// Sound requests, and those that were refused for what engines ended under.
+    /// Number of harmless requests, and of those that were refused because of crashes.
     pub sound: usize,
     pub wronged: usize,
-    /// Shared parts of sound requests that were refused so.
+    /// Shared parts of the harmless requests that were refused.
     pub accused: BTreeSet<String>,
-    /// Sound requests with the first part of the bad ones, and others, from twice [`CONTACT`] after the fifth end, or the last.
+    /// Harmless requests with the first part of the bad ones, and all others, from twice [`CONTACT`] after the
+    /// fifth crash, or after the last.
     pub kin: Served,
     pub others: Served,
-    /// Messages that were pushed.
+    /// Number of pushed messages.
     pub pushes: usize,
 }
 
@@ -181,17 +182,18 @@
     runs: Vec<Run>,
     requests: BTreeMap<(usize, Id), Request>,
     again: Vec<(usize, Request)>,
-    /// Times of the engines' ends, and of sendings, under each bad part.
+    /// Times of the crashes, and of the sent requests, for each bad part.
     ends: Vec<Vec<Time>>,
     sendings: Vec<Vec<Time>>,
-    /// Sound requests: when they came, whether with the first part of bad ones, and whether they began at their first attempt.
+    /// Harmless requests: when they arrived, whether they have the first part of the bad ones, and whether
+    /// their answer began at the first attempt.
     served: BTreeMap<(usize, Id), (Time, bool, bool)>,
-    /// Until when an entry VM that was killed or stood still is not in touch.
+    /// Time until which an entry VM that was killed or suspended does not count as connected.
     apart: Vec<Time>,
     outcome: Outcome,
 }
 
-/// Plays a deployment.
+/// Runs a simulation.
 pub fn play(settings: Settings) -> Outcome {
     let mut world = World::new(settings);
     let ticks = world.settings.lasts.as_millis() / TICK.as_millis();
@@ -244,7 +246,7 @@
         };
         self.version += 1;
         let mut rows = vec![row(self.version, entry)];
-        // The store has noticed by then that those which ended are gone.
+        // By then the store has removed the engines that crashed.
         for gone in std::mem::take(&mut self.gone) {
             self.version += 1;
             rows.push(removed(self.version, &gone));
@@ -262,7 +264,7 @@
         self.now().since(self.begin)
     }
 
-    /// Whether something that comes so often a second comes in this tick.
+    /// Number of arrivals in this time step at `rate` per second.
     fn comes(&mut self, rate: f64) -> usize {
         let expected = rate * TICK.as_secs_f64();
         expected as usize + usize::from(self.rng.f64() < expected.fract())
@@ -284,7 +286,7 @@
             Some(Bad::Fresh(part)) => (first, second) = (0, format!("x{part}")),
         }
         let parts = [format!("f{first}"), second];
-        // Whoever draws a bad part brings a bad request, wanted or not.
+        // A request that draws a bad part by chance is a bad request as well.
         let bad = bad.or_else(|| {
             let is_bad = |bad: &Bad| match bad {
                 Bad::First(part) => parts[0] == format!("f{part}"),
@@ -314,7 +316,7 @@
         self.follow();
     }
 
-    /// Does what entry VMs want for requests.
+    /// Carries out the effects of entry VMs for requests.
     fn follow(&mut self) {
         loop {
             let wanted = self.links.wanted();
@@ -394,7 +396,7 @@
         }
     }
 
-    /// Its client tries once more, at another entry VM.
+    /// The client retries at another entry VM.
     fn come_again(&mut self, request: &Request) {
         if request.tries > 1
             && let Some(vm) = self.vm()
@@ -409,7 +411,7 @@
         self.links.feed(run.vm, ended);
     }
 
-    /// An engine's process ends: what runs there breaks.
+    /// Crashes an engine: its runs break.
     fn crash(&mut self, engine: &Name, bad: Option<usize>) {
         if !self.engines.remove(engine) {
             return;
@@ -432,7 +434,7 @@
         self.follow();
     }
 
-    /// How an engine's port answers.
+    /// Result of a probe of an engine's port.
     fn reach(&self, engine: &Name) -> Reach {
         if self.engines.contains(engine) { Reach::Open } else { Reach::Closed }
     }
@@ -469,7 +471,7 @@
         self.write();
     }
 
-    /// Kills, frozen leaders, and engines that end for another cause.
+    /// Kills entry VMs, suspends the leader, and crashes engines for another cause.
     fn disturb(&mut self, at: Duration) {
         let is_now = |then: Duration| then <= at && at < then + TICK;
         if self.settings.waves.iter().any(|wave| is_now(*wave)) {
@@ -514,7 +516,7 @@
         self.links.feed(vm, listing(rows, self.version, true));
     }
 
-    /// Engines write, or end.
+    /// Lets engines write events, or crash.
     fn write(&mut self) {
         let now = self.now();
         let ends = |world: &Self, run: &Run| {
@@ -564,7 +566,7 @@
             from = from.max(last);
         }
         let from = from.unwrap_or(self.begin);
-        // Those that came last had no time to begin.
+        // The last requests had no time to begin.
         let until = self.now() - Duration::from_secs(3);
         for (came, kin, began) in self.served.values().filter(|(came, _, _)| *came >= from && *came < until) {
             let _ = came;
