--- a/daemon/src/entry/client.rs
+++ b/daemon/src/entry/client.rs
@@ -20,7 +20,7 @@
 use actix_http::header::{self, HeaderMap, HeaderValue};
 use actix_http::{Method, RequestHead, RequestHeadType, ResponseHead, StatusCode, Uri};
 use boragecove_core::time::Time;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use bytes::{Bytes, BytesMut};
 use rustc_hash::FxHashMap;
 use thiserror::Error;
@@ -281,11 +281,11 @@
     }
 
     /// Opens a connection and closes it again, to see whether anything listens.
-    pub(crate) async fn reach(&self, address: SocketAddr) -> Reach {
+    pub(crate) async fn reach(&self, address: SocketAddr) -> Port {
         match timeout(self.connect, TcpStream::connect(address)).await {
-            Ok(Ok(_)) => Reach::Open,
-            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Reach::Closed,
-            Ok(Err(_)) | Err(_) => Reach::Silent,
+            Ok(Ok(_)) => Port::Open,
+            Ok(Err(error)) if error.kind() == io::ErrorKind::ConnectionRefused => Port::Closed,
+            Ok(Err(_)) | Err(_) => Port::Silent,
         }
     }
 
--- a/daemon/src/entry/follow.rs
+++ b/daemon/src/entry/follow.rs
@@ -8,7 +8,7 @@
 
 use actix::Addr;
 use boragecove_core::time::Time;
-use boragecove_fleet::effect::{Follow, Patience};
+use boragecove_fleet::effect::{Follow, Poll};
 use boragecove_fleet::event::{Event, Listing};
 use boragecove_fleet::revision::Revision;
 use boragecove_platform::error::Unreadable;
@@ -99,16 +99,18 @@
         node.do_send(Transferred(Transfer::of(Kind::Engines, since, &called)));
         // What came of the call is logged with the transfer.
         let Some(received) = called.ok().filter(|received| received.status.is_success()) else {
-            return Event::Unread;
+            return Event::RefreshFailed;
         };
         let era = store::era(&received.headers).unwrap_or_default();
         match store::page(era, &received.body) {
-            Ok(page) if page.version.era == self.after.era => Event::Listed(listing(&page, asked, false)),
+            Ok(page) if page.version.era == self.after.era => {
+                Event::EnginesRead(listing(&page, asked, false))
+            }
             // Whoever follows the table reads another copy's whole.
-            Ok(_other_copy) => Event::Unread,
+            Ok(_other_copy) => Event::RefreshFailed,
             Err(error) => {
                 tracing::warn!(%error, "changes of the engines' table");
-                Event::Unread
+                Event::RefreshFailed
             }
         }
     }
@@ -173,14 +175,14 @@
                 Err(Failed::HistoryGone) => self.version = None,
                 Err(Failed::EraRisen) => {
                     // All that follow the store read it whole now.
-                    let spread = self.wanted.borrow().map_or(Duration::ZERO, |follow| follow.spread);
+                    let spread = self.wanted.borrow().map_or(Duration::ZERO, |follow| follow.reload_spread);
                     sleep(spread.mul_f64(fastrand::f64())).await;
                     self.version = None;
                 }
                 Err(error) => {
                     tracing::debug!(table = ?self.table, %error, "cannot follow the store");
                     self.node.do_send(Feed(Event::StoreUp(false)));
-                    let least = self.wanted.borrow().map_or(Duration::ZERO, |follow| follow.failed);
+                    let least = self.wanted.borrow().map_or(Duration::ZERO, |follow| follow.retry_min);
                     sleep(pause.max(least).mul_f64(0.5 + 0.5 * fastrand::f64())).await;
                     pause = self.wanted.borrow().map_or(pause, |follow| (pause * 2).min(follow.retry_max));
                 }
@@ -199,8 +201,8 @@
         if let Some(told) = wanted {
             sleep(told.delay).await;
             let known = match self.table {
-                Table::Operator => told.declared,
-                Table::Engines => told.listed,
+                Table::Operator => told.operator_version,
+                Table::Engines => told.engines_version,
             };
             // Changes are followed from what the hub told: a whole document may be 1 MB, and all would read it at once.
             if self.version < Some(known) && known.is_known() {
@@ -219,7 +221,7 @@
             return self.read().await;
         };
         if self.answered {
-            let Patience { wait, overdue } = self.patience();
+            let Poll { wait, overdue } = self.patience();
             match self.changes(version, wait, wait + overdue).await {
                 // Its connection may deliver nothing more, or the store may be slow: one that waits for nothing tells.
                 Err(Failed::Call(error)) if error.is_late() => {}
@@ -260,12 +262,12 @@
     }
 
     /// How long an answer to a call for changes is waited for.
-    fn patience(&self) -> Patience {
+    fn patience(&self) -> Poll {
         let patience = |follow: Follow| match self.table {
             Table::Operator => follow.operator,
             Table::Engines => follow.engines,
         };
-        self.wanted.borrow().map_or(Patience::default(), patience)
+        self.wanted.borrow().map_or(Poll::default(), patience)
     }
 
     /// Tells the node what a page holds that the store was asked for then. Returns whether a configuration came that had
@@ -284,10 +286,10 @@
                     self.config = 0;
                 }
                 let (version, config) = (page.version, self.config);
-                self.node.do_send(Feed(Event::Declared { version, config, asked }));
+                self.node.do_send(Feed(Event::OperatorTableRead { version, config, asked }));
             }
             Table::Engines => {
-                self.node.do_send(Feed(Event::Listed(listing(page, asked, whole))));
+                self.node.do_send(Feed(Event::EnginesRead(listing(page, asked, whole))));
             }
         }
         Ok(new)
--- a/daemon/src/entry/log.rs
+++ b/daemon/src/entry/log.rs
@@ -143,7 +143,7 @@
             parts: arrival.parts.iter().map(ToString::to_string).collect(),
             resumes: content.resumes.as_ref(),
             after_event: content.resumes_after,
-            patience_ms: arrival.patience.map(|patience| patience.as_millis() as u64),
+            patience_ms: arrival.caller_timeout.map(|patience| patience.as_millis() as u64),
         };
         self.line(now, Some(request), note);
     }
--- a/daemon/src/entry/metrics.rs
+++ b/daemon/src/entry/metrics.rs
@@ -147,17 +147,17 @@
         departures(&mut registry, state);
         counter(&mut registry, "connections_opened", "Connections opened", counts.connections);
         let help = "Looks for an engine that an adapter is to be brought to";
-        counter(&mut registry, "adapter_places_sought", help, state.places_sought());
+        counter(&mut registry, "adapter_places_sought", help, state.placement_searches());
         let help = "Answers of the store from before it came back from an older copy, which came after that was known";
-        counter(&mut registry, "store_answers_outdated", help, state.answers_outdated());
+        counter(&mut registry, "store_answers_outdated", help, state.outdated_answers());
         let help = "Rows of the engines' table that were passed over as older than what was known";
-        counter(&mut registry, "rows_passed_over", help, state.rows_passed_over());
+        counter(&mut registry, "rows_passed_over", help, state.stale_rows_skipped());
         let help = "Requests sent to engines that had named a limit";
         counter(&mut registry, "sent_to_limited", help, state.sent_to_limited());
         relays(&mut registry, state);
         snapshots(&mut registry, state);
         let help = "Times that the process was awake long after it had asked for";
-        counter(&mut registry, "standstills", help, state.standstills());
+        counter(&mut registry, "standstills", help, state.stalls());
         counter(&mut registry, "log_lines_dropped", "Log lines left out", counts.lines_dropped);
         gauges(&mut registry, state, now);
         let mut text = String::new();
@@ -193,7 +193,7 @@
     let help = "Questions for credit of workspaces' limits, by how they were answered";
     registry.register("quota_draws", help, draws);
     let places = Family::<Drawn, Counter>::default();
-    for (answer, count) in state.limit_places() {
+    for (answer, count) in state.limited_reservation_answers() {
         places.get_or_create(&Drawn { answer }).inc_by(*count);
     }
     let help = "Questions for places at engines that had named a limit, by how they were answered";
@@ -215,7 +215,7 @@
 /// What the hub told whole.
 fn snapshots(registry: &mut Registry, state: &State) {
     let (answers, bytes) = (Family::<Retried, Counter>::default(), Family::<Retried, Counter>::default());
-    for (reason, told) in state.told_whole() {
+    for (reason, told) in state.full_snapshots() {
         let labels = Retried { reason: reason.label() };
         answers.get_or_create(&labels).inc_by(told.answers);
         bytes.get_or_create(&labels).inc_by(told.bytes);
@@ -230,7 +230,7 @@
     let help = "Requests sent by another entry VM";
     counter(registry, "sent_by_relays", help, state.sent_by_relays());
     let help = "Requests of other entry VMs passed on";
-    counter(registry, "passed_on", help, state.passed_on());
+    counter(registry, "passed_on", help, state.relayed());
     let denied = Family::<Retried, Counter>::default();
     for (reason, count) in state.relays_denied() {
         denied.get_or_create(&Retried { reason }).inc_by(*count);
@@ -241,13 +241,13 @@
 /// Engines that leave or are gone.
 fn departures(registry: &mut Registry, state: &State) {
     let known = Family::<Known, Counter>::default();
-    for (road, count) in state.departures_known() {
+    for (road, count) in state.departures_learnt() {
         known.get_or_create(&Known { road: road.label() }).inc_by(*count);
     }
     let help = "Engines that were found to leave or to be gone, by the road on which that came first";
     registry.register("departures_known", help, known);
     let told = Family::<Told, Counter>::default();
-    for (audience, count) in state.departures_told() {
+    for (audience, count) in state.departures_reported() {
         told.get_or_create(&Told { to: audience.label() }).inc_by(*count);
     }
     let help = "Engines that others were told to leave or to be gone, by who was told";
@@ -256,8 +256,8 @@
 
 fn gauges(registry: &mut Registry, state: &State, now: Time) {
     let version = state.config().map_or(0, |config| config.version);
-    let leaving = state.engines().filter(|engine| engine.leaves()).count();
-    let suspected = state.engines().filter(|engine| engine.health.suspected(now)).count();
+    let leaving = state.engines().filter(|engine| engine.is_leaving()).count();
+    let suspected = state.engines().filter(|engine| engine.health.is_suspected(now)).count();
     gauge(registry, "requests_open", "Requests under way", state.open());
     gauge(registry, "requests_waiting", "Requests that wait for an engine", state.waiting());
     gauge(registry, "config_version", "The configuration in force", version as usize);
@@ -266,7 +266,7 @@
     gauge(registry, "engines_suspected", "Engines that could not be reached or are silent", suspected);
     let relayed = state.engines().filter(|engine| engine.path.is_relayed()).count();
     gauge(registry, "engines_relayed", "Engines that another entry VM passes requests on to", relayed);
-    gauge(registry, "passing_on", "Requests of other entry VMs under way", state.passing_on() as usize);
+    gauge(registry, "passing_on", "Requests of other entry VMs under way", state.relaying() as usize);
     let help = "Whether most engines in use are reached by other entry VMs alone";
     gauge(registry, "cut_off", help, state.is_cut_off().into());
     let help = "Engines in need that have named a limit of requests a second";
@@ -277,7 +277,7 @@
         "Which copy of its data the store answers from; rises each time that it comes back from an older one";
     gauge(registry, "store_era", help, state.era().number() as usize);
     gauge(registry, "store_up", "Whether the platform's store answers", state.store_up().into());
-    let quarantined = state.crashes().quarantined(now);
+    let quarantined = state.crashes().quarantined_count(now);
     gauge(
         registry,
         "requests_quarantined",
@@ -290,15 +290,15 @@
     let proof = Gauge::<i64>::default();
     proof.set(age_ms);
     registry.register("proof_age_ms", help, proof);
-    let listed_age_ms = state.listed_age(now).map_or(-1, |age| age.as_millis() as i64);
+    let listed_age_ms = state.engines_age(now).map_or(-1, |age| age.as_millis() as i64);
     let help =
         "Time since all was known that the store had taken of the engines' table, in ms; -1 before that";
     let listed = Gauge::<i64>::default();
     listed.set(listed_age_ms);
     registry.register("listed_age_ms", help, listed);
     let help = "Workspaces of whose limits a share is held here";
-    gauge(registry, "quota_shares_held", help, state.quota_held(now));
-    let leads = state.lease().holds(now).is_some();
+    gauge(registry, "quota_shares_held", help, state.quota_workspaces(now));
+    let leads = state.lease().held_term(now).is_some();
     gauge(registry, "lease_held", "Whether this process gives orders", leads.into());
 }
 
--- a/daemon/src/entry/node.rs
+++ b/daemon/src/entry/node.rs
@@ -11,14 +11,14 @@
 use boragecove_fleet::budget::{self, Permit};
 use boragecove_fleet::config::Limits;
 use boragecove_fleet::effect::{Effect, Follow};
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::{Frame, Reply};
 use boragecove_fleet::path;
-use boragecove_fleet::pin::{Note, Origin, Pin};
+use boragecove_fleet::pin::{Announcement, Origin, Pin};
 use boragecove_fleet::quota::{Credit, Draw};
 use boragecove_fleet::request::{Arrival, Id, Step, Stream};
-use boragecove_fleet::schedule::{Ask, Grant};
+use boragecove_fleet::schedule::{Grant, ReservationRequest};
 use boragecove_fleet::state::{Identity, State};
 use boragecove_platform::front;
 use rustc_hash::FxHashMap;
@@ -109,7 +109,7 @@
 /// Another entry VM asks for a place in the schedule of an engine.
 #[derive(Debug, actix::Message)]
 #[rtype(result = "Grant")]
-pub(crate) struct Place(pub(crate) Ask);
+pub(crate) struct Place(pub(crate) ReservationRequest);
 
 /// Another entry VM asks for credit of a workspace's limit.
 #[derive(Debug, actix::Message)]
@@ -119,12 +119,12 @@
 /// Another entry VM asks for a repeat.
 #[derive(Debug, actix::Message)]
 #[rtype(result = "Permit")]
-pub(crate) struct Repeat(pub(crate) budget::Ask);
+pub(crate) struct Repeat(pub(crate) budget::PermitRequest);
 
 /// Another entry VM tells what began some streams.
 #[derive(Debug, actix::Message)]
 #[rtype(result = "()")]
-pub(crate) struct Keep(pub(crate) Vec<Note>);
+pub(crate) struct Keep(pub(crate) Vec<Announcement>);
 
 /// Another entry VM asks what began a stream.
 #[derive(Debug, actix::Message)]
@@ -133,7 +133,7 @@
 
 /// Another entry VM asks how the port of an engine answers here.
 #[derive(Debug, actix::Message)]
-#[rtype(result = "Option<Reach>")]
+#[rtype(result = "Option<Port>")]
 pub(crate) struct Try(pub(crate) Name);
 
 /// Another entry VM has a request passed on.
@@ -209,25 +209,25 @@
             Effect::Step { request, step } => self.step(request, step),
             Effect::Frame { address, frame } => self.frame(address, &frame, ctx),
             Effect::Push(push) => self.push(push, ctx),
-            Effect::Ask { address, request, ask } => {
+            Effect::Reserve { address, request, ask } => {
                 let asking = peers::ask(Rc::clone(&self.client), address, &ask);
                 later(ctx, async move { Event::Granted { request, grant: asking.await } });
             }
-            Effect::Draw { address, request, draw } => {
+            Effect::RequestCredit { address, request, draw } => {
                 let asking = peers::draw(Rc::clone(&self.client), address, &draw);
                 let workspace = draw.workspace;
-                later(ctx, async move { Event::Drawn { request, workspace, credit: asking.await } });
+                later(ctx, async move { Event::CreditAnswered { request, workspace, credit: asking.await } });
             }
-            Effect::Permit { address, request, asked, ask } => {
+            Effect::RequestPermit { address, request, asked, ask } => {
                 let asking = peers::permit(Rc::clone(&self.client), address, ask);
-                later(ctx, async move { Event::Permitted { request, asked, permit: asking.await } });
+                later(ctx, async move { Event::PermitAnswered { request, asked, permit: asking.await } });
             }
-            Effect::Note { address, notes } => {
+            Effect::AnnounceOrigins { address, notes } => {
                 actix_rt::spawn(peers::note(Rc::clone(&self.client), address, notes));
             }
-            Effect::Trace { address, request, stream } => {
+            Effect::QueryOrigin { address, request, stream } => {
                 let asking = peers::trace(Rc::clone(&self.client), address, stream);
-                later(ctx, async move { Event::Traced { request, origin: asking.await } });
+                later(ctx, async move { Event::OriginAnswered { request, origin: asking.await } });
             }
             Effect::Lease(call) => self.lease(call, ctx),
             Effect::Order(dispatch) => self.order(&dispatch, ctx),
@@ -238,7 +238,7 @@
                 let client = Rc::clone(&self.client);
                 later(ctx, async move {
                     let reach = client.reach(address).await;
-                    if reach == Reach::Silent {
+                    if reach == Port::Silent {
                         // Connections that are open may have gone silent with it.
                         client.forget(address);
                     }
@@ -273,7 +273,7 @@
             Effect::Limit(limits) => {
                 self.limits.send_replace(limits);
             }
-            Effect::Changed(engine) => self.answer_met(now, &engine),
+            Effect::HoldingsChanged(engine) => self.answer_met(now, &engine),
             Effect::WakeAt(at) => self.wake_at(at, ctx),
             Effect::Exit => {
                 self.exited.send_replace(true);
@@ -284,7 +284,7 @@
     /// Answers the frames whose senders' callers wait for what an engine has now.
     fn answer_met(&mut self, now: Time, engine: &Name) {
         let Self { held, state, .. } = self;
-        let meets = |held: &mut Held| boragecove_fleet::meets(state, now, engine, &held.frame);
+        let meets = |held: &mut Held| boragecove_fleet::satisfies_frame(state, now, engine, &held.frame);
         let met: Vec<Held> = held.extract_if(.., meets).collect();
         for held in met {
             self.answer(now, held);
@@ -302,7 +302,7 @@
 
     fn answer(&mut self, now: Time, held: Held) {
         let began = Instant::now();
-        let reply = boragecove_fleet::reply(&mut self.state, now, &held.frame);
+        let reply = boragecove_fleet::reply_to_frame(&mut self.state, now, &held.frame);
         self.was_busy(now, "reply", began);
         held.answer(reply);
     }
@@ -332,7 +332,7 @@
     type Result = ();
 
     fn handle(&mut self, Feed(event): Feed, ctx: &mut Self::Context) {
-        if let Event::Gone(request) = &event {
+        if let Event::CallerGone(request) = &event {
             self.steps.remove(request);
             self.log.gone(self.clock.now(), *request);
         }
@@ -421,7 +421,7 @@
     type Result = ();
 
     fn handle(&mut self, Keep(notes): Keep, _ctx: &mut Self::Context) {
-        boragecove_fleet::keep(&mut self.state, self.clock.now(), notes);
+        boragecove_fleet::store_origins(&mut self.state, self.clock.now(), notes);
     }
 }
 
@@ -429,23 +429,23 @@
     type Result = MessageResult<Trace>;
 
     fn handle(&mut self, Trace(stream): Trace, _ctx: &mut Self::Context) -> Self::Result {
-        MessageResult(boragecove_fleet::origin(&self.state, stream))
+        MessageResult(boragecove_fleet::stream_origin(&self.state, stream))
     }
 }
 
 impl Handler<Try> for Node {
-    type Result = ResponseFuture<Option<Reach>>;
+    type Result = ResponseFuture<Option<Port>>;
 
     fn handle(&mut self, Try(engine): Try, _ctx: &mut Self::Context) -> Self::Result {
-        let look = boragecove_fleet::look(&self.state, self.clock.now(), &engine);
+        let look = boragecove_fleet::reachability_check(&self.state, self.clock.now(), &engine);
         let client = Rc::clone(&self.client);
         Box::pin(async move {
             let look = look?;
             let reach = client.reach(look.address).await;
-            let Some(control) = look.control.filter(|_| reach != Reach::Open) else {
+            let Some(control) = look.control.filter(|_| reach != Port::Open) else {
                 return Some(reach);
             };
-            (client.reach(control).await == Reach::Open).then_some(reach)
+            (client.reach(control).await == Port::Open).then_some(reach)
         })
     }
 }
@@ -455,7 +455,7 @@
 
     fn handle(&mut self, Pass { order, parts }: Pass, ctx: &mut Self::Context) {
         let now = self.clock.now();
-        match boragecove_fleet::pass(
+        match boragecove_fleet::relay_request(
             &mut self.state,
             now,
             &order.engine,
@@ -467,7 +467,7 @@
                 let passing = Passing { client, clock, address, order, parts };
                 later(ctx, async move {
                     passing.run().await;
-                    Event::Relayed
+                    Event::RelayEnded
                 });
             }
             Err(denial) => {
@@ -483,9 +483,9 @@
 
     fn handle(&mut self, Hear(frame): Hear, ctx: &mut Self::Context) -> Self::Result {
         let now = self.clock.now();
-        self.feed(Event::Framed(Box::new(frame.clone())), ctx);
+        self.feed(Event::FrameReceived(Box::new(frame.clone())), ctx);
         let (sender, answer) = oneshot::channel();
-        let awaits = boragecove_fleet::awaits(&self.state, now, &frame);
+        let awaits = boragecove_fleet::defers_reply(&self.state, now, &frame);
         let held = Held::new(now, frame, sender);
         if awaits {
             self.held.push(held);
--- a/daemon/src/entry/node/calls.rs
+++ b/daemon/src/entry/node/calls.rs
@@ -42,10 +42,11 @@
     }
 
     pub(super) fn push(&self, push: Push, ctx: &Context<Self>) {
-        let (client, node, bound) = (Rc::clone(&self.client), ctx.address(), self.settings.fleet.departure);
+        let (client, node, bound) =
+            (Rc::clone(&self.client), ctx.address(), self.settings.fleet.departure_bound);
         actix_rt::spawn(async move {
             if !peers::push(&client, &push, bound).await {
-                node.do_send(Feed(Event::Missed(push)));
+                node.do_send(Feed(Event::PushFailed(push)));
             }
         });
     }
@@ -163,7 +164,7 @@
 /// Tells the node what an engine's answer to a call of the node's own says of the engine, if it says anything.
 fn tell_notice(node: &Addr<Node>, from: Start, notice: Notice) {
     if notice != Notice::default() {
-        node.do_send(Feed(Event::Noticed { from, notice, asked: None }));
+        node.do_send(Feed(Event::NoticeReceived { from, notice, asked: None }));
     }
 }
 
--- a/daemon/src/entry/peers.rs
+++ b/daemon/src/entry/peers.rs
@@ -13,14 +13,14 @@
 use boragecove_core::name::Name;
 use boragecove_fleet::bound::Bound;
 use boragecove_fleet::budget::{self, Permit};
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::{Frame, Reply};
-use boragecove_fleet::pin::{Note, Origin};
+use boragecove_fleet::pin::{Announcement, Origin};
 use boragecove_fleet::push::{Message, Push};
 use boragecove_fleet::quota::{Credit, Draw};
 use boragecove_fleet::request::Stream;
-use boragecove_fleet::schedule::{Ask, Grant};
+use boragecove_fleet::schedule::{Grant, ReservationRequest};
 use bytes::Bytes;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -82,7 +82,7 @@
 pub(crate) fn ask(
     client: Rc<Client>,
     address: SocketAddr,
-    ask: &Ask,
+    ask: &ReservationRequest,
 ) -> impl Future<Output = Option<Grant>> + use<> {
     question(client, address, SCHEDULE, ask, ASK_LIMIT)
 }
@@ -100,13 +100,13 @@
 pub(crate) fn permit(
     client: Rc<Client>,
     address: SocketAddr,
-    ask: budget::Ask,
+    ask: budget::PermitRequest,
 ) -> impl Future<Output = Option<Permit>> + use<> {
     question(client, address, REPEAT, &ask, ASK_LIMIT)
 }
 
 /// Tells another entry VM what began some streams. One that does not hear of it is not told again before the next time.
-pub(crate) async fn note(client: Rc<Client>, address: SocketAddr, notes: Vec<Note>) {
+pub(crate) async fn note(client: Rc<Client>, address: SocketAddr, notes: Vec<Announcement>) {
     let called = client.call(address, post(NOTES, &notes), ASK_MAX, Instant::now() + ASK_LIMIT).await;
     if let Err(error) = called {
         tracing::debug!(%address, %error, "streams not told");
@@ -129,7 +129,7 @@
     client: Rc<Client>,
     address: SocketAddr,
     engine: &Name,
-) -> impl Future<Output = Option<Reach>> + use<> {
+) -> impl Future<Output = Option<Port>> + use<> {
     question(client, address, REACH, engine, REACH_LIMIT)
 }
 
@@ -151,7 +151,7 @@
 /// Pushes something to another entry VM, which is to be in force within `bound`. Returns whether it was taken.
 pub(crate) async fn push(client: &Rc<Client>, push: &Push, bound: Bound) -> bool {
     let request = post(PUSH, &push.message);
-    let stall = bound.pause().min(PUSH_STALL_MAX);
+    let stall = bound.poll_interval_max().min(PUSH_STALL_MAX);
     let answer = client.transfer(push.address, request, ASK_MAX, stall, stall).await;
     answer.is_ok_and(|received| received.status.is_success())
 }
@@ -210,7 +210,7 @@
 }
 
 async fn asked(body: Bytes, node: Data<Addr<Node>>) -> HttpResponse {
-    match decode::<Ask>(&body) {
+    match decode::<ReservationRequest>(&body) {
         Some(ask) => answer(node.send(Place(ask)).await),
         None => HttpResponse::BadRequest().finish(),
     }
@@ -224,14 +224,14 @@
 }
 
 async fn permitted(body: Bytes, node: Data<Addr<Node>>) -> HttpResponse {
-    match decode::<budget::Ask>(&body) {
+    match decode::<budget::PermitRequest>(&body) {
         Some(ask) => answer(node.send(Repeat(ask)).await),
         None => HttpResponse::BadRequest().finish(),
     }
 }
 
 async fn noted(body: Bytes, node: Data<Addr<Node>>) -> HttpResponse {
-    let Some(notes) = decode::<Vec<Note>>(&body) else {
+    let Some(notes) = decode::<Vec<Announcement>>(&body) else {
         return HttpResponse::BadRequest().finish();
     };
     node.do_send(Keep(notes));
--- a/daemon/src/entry/relay.rs
+++ b/daemon/src/entry/relay.rs
@@ -9,9 +9,9 @@
 use actix_http::header::{self, HeaderMap, HeaderValue};
 use boragecove_core::name::Name;
 use boragecove_fleet::event::Event;
-use boragecove_fleet::notice::{Asked, Notice, Start};
+use boragecove_fleet::notice::{AnsweredRequest, Notice, Start};
 use boragecove_fleet::pin::Pin;
-use boragecove_fleet::request::{Attempt, Cause, End, Events as Timed, Id, Refusal, Step};
+use boragecove_fleet::request::{Attempt, Cause, End, Id, Refusal, Step, Timing as Timed};
 use boragecove_platform::front::{self, Verdict};
 use bytes::Bytes;
 use tokio::sync::mpsc;
@@ -90,7 +90,7 @@
     fn events(&self) -> Timed {
         let span = self.first.zip(self.last).map(|(first, last)| last.duration_since(first));
         let gap = span.filter(|_| self.count > 0).map(|span| span / self.count);
-        Timed { pause: self.pause, gap, unframed: self.unframed }
+        Timed { longest_pause: self.pause, mean_gap: gap, unframed: self.unframed }
     }
 }
 
@@ -163,10 +163,10 @@
         loop {
             match next {
                 Some(Step::Send(attempt)) => next = self.attempt(attempt).await,
-                Some(Step::Wait) => next = self.next_step().await,
-                Some(Step::Pass) => return self.pass().await,
+                Some(Step::Hold) => next = self.next_step().await,
+                Some(Step::Forward) => return self.pass().await,
                 Some(Step::Refuse(refusal)) => return self.refuse(&refusal).await,
-                None => return self.node.do_send(Feed(Event::Gone(self.id))),
+                None => return self.node.do_send(Feed(Event::CallerGone(self.id))),
             }
         }
     }
@@ -220,7 +220,7 @@
         }
         tokio::time::sleep_until(self.clock.instant(attempt.at)).await;
         let now = self.clock.now();
-        let asked = Asked { request: self.id, at: now };
+        let asked = AnsweredRequest { request: self.id, sent_at: now };
         let left = attempt.deadline.since(now);
         let mut request = self.content.request.clone();
         let resume_after = self.events.last().or(self.content.resumes_after);
@@ -244,7 +244,7 @@
                 // Where a limit is known, saying nothing says that it is over.
                 if attempt.limited || notice != Notice::default() {
                     let asked = own.then_some(asked);
-                    self.node.do_send(Feed(Event::Noticed { from, notice, asked }));
+                    self.node.do_send(Feed(Event::NoticeReceived { from, notice, asked }));
                 }
             }
             match verdict {
@@ -321,7 +321,7 @@
                     }
                     self.timing.take(Instant::now(), events::count(&whole));
                     let build = attempt.build.clone();
-                    self.pin.wrote(build.as_ref());
+                    self.pin.events_from(build.as_ref());
                     self.node.do_send(Feed(Event::Began { request: self.id, build }));
                     self.begin(&head).await;
                     let _caller_gone = self.outlet.send(Part::Data(whole)).await;
--- a/daemon/src/entry/settings.rs
+++ b/daemon/src/entry/settings.rs
@@ -116,7 +116,7 @@
     set(&mut settings.connect, object.optional("connect").and_then(|node| node.duration()));
     set(&mut settings.frame, object.optional("frame").and_then(|node| node.duration()));
     set(&mut settings.grace, object.optional("grace").and_then(|node| node.duration()));
-    settings.fleet.stop_within = settings.stop_within();
+    settings.fleet.stop_timeout = settings.stop_within();
     if let Some(node) = object.optional("machine") {
         machine(&node, &mut settings.fleet);
     }
@@ -142,7 +142,7 @@
         settings.fleet.regions = regions(&node);
     }
     if let Some(node) = object.optional("without") {
-        settings.fleet.without = without(&node);
+        settings.fleet.disabled = without(&node);
     }
     settings
 }
@@ -158,8 +158,8 @@
         }
         Some(Bound(bound))
     };
-    set(&mut fleet.departure, object.optional("departures-within").and_then(bound));
-    set(&mut fleet.config, object.optional("config-within").and_then(bound));
+    set(&mut fleet.departure_bound, object.optional("departures-within").and_then(bound));
+    set(&mut fleet.config_bound, object.optional("config-within").and_then(bound));
 }
 
 /// Keys of callers.
--- a/daemon/tests/deploy_template.rs
+++ b/daemon/tests/deploy_template.rs
@@ -84,8 +84,8 @@
     assert!(settings.fleet.weak, "a machine of 0.12 cores is no hub if there is a larger one");
     assert!(settings.stop_within() < settings.grace);
     assert!((settings.fleet.repeat_slack - 52.0).abs() < f64::EPSILON);
-    assert_eq!(settings.fleet.departure.0, Duration::from_secs(3));
-    assert_eq!(settings.fleet.config.0, Duration::from_secs(4));
+    assert_eq!(settings.fleet.departure_bound.0, Duration::from_secs(3));
+    assert_eq!(settings.fleet.config_bound.0, Duration::from_secs(4));
     assert_eq!(settings.fleet.order_gap, Duration::from_secs(3));
     assert!((settings.fleet.cold_overage - 1.5).abs() < f64::EPSILON);
     assert!((settings.fleet.cold_slack - 5.0).abs() < f64::EPSILON);
@@ -124,12 +124,12 @@
 fn mechanisms_switched_off() {
     use boragecove_fleet::settings::Mechanism;
     let read = |text: &str| settings::read("entry.jsonc", text);
-    assert!(read(&filled()).expect("valid").fleet.without.is_empty());
+    assert!(read(&filled()).expect("valid").fleet.disabled.is_empty());
     for mechanism in Mechanism::ALL {
         let member = format!("{{ \"without\": [\"{}\"], \"vm\"", mechanism.label());
         let text = filled().replacen("{\n  \"vm\"", &member, 1);
         let settings = read(&text).unwrap_or_else(|problems| panic!("{problems}"));
-        assert!(!settings.fleet.uses(mechanism), "{mechanism:?} in {text}");
+        assert!(!settings.fleet.is_enabled(mechanism), "{mechanism:?} in {text}");
     }
     let wrong = filled().replacen("{\n  \"vm\"", "{ \"without\": [\"everything\"], \"vm\"", 1);
     let problems = read(&wrong).expect_err("no mechanism has that name").to_string();
--- a/fleet/benches/hub.rs
+++ b/fleet/benches/hub.rs
@@ -132,7 +132,7 @@
         vm: format!("front-{vm}").into(),
         zone: "a".into(),
         config: 1,
-        listed: (ENGINES as u64).into(),
+        engines_revision: (ENGINES as u64).into(),
         loads: (0..OPEN_AT_EACH).map(load).collect(),
         demand: (0..OPEN_AT_EACH).map(open).chain((0..WAITED_FOR_AT_EACH).map(waited_for)).collect(),
         ..Frame::default()
@@ -155,7 +155,12 @@
         let mut hub = Self { state: State::new(me, Settings::default(), 7, START), now: START };
         hub.feed(Event::Configured(Arc::new(config())));
         let rows = (0..ENGINES).map(row).collect();
-        hub.feed(Event::Listed(Listing { rows, version: (ENGINES as u64).into(), whole: true, as_of: None }));
+        hub.feed(Event::EnginesRead(Listing {
+            rows,
+            version: (ENGINES as u64).into(),
+            whole: true,
+            as_of: None,
+        }));
         hub.pass(10);
         hub.feed(Event::Lease(Answer { store_ms: Some(0), era: Some(0), outcome: Outcome::Read(None) }));
         hub.feed(Event::Lease(Answer { store_ms: Some(5), era: Some(0), outcome: Outcome::Written(1) }));
@@ -184,7 +189,7 @@
 
     fn hear_all(&mut self, vms: usize) {
         for vm in 0..vms {
-            self.feed(Event::Framed(Box::new(frame(vm))));
+            self.feed(Event::FrameReceived(Box::new(frame(vm))));
         }
     }
 }
@@ -192,14 +197,20 @@
 #[divan::bench(args = SIZES, sample_count = 20, sample_size = 1)]
 fn heard(bencher: Bencher<'_, '_>, vms: usize) {
     let mut hub = Hub::new(vms);
-    bencher.with_inputs(|| frame(3)).bench_local_values(|frame| hub.feed(Event::Framed(Box::new(frame))));
+    bencher
+        .with_inputs(|| frame(3))
+        .bench_local_values(|frame| hub.feed(Event::FrameReceived(Box::new(frame))));
 }
 
 #[divan::bench(args = SIZES, sample_count = 20, sample_size = 1)]
 fn answered(bencher: Bencher<'_, '_>, vms: usize) {
     let mut hub = Hub::new(vms);
-    let asker = Frame { view: boragecove_fleet::reply(&mut hub.state, hub.now, &frame(3)).view, ..frame(3) };
-    bencher.bench_local(|| boragecove_fleet::reply(&mut hub.state, hub.now, &asker));
+    let asker = Frame {
+        residency_version: boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(3))
+            .residency_version,
+        ..frame(3)
+    };
+    bencher.bench_local(|| boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker));
 }
 
 #[divan::bench(args = SIZES, sample_count = 20, sample_size = 1)]
--- a/fleet/benches/plan.rs
+++ b/fleet/benches/plan.rs
@@ -9,7 +9,7 @@
 use boragecove_fleet::config::{Model, Pool};
 use boragecove_fleet::demand::Trend;
 use boragecove_fleet::engine::{Cached, Phase};
-use boragecove_fleet::place::{Spot, View, moves};
+use boragecove_fleet::place::{Candidate, Input, plan_moves};
 use divan::Bencher;
 
 const NOW: Time = Time::from_millis(100_000);
@@ -33,40 +33,40 @@
 }
 
 /// Every model has copies, and a tenth of the models have demand.
-fn view(pool: &Pool, (engines, models): (usize, usize)) -> View<'_> {
-    let spot = |number: usize| Spot {
+fn view(pool: &Pool, (engines, models): (usize, usize)) -> Input<'_> {
+    let spot = |number: usize| Candidate {
         engine: format!("e{number}").into(),
         usable: true,
         idle: true,
         copies: (0..EACH).map(|place| (name((number * EACH + place) % models), Phase::Ready)).collect(),
         free_mb: 2.0,
-        young: Vec::new(),
+        recently_loaded: Vec::new(),
         cached: Cached::default(),
-        open: (number % 12) as u32,
+        open_requests: (number % 12) as u32,
         zone: ["a", "b", "c"][number % 3].into(),
-        ..Spot::default()
+        ..Candidate::default()
     };
     let trend = |number: usize| {
         let busy = if number.is_multiple_of(10) { 10.0 * engines as f64 / models as f64 * 12.0 } else { 0.0 };
-        Trend { busy, reading: busy / 100.0, asked: Some(NOW), ..Trend::default() }
+        Trend { concurrency: busy, reading_load: busy / 100.0, last_requested: Some(NOW), ..Trend::default() }
     };
     let demand: BTreeMap<Name, Trend> = (0..models).map(|number| (name(number), trend(number))).collect();
     let spots = (0..engines).map(spot).collect();
-    View {
+    Input {
         pool,
-        spots,
+        engines: spots,
         demand,
-        cold_left: 1_000,
-        cold_running: 0,
-        watched: Duration::from_secs(20),
-        every: Duration::from_millis(250),
+        cold_loads_left: 1_000,
+        cold_loads_running: 0,
+        observed_for: Duration::from_secs(20),
+        interval: Duration::from_millis(250),
         now: NOW,
-        without: &[],
+        disabled: &[],
     }
 }
 
 #[divan::bench(args = SIZES, sample_count = 10, sample_size = 1)]
 fn plan(bencher: Bencher<'_, '_>, size: (usize, usize)) {
     let pool = pool(size.1);
-    bencher.with_inputs(|| view(&pool, size)).bench_values(moves);
+    bencher.with_inputs(|| view(&pool, size)).bench_values(plan_moves);
 }
--- a/fleet/benches/quota.rs
+++ b/fleet/benches/quota.rs
@@ -7,7 +7,7 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 use boragecove_fleet::config::{
-    Access, Config, Key, Kind, Limit, Route, Service, Share, Table, Unit, Workspace,
+    Access, Config, Destination, Key, Kind, Limit, Route, Service, Table, Unit, Workspace,
 };
 use boragecove_fleet::engine::{Cached, Entry, Incarnation, Row};
 use boragecove_fleet::event::{Event, Listing};
@@ -44,7 +44,7 @@
 }
 
 fn access(workspaces: u32) -> Access {
-    let limit = Limit { per_s: 1e12, burst: 1e12, unit: Unit::Tokens { unsaid: 200.0 } };
+    let limit = Limit { per_s: 1e12, burst: 1e12, unit: Unit::Tokens { default_tokens: 200.0 } };
     let declared = |number| {
         Arc::new(Workspace {
             name: workspace(number),
@@ -66,7 +66,7 @@
         timeout: Duration::from_secs(3),
         target: Duration::from_millis(100),
         attempts: 1,
-        split: vec![Share { service: SERVICE.into(), weight: 1 }],
+        split: vec![Destination { service: SERVICE.into(), weight: 1 }],
         ..Route::default()
     };
     let service = Service { name: SERVICE.into(), connections_max: 100, pool: None, ..Service::default() };
@@ -109,7 +109,7 @@
         let me = Identity { vm: "front-leader".into(), zone: "zone-0".into(), address };
         let mut leader = Self { state: State::new(me, Settings::default(), 7, START), now: START };
         leader.feed(Event::Configured(Arc::new(config(access))));
-        leader.feed(Event::Listed(Listing {
+        leader.feed(Event::EnginesRead(Listing {
             as_of: None,
             rows: (0..3).map(engine).collect(),
             version: 9.into(),
@@ -147,7 +147,7 @@
             ..Arrival::default()
         };
         self.feed(Event::Arrive { request: Id(id), arrival: Box::new(arrival) });
-        self.feed(Event::Gone(Id(id)));
+        self.feed(Event::CallerGone(Id(id)));
     }
 }
 
@@ -184,18 +184,18 @@
         zone: format!("zone-{}", vm % zones).into(),
         address: Some(SocketAddr::from(([10, 2, (vm / 250) as u8, (vm % 250) as u8], 7_000))),
         config: 1,
-        listed: 9.into(),
+        engines_revision: 9.into(),
         quota: Report { process: 7, shares: Vec::new() },
         ..Frame::default()
     };
     for vm in 0..vms {
-        leader.feed(Event::Framed(Box::new(frame(vm, 1))));
+        leader.feed(Event::FrameReceived(Box::new(frame(vm, 1))));
     }
     leader.pass(400);
     leader.renewed();
     let mut number = 1;
     bencher.bench_local(|| {
         number += 1;
-        boragecove_fleet::reply(&mut leader.state, leader.now, &frame(number as usize % vms, number))
+        boragecove_fleet::reply_to_frame(&mut leader.state, leader.now, &frame(number as usize % vms, number))
     });
 }
--- a/fleet/src/access.rs
+++ b/fleet/src/access.rs
@@ -31,7 +31,7 @@
     if !state.needs_keys() {
         return Ok(None);
     }
-    if !proof::holds(state, now) {
+    if !proof::is_valid(state, now) {
         if route.public {
             return Ok(None);
         }
--- a/fleet/src/adapter.rs
+++ b/fleet/src/adapter.rs
@@ -10,10 +10,10 @@
 use boragecove_core::time::Time;
 use rustc_hash::FxHashSet;
 
-use crate::book::Book;
 use crate::demand::{Demand, Target};
 use crate::effect::Effect;
 use crate::engine::{Engine, Phase};
+use crate::holdings::Holdings;
 use crate::ledger;
 use crate::order::Order;
 use crate::state::State;
@@ -32,14 +32,14 @@
 const ZONE_COST: f64 = 0.5;
 
 /// Loads all adapters that requests at any entry VM wait for, at engines that hold their models.
-pub(crate) fn all_wanted(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn place_all_waiting(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let targets = targets(state, |demand| demand.waiting > 0);
-    wanted(state, now, &targets, out);
+    place_targets(state, now, &targets, out);
 }
 
 /// The adapters for which the demand of any entry VM meets a condition, sorted and without duplicates.
 fn targets(state: &State, of_interest: impl Fn(&Demand) -> bool) -> Vec<Target> {
-    let all = state.hub.frames().flat_map(|frame| &frame.demand).chain(state.demand.peek());
+    let all = state.hub.frames().flat_map(|frame| &frame.demand).chain(state.demand.iter());
     let interesting = all.filter(|demand| demand.target.adapter.is_some() && of_interest(demand));
     let distinct: FxHashSet<&Target> = interesting.map(|demand| &demand.target).collect();
     let mut targets: Vec<Target> = distinct.into_iter().cloned().collect();
@@ -48,8 +48,8 @@
 }
 
 /// Loads these adapters at engines that hold their models.
-pub(crate) fn wanted(state: &mut State, now: Time, targets: &[Target], out: &mut Vec<Effect>) {
-    if state.lease.orders(now).is_none() {
+pub(crate) fn place_targets(state: &mut State, now: Time, targets: &[Target], out: &mut Vec<Effect>) {
+    if state.lease.ordering_term(now).is_none() {
         return;
     }
     for target in targets.iter().filter(|target| target.adapter.is_some()) {
@@ -58,21 +58,21 @@
 }
 
 /// Targets that requests wait for.
-pub(crate) fn waited_for<'a>(demands: impl IntoIterator<Item = &'a Demand>) -> Vec<Target> {
+pub(crate) fn waiting_targets<'a>(demands: impl IntoIterator<Item = &'a Demand>) -> Vec<Target> {
     let waiting = demands.into_iter().filter(|demand| demand.waiting > 0);
     waiting.map(|demand| demand.target.clone()).collect()
 }
 
 /// Loads an adapter at an engine unless it is loaded or being loaded at one already.
 fn place(state: &mut State, now: Time, target: &Target, out: &mut Vec<Effect>) {
-    state.places_sought += 1;
-    if !is_on_its_way(state, now, target) {
+    state.placement_searches += 1;
+    if !is_placed_or_loading(state, now, target) {
         bring(state, now, target, f64::INFINITY, out);
     }
 }
 
 /// Whether an adapter is loaded or expected at an engine that accepts requests.
-pub(crate) fn is_on_its_way(state: &State, now: Time, target: &Target) -> bool {
+pub(crate) fn is_placed_or_loading(state: &State, now: Time, target: &Target) -> bool {
     holders(state, now, target).any(|(_, book)| is_expected(book, target))
 }
 
@@ -81,7 +81,7 @@
     state: &'a State,
     now: Time,
     target: &'a Target,
-) -> impl Iterator<Item = (&'a Engine, &'a Book)> {
+) -> impl Iterator<Item = (&'a Engine, &'a Holdings)> {
     let holding = state.ledger.holding(&target.model);
     let engines = holding.filter_map(|(id, book)| Some((state.engines.get(id)?, book)));
     engines.filter(move |(engine, _)| engine.entry.service == target.service && is_usable(engine, now))
@@ -89,7 +89,7 @@
 
 /// Loads adapters that are in use at more engines if those that hold them are crowded.
 pub(crate) fn relieve(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    if state.lease.orders(now).is_none() {
+    if state.lease.ordering_term(now).is_none() {
         return;
     }
     for target in targets(state, |demand| demand.open > 0) {
@@ -117,7 +117,7 @@
 /// counts as full, however few requests it has.
 fn slots_taken(state: &State, now: Time, engine: &Engine) -> u32 {
     let open = engine.load().open;
-    if state.intakes.limit_of(engine, now).is_some() { open.max(engine.entry.slots) } else { open }
+    if state.rate_limits.limit_of(engine, now).is_some() { open.max(engine.entry.slots) } else { open }
 }
 
 /// Fraction of slots in use at an engine; more than one if requests wait there.
@@ -126,12 +126,12 @@
 }
 
 /// Whether an adapter is loaded, loading or to be loaded at an engine.
-fn is_expected(book: &Book, target: &Target) -> bool {
-    target.adapter.as_ref().is_some_and(|name| book.expects(&target.model, name))
+fn is_expected(book: &Holdings, target: &Target) -> bool {
+    target.adapter.as_ref().is_some_and(|name| book.expects_adapter(&target.model, name))
 }
 
 fn is_usable(engine: &Engine, now: Time) -> bool {
-    engine.takes_work() && !engine.health.suspected(now)
+    engine.takes_work() && !engine.health.is_suspected(now)
 }
 
 /// Loads an adapter at the best engine that holds its model but not the adapter, and whose fraction of slots in
@@ -145,8 +145,8 @@
     };
     let mut best: Option<(f64, Name, Option<Order>)> = None;
     for (engine, book) in holders(state, now, target) {
-        let ready = book.kept(&target.model).is_some_and(|copy| copy.phase == Phase::Ready);
-        if !ready || taken(state, now, engine) > taken_max || book.expects(&target.model, name) {
+        let ready = book.copy_of(&target.model).is_some_and(|copy| copy.phase == Phase::Ready);
+        if !ready || taken(state, now, engine) > taken_max || book.expects_adapter(&target.model, name) {
             continue;
         }
         let victim = if book.adapters_expected() < pool.adapters_max as usize {
@@ -157,7 +157,7 @@
             };
             Some(victim)
         };
-        if !book.takes_adapters(1 + usize::from(victim.is_some())) {
+        if !book.accepts_adapter_orders(1 + usize::from(victim.is_some())) {
             continue;
         }
         let zone = if engine.entry.zone == state.me.zone { 0.0 } else { ZONE_COST };
@@ -172,21 +172,21 @@
         return;
     };
     let load = Order::LoadAdapter { model: target.model.clone(), adapter: name.clone() };
-    ledger::order(state, now, &engine, victim.into_iter().chain([load]), out);
+    ledger::enqueue(state, now, &engine, victim.into_iter().chain([load]), out);
 }
 
 /// An order to unload the least recently used adapter of an engine, if it has been idle for the configured
 /// time.
 fn idlest(state: &State, now: Time, engine: &Name, service: &Name) -> Option<Order> {
-    let book = state.ledger.book(engine)?;
+    let book = state.ledger.inventory(engine)?;
     let mut best: Option<(Time, Order)> = None;
     for (model, adapter) in book.adapters() {
-        if book.drops(model, adapter) {
+        if book.drops_adapter(model, adapter) {
             continue;
         }
         let target =
             Target { service: service.clone(), model: model.clone(), adapter: Some(adapter.clone()) };
-        let used = state.appetite.used(&target).unwrap_or_default();
+        let used = state.fleet_demand.last_used(&target).unwrap_or_default();
         if now.since(used) < state.settings.adapter_idle {
             continue;
         }
--- a/fleet/src/admit.rs
+++ b/fleet/src/admit.rs
@@ -8,10 +8,10 @@
 use boragecove_core::time::Time;
 
 use crate::access;
-use crate::budget::{self, Repeat};
+use crate::budget::{self, Retry};
 use crate::config::{Route, Workspace};
 use crate::crash;
-use crate::flow::{COME_BACK, Flow, Stage};
+use crate::flow::{Flow, RETRY_AFTER, Stage};
 use crate::pin::Pin;
 use crate::request::{Arrival, Refusal};
 use crate::state::State;
@@ -29,25 +29,25 @@
         return refuse(Code::UnknownPath, None);
     };
     let workspace = access::identify(state, now, &route, arrival.key)?;
-    let parts = crash::shared(&arrival);
-    if state.crashes.bars(arrival.fingerprint, &parts, now).is_some() {
+    let parts = crash::shared_parts(&arrival);
+    if state.crashes.blocked_by(arrival.fingerprint, &parts, now).is_some() {
         return refuse(Code::CrashesBackends, None);
     }
-    if state.graced && !fits_before_stop(state, now, &route, arrival.patience) {
+    if state.balancer_grace_over && !fits_before_stop(state, now, &route, arrival.caller_timeout) {
         // Other entry VMs have the time to serve it.
         return refuse(Code::Stopping, Some(Duration::ZERO));
     }
     let Some(service) = pick_service(state, &route) else {
-        return refuse(Code::NoBackend, Some(COME_BACK));
+        return refuse(Code::NoBackend, Some(RETRY_AFTER));
     };
     let runs_models = state.pool(&service).is_some();
-    if arrival.prompt.as_ref().is_some_and(|prompt| runs_models && !state.declared(&service, prompt)) {
+    if arrival.prompt.as_ref().is_some_and(|prompt| runs_models && !state.is_declared(&service, prompt)) {
         return refuse(Code::UnknownModel, None);
     }
-    budget::request(state, now, &service);
+    budget::request_arrived(state, now, &service);
     let flow = Flow { parts, ..open(state, now, route, service, workspace, arrival) };
     if let Some(target) = flow.target() {
-        state.demand.arrived(&target, flow.work);
+        state.demand.record_arrival(&target, flow.prefill);
     }
     Ok(flow)
 }
@@ -57,7 +57,7 @@
 /// day, 123 were calls that take 30 ms, and 1.5 s at most.
 fn fits_before_stop(state: &State, now: Time, route: &Route, patience: Option<Duration>) -> bool {
     let longest = patience.unwrap_or(route.timeout).min(route.timeout);
-    let until = now + longest + state.settings.reserve;
+    let until = now + longest + state.settings.answer_reserve;
     !route.kind.streams() && state.stops_at.is_some_and(|stops_at| until < stops_at)
 }
 
@@ -71,43 +71,44 @@
 ) -> Flow {
     let limit = workspace.as_ref().and_then(|workspace| workspace.limit);
     let cost = limit.map_or(0.0, |limit| limit.cost(&arrival));
-    let Arrival { patience, prompt, fingerprint, key, stream, resumes, .. } = arrival;
+    let Arrival { caller_timeout: patience, prompt, fingerprint, key, stream, resumption: resumes, .. } =
+        arrival;
     let resumable = route.kind.resumable();
     let deadline = now + patience.unwrap_or(route.timeout).min(route.timeout);
     let work = prompt
         .as_ref()
-        .map_or(Duration::ZERO, |prompt| state.speed.work(&service, &prompt.model, prompt.tokens));
+        .map_or(Duration::ZERO, |prompt| state.speed.prefill_time(&service, &prompt.model, prompt.tokens));
     Flow {
-        begin_by: deadline.min(now + route.patience()),
+        begin_by: deadline.min(now + route.response_timeout()),
         route,
         service,
         workspace,
         cost,
-        charged: None,
+        charged_workspace: None,
         key,
         prompt,
         fingerprint,
         parts: Arc::default(),
-        sound: false,
-        first_at: None,
+        proven_safe: false,
+        first_event_at: None,
         arrived: now,
         deadline,
-        work,
+        prefill: work,
         stage: Stage::Waiting,
         number: 0,
         used: 0,
         refusals: 0,
-        asked: 0,
-        avoid: Vec::new(),
-        unsent: Vec::new(),
+        reservations_denied: 0,
+        excluded: Vec::new(),
+        connect_failures: Vec::new(),
         may_have_run: false,
         pin: Pin::Free,
         stream,
-        resumes: resumes.filter(|_| resumable),
-        repeat: Repeat::First,
-        ahead: None,
-        asks_repeat: false,
-        ended: None,
+        resumption: resumes.filter(|_| resumable),
+        retry: Retry::First,
+        early_permit: None,
+        awaits_permit: false,
+        last_end: None,
     }
 }
 
--- a/fleet/src/budget.rs
+++ b/fleet/src/budget.rs
@@ -3,7 +3,7 @@
 //! fixed slack. (Settings, logs and metrics call a retry a "repeat".)
 //!
 //! Two sources grant retries. Each process earns some with the requests that it receives itself and may use
-//! them for a short time (`earned`). A process that is killed leaves nothing to its successor, and nothing
+//! them for a short time (`times`). A process that is killed leaves nothing to its successor, and nothing
 //! is divided by the number of processes. The hub grants the rest, one permit per call (`pool`); frames
 //! tell it how many requests arrived. The lease row stores what the hub has granted. What it may grant
 //! before the row is written again is bounded, so that the next hub can continue from the row.
@@ -12,7 +12,7 @@
 //! contain what was earned up to `EARNED_KEPT` before it. `EARNED_PART` leaves room for that; see the
 //! constants.
 
-mod own;
+mod earned;
 mod permit;
 mod pool;
 mod window;
@@ -29,10 +29,10 @@
 use crate::quota::hash;
 use crate::settings::Settings;
 use crate::state::State;
-use own::Own;
-pub(crate) use permit::{Obtained, Repeat, ahead, answered, obtain, put_back};
+use earned::Earned;
+pub(crate) use permit::{Obtained, Retry, obtain, obtain_early, permit_answered, return_unused};
 use pool::Pool;
-pub use pool::{Account, Spent};
+pub use pool::{Account, Counts};
 use window::Window;
 
 /// Part of the allowed ratio that processes earn with their own requests. Because of [`OWN_KEPT`] and
@@ -61,7 +61,7 @@
 
 /// Number of requests for a service that an entry VM received since its last frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct Count {
     /// Hash of the service's name.
     pub service: u32,
     /// Number of requests.
@@ -70,34 +70,37 @@
 
 /// Call to the hub for one retry permit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct PermitRequest {
     /// Hash of the service's name.
     pub service: u32,
     /// Rank of the request; 0 is served first.
     pub rank: u8,
 }
 
-/// Answer to a [`Ask`]. The hub counts a granted permit as used even if this answer is lost.
+/// Answer to a [`PermitRequest`]. The hub counts a granted permit as used even if this answer is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Permit {
     /// One retry may be sent within half a second of the call.
-    Given,
+    #[serde(rename = "Given")]
+    Granted,
     /// No permit is left; there may be one after this time.
-    Short(Duration),
+    #[serde(rename = "Short")]
+    Exhausted(Duration),
     /// The receiver is not the hub.
-    Elsewhere,
+    #[serde(rename = "Elsewhere")]
+    NotHub,
 }
 
 /// Retry budget of a process.
 #[derive(Debug, Default)]
 pub(crate) struct Budget {
-    own: FxHashMap<Name, Own>,
+    own: FxHashMap<Name, Earned>,
     /// Request counts that no hub has received, by service.
     untold: BTreeMap<u32, Window>,
     /// The permits that the hub grants; set only while this process is the hub.
     pool: Option<Pool>,
     /// Counts from the lease row that this process takes over; `None` until a row has been read.
-    inherited: Option<Spent>,
+    inherited: Option<Counts>,
     /// By service: until when the hub is not asked for permits, and the most urgent rank that this applies
     /// to.
     paused: FxHashMap<u32, (Time, u8)>,
@@ -121,14 +124,14 @@
 }
 
 /// Longest pause before the hub is asked again.
-pub(crate) fn pause(settings: &Settings) -> Duration {
+pub(crate) fn pause_max(settings: &Settings) -> Duration {
     settings.repeat_window.mul_f64(PAUSE_PART)
 }
 
 /// Counts a request that arrived from a caller.
-pub(crate) fn request(state: &mut State, now: Time, service: &Name) {
+pub(crate) fn request_arrived(state: &mut State, now: Time, service: &Name) {
     let State { budget, settings, quota, .. } = state;
-    let own = budget.own.entry(service.clone()).or_insert_with(|| Own::new(quota.process(), service));
+    let own = budget.own.entry(service.clone()).or_insert_with(|| Earned::new(quota.process(), service));
     own.earn(now, settings);
     let untold = budget.untold.entry(hash(service)).or_default();
     untold.add(now, 1, settings);
@@ -136,16 +139,16 @@
 
 /// Takes the request counts that no hub has received, to be sent to the current one. They are never sent
 /// twice, even if that hub does not receive them.
-pub(crate) fn tell(state: &mut State, now: Time) -> Vec<Asked> {
+pub(crate) fn take_unreported(state: &mut State, now: Time) -> Vec<Count> {
     let kept = state.settings.repeat_window.mul_f64(UNTOLD_KEPT);
     let untold = std::mem::take(&mut state.budget.untold);
     let asked =
-        untold.into_iter().map(|(service, window)| Asked { service, requests: window.sum(now, kept) });
+        untold.into_iter().map(|(service, window)| Count { service, requests: window.sum(now, kept) });
     asked.filter(|asked| asked.requests > 0).collect()
 }
 
 /// As the hub: adds the request counts reported by an entry VM.
-pub(crate) fn told(state: &mut State, now: Time, asked: &[Asked]) {
+pub(crate) fn request_counts_received(state: &mut State, now: Time, asked: &[Count]) {
     let State { budget, settings, .. } = state;
     if let Some(pool) = &mut budget.pool {
         pool.told(now, asked, settings);
@@ -153,37 +156,37 @@
 }
 
 /// As the hub: adds its own request counts.
-pub(crate) fn tell_own(state: &mut State, now: Time) {
-    let asked = tell(state, now);
-    told(state, now, &asked);
+pub(crate) fn count_own(state: &mut State, now: Time) {
+    let asked = take_unreported(state, now);
+    request_counts_received(state, now, &asked);
 }
 
 /// Answers a call for a retry permit.
-pub(crate) fn give(state: &mut State, now: Time, ask: Ask) -> Permit {
-    let leads = state.lease.holds(now).is_some();
-    let wait = pause(&state.settings).mul_f64(frame::many(state));
+pub(crate) fn grant(state: &mut State, now: Time, ask: PermitRequest) -> Permit {
+    let leads = state.lease.held_term(now).is_some();
+    let wait = pause_max(&state.settings).mul_f64(frame::size_factor(state));
     let State { budget, settings, .. } = state;
     let Some(pool) = budget.pool.as_mut().filter(|_| leads) else {
-        return Permit::Elsewhere;
+        return Permit::NotHub;
     };
-    if pool.give(now, ask, settings) { Permit::Given } else { Permit::Short(wait) }
+    if pool.give(now, ask, settings) { Permit::Granted } else { Permit::Exhausted(wait) }
 }
 
 /// Must be called when the lease row is about to be written.
-pub(crate) fn propose(state: &mut State) {
+pub(crate) fn fill_row(state: &mut State) {
     if let Some(pool) = &mut state.budget.pool {
         pool.propose();
     }
 }
 
 /// Counts for the lease row, to be called after [`propose`].
-pub(crate) fn spent(state: &State, now: Time) -> Option<Box<Spent>> {
+pub(crate) fn row_counts(state: &State, now: Time) -> Option<Box<Counts>> {
     let Budget { pool, inherited, .. } = &state.budget;
     pool.as_ref().map(|pool| pool.spent(now, &state.settings)).or_else(|| inherited.clone()).map(Box::new)
 }
 
 /// Must be called when the lease row that was composed last has been written.
-pub(crate) fn written(state: &mut State) {
+pub(crate) fn row_written(state: &mut State) {
     if let Some(pool) = &mut state.budget.pool {
         pool.written();
     }
@@ -191,14 +194,14 @@
 
 /// Takes over the counts of the lease row before this process takes the lease. If the previous holder
 /// released the lease, it has granted nothing since it wrote the row; otherwise the reserve is added.
-pub(crate) fn inherit(state: &mut State, spent: Option<&Spent>, released: bool) {
+pub(crate) fn inherit(state: &mut State, spent: Option<&Counts>, released: bool) {
     let beyond = if released { 0 } else { reserve(&state.settings) };
     state.budget.inherited = spent.map(|spent| spent.clone().plus(beyond));
 }
 
 /// Same as [`inherit`] where nobody has held the lease before.
 pub(crate) fn inherit_nothing(state: &mut State) {
-    state.budget.inherited = Some(Spent::default());
+    state.budget.inherited = Some(Counts::default());
 }
 
 /// This process has become the hub.
--- a/fleet/src/budget/permit.rs
+++ b/fleet/src/budget/permit.rs
@@ -4,8 +4,8 @@
 
 use boragecove_core::time::Time;
 
-use super::own::Own;
-use super::{Ask, PERMIT_KEPT, Permit, give, pause};
+use super::earned::Earned;
+use super::{PERMIT_KEPT, Permit, PermitRequest, grant, pause_max};
 use crate::effect::Effect;
 use crate::flow::Stage;
 use crate::flow::{self, Flow};
@@ -20,7 +20,7 @@
 
 /// Whether a request needs a permit before it can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Repeat {
+pub(crate) enum Retry {
     /// No permit needed: the request has reached no engine yet.
     First,
     /// A permit is needed.
@@ -31,7 +31,7 @@
     Sent(Time),
 }
 
-impl Repeat {
+impl Retry {
     /// Expiry of the permit; `None` without a permit.
     pub(crate) const fn until(self) -> Option<Time> {
         match self {
@@ -71,7 +71,7 @@
     /// It may be sent.
     Yes,
     /// The hub has been asked; [`answered`] follows.
-    Asked,
+    Pending,
     /// It may not be sent.
     No,
 }
@@ -89,7 +89,7 @@
     const fn obtained(self) -> Obtained {
         match self {
             Self::Until(_) => Obtained::Yes,
-            Self::Asked => Obtained::Asked,
+            Self::Asked => Obtained::Pending,
             Self::Nothing => Obtained::No,
         }
     }
@@ -132,28 +132,28 @@
     let Some(flow) = state.flows.get(&id) else {
         return Obtained::No;
     };
-    if flow.repeat.allows(now) {
+    if flow.retry.allows(now) {
         return Obtained::Yes;
     }
     let drawn = draw(state, now, id, out);
     if let (Drawn::Until(until), Some(flow)) = (drawn, state.flows.get_mut(&id)) {
-        flow.repeat = Repeat::Permitted(until);
+        flow.retry = Retry::Permitted(until);
     }
     drawn.obtained()
 }
 
 /// Obtains a permit for a request that is still at an engine. The attempt there is ended only if the
 /// request may be sent to another engine.
-pub(crate) fn ahead(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> Obtained {
+pub(crate) fn obtain_early(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> Obtained {
     let Some(flow) = state.flows.get(&id) else {
         return Obtained::No;
     };
-    if flow.ahead.is_some_and(|until| now < until) {
+    if flow.early_permit.is_some_and(|until| now < until) {
         return Obtained::Yes;
     }
     let drawn = draw(state, now, id, out);
     if let (Drawn::Until(until), Some(flow)) = (drawn, state.flows.get_mut(&id)) {
-        flow.ahead = Some(until);
+        flow.early_permit = Some(until);
     }
     drawn.obtained()
 }
@@ -163,7 +163,7 @@
     let Some(flow) = state.flows.get(&id) else {
         return Drawn::Nothing;
     };
-    if flow.asks_repeat {
+    if flow.awaits_permit {
         return Drawn::Asked;
     }
     let (service, rank) = (flow.service.clone(), rank(flow, now));
@@ -172,9 +172,9 @@
         note(state, now, id, Decision::Own, out);
         return Drawn::Until(until);
     }
-    let ask = Ask { service: hash(&service), rank };
-    if state.lease.holds(now).is_some() {
-        let given = give(state, now, ask) == Permit::Given;
+    let ask = PermitRequest { service: hash(&service), rank };
+    if state.lease.held_term(now).is_some() {
+        let given = grant(state, now, ask) == Permit::Granted;
         note(state, now, id, if given { Decision::Leader } else { Decision::Spent }, out);
         return if given { Drawn::Until(now + PERMIT_KEPT) } else { Drawn::Nothing };
     }
@@ -183,28 +183,28 @@
         note(state, now, id, Decision::Spent, out);
         return Drawn::Nothing;
     }
-    let leads = state.hub.leads && state.hub.alive(now, &state.settings);
+    let leads = state.hub.leads && state.hub.is_alive(now, &state.settings);
     let leader = state.lease.hub().filter(|row| leads && row.holder != state.me.vm).map(|row| row.address);
     let Some(address) = leader else {
         note(state, now, id, Decision::Unled, out);
         return Drawn::Nothing;
     };
     if let Some(flow) = state.flows.get_mut(&id) {
-        flow.asks_repeat = true;
+        flow.awaits_permit = true;
     }
-    out.push(Effect::Permit { address, request: id, asked: now, ask });
+    out.push(Effect::RequestPermit { address, request: id, asked: now, ask });
     Drawn::Asked
 }
 
 /// Returns the unused permits of a request that ends.
-pub(crate) fn put_back(state: &mut State, flow: &Flow) {
+pub(crate) fn return_unused(state: &mut State, flow: &Flow) {
     let Some(own) = state.budget.own.get_mut(&flow.service) else {
         return;
     };
-    if let Repeat::Permitted(until) = flow.repeat {
+    if let Retry::Permitted(until) = flow.retry {
         own.put_back(until);
     }
-    if let Some(until) = flow.ahead {
+    if let Some(until) = flow.early_permit {
         own.put_back(until);
     }
 }
@@ -215,7 +215,7 @@
 }
 
 /// Handles the hub's answer to a call made at `asked`; `permit` is `None` if the call failed.
-pub(crate) fn answered(
+pub(crate) fn permit_answered(
     state: &mut State,
     now: Time,
     id: Id,
@@ -226,13 +226,13 @@
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
-    flow.asks_repeat = false;
+    flow.awaits_permit = false;
     let (service, rank) = (hash(&flow.service), rank(flow, now));
     let (decision, wait) = match permit {
-        Some(Permit::Given) => (Decision::Leader, Duration::ZERO),
-        Some(Permit::Short(wait)) => (Decision::Spent, wait),
-        Some(Permit::Elsewhere) => (Decision::Unled, pause(&state.settings)),
-        None => (Decision::Silent, pause(&state.settings)),
+        Some(Permit::Granted) => (Decision::Leader, Duration::ZERO),
+        Some(Permit::Exhausted(wait)) => (Decision::Spent, wait),
+        Some(Permit::NotHub) => (Decision::Unled, pause_max(&state.settings)),
+        None => (Decision::Silent, pause_max(&state.settings)),
     };
     note(state, now, id, decision, out);
     if decision.allows() {
@@ -241,7 +241,7 @@
     state.budget.paused.insert(service, (now + wait, rank));
     let at_engine = state.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Sent { .. }));
     if !at_engine {
-        outcome::not_repeated(state, now, id, out);
+        outcome::end_without_retry(state, now, id, out);
     }
 }
 
@@ -252,10 +252,10 @@
     };
     if let Stage::Sent { .. } = flow.stage {
         // The permit is used when the engine is next checked for silence.
-        flow.ahead = Some(until);
+        flow.early_permit = Some(until);
         return;
     }
-    flow.repeat = Repeat::Permitted(until);
+    flow.retry = Retry::Permitted(until);
     let fresh = !state.waiting.contains(&id);
     flow::dispatch(state, now, id, fresh, out);
     let waits = state.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Waiting));
@@ -274,7 +274,7 @@
         request: id.0,
         allowed: decision.allows(),
         by: decision.label(),
-        earned: state.budget.own.get(&service).map_or(0, Own::left),
+        earned: state.budget.own.get(&service).map_or(0, Earned::left),
         service,
         hub_age_ms: ms(state.hub.age(now).min(Duration::from_hours(1))),
         alive_ms: ms(now.since(state.started)),
--- a/fleet/src/budget/pool.rs
+++ b/fleet/src/budget/pool.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::window::Window;
-use super::{Ask, Asked, POOL_PART, SLACK_PART, counted, reserve, slice};
+use super::{Count, POOL_PART, PermitRequest, SLACK_PART, counted, reserve, slice};
 use crate::settings::Settings;
 
 /// Part of a service's allowance that is open to less urgent requests while more urgent ones also ask.
@@ -17,7 +17,7 @@
 
 /// Record of retries in the lease row, for the next hub.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spent {
+pub struct Counts {
     /// Services for which anything was counted.
     pub services: Vec<Account>,
     /// Number of retries that may have been granted for each service not listed.
@@ -36,7 +36,7 @@
     pub given: Vec<u32>,
 }
 
-impl Spent {
+impl Counts {
     /// Adds `beyond` granted retries to each service.
     pub(super) fn plus(mut self, beyond: u32) -> Self {
         self.others = self.others.saturating_add(beyond);
@@ -80,8 +80,8 @@
 impl Pool {
     /// Starts with the counts of the lease row. Without a row, all services count as exhausted, because
     /// earlier grants are unknown.
-    pub(super) fn new(now: Time, before: Option<Spent>, settings: &Settings) -> Self {
-        let before = before.unwrap_or(Spent { services: Vec::new(), others: u32::MAX });
+    pub(super) fn new(now: Time, before: Option<Counts>, settings: &Settings) -> Self {
+        let before = before.unwrap_or(Counts { services: Vec::new(), others: u32::MAX });
         let mut pool = Self { services: BTreeMap::new(), began: now, others: before.others };
         for account in before.services {
             let age = age(settings);
@@ -107,14 +107,14 @@
     }
 
     /// Adds request counts reported by an entry VM.
-    pub(super) fn told(&mut self, now: Time, asked: &[Asked], settings: &Settings) {
+    pub(super) fn told(&mut self, now: Time, asked: &[Count], settings: &Settings) {
         for asked in asked {
             self.service(asked.service, settings).requests.add(now, asked.requests, settings);
         }
     }
 
     /// Grants a retry if one is available, and returns whether it did.
-    pub(super) fn give(&mut self, now: Time, ask: Ask, settings: &Settings) -> bool {
+    pub(super) fn give(&mut self, now: Time, ask: PermitRequest, settings: &Settings) -> bool {
         let service = self.service(ask.service, settings);
         let allowed = service.allowed(now, settings) * service.part(now, ask.rank, settings);
         let given = service.given(now, settings);
@@ -133,7 +133,7 @@
     }
 
     /// Counts for a lease row.
-    pub(super) fn spent(&self, now: Time, settings: &Settings) -> Spent {
+    pub(super) fn spent(&self, now: Time, settings: &Settings) -> Counts {
         let age = age(settings);
         let account = |(service, counts): (&u32, &Service)| Account {
             service: *service,
@@ -145,7 +145,7 @@
         // A service without counts is covered by `others` and can be left out, once no grant of an earlier
         // hub counts any more.
         let is_blank = |account: &Account| account.requests.is_empty() && account.given.is_empty();
-        Spent {
+        Counts {
             services: services.filter(|account| !lapsed || !is_blank(account)).collect(),
             others: if lapsed { 0 } else { self.others },
         }
--- a/fleet/src/choose.rs
+++ b/fleet/src/choose.rs
@@ -7,15 +7,15 @@
 use boragecove_core::time::Time;
 
 use crate::engine::{Engine, Load};
-use crate::flow::COME_BACK;
+use crate::flow::RETRY_AFTER;
 use crate::frame;
-use crate::homes::{self, Homes, Permit};
-use crate::intake::{self, Access};
 use crate::path;
 use crate::pin::{self, Pin};
+use crate::rate_limit::{self, Access};
+use crate::regions::{self, Permit, Regions};
 use crate::request::Prompt;
 use crate::settings::{Mechanism, Settings};
-use crate::spread::{self, Unseen};
+use crate::spread::{self, Estimate};
 use crate::state::State;
 
 /// Random part of a cost, in ms, so that entry VMs with the same data do not all pick the same engine.
@@ -33,13 +33,13 @@
     /// This engine.
     Engine(Pick),
     /// No engine holds the model or the adapter.
-    Absent,
+    NotLoaded,
     /// All engines that could run it are unreachable or suspected, or none is known.
-    Nowhere,
+    Unreachable,
     /// Only engines of one build may continue the stream, and none of that build takes work.
     BuildGone,
     /// The request may be served in some regions only, and no engine of the service can be reached there.
-    Homeless,
+    RegionUnavailable,
     /// All engines that could run it are overloaded; one is expected to have room after this time.
     Full(Duration),
     /// No engine that could run it accepts requests from this process for this time.
@@ -69,19 +69,19 @@
     /// The model that it needs and the size of its prompt; none for calls of plain services.
     pub(crate) prompt: Option<&'a Prompt>,
     /// The regions where it may be served.
-    pub(crate) homes: &'a Homes,
+    pub(crate) homes: &'a Regions,
     /// The builds that may run it.
     pub(crate) pin: &'a Pin,
     /// Whether it begins a stream that its client may resume at another entry VM.
     pub(crate) begins: bool,
     /// Engines that must not get it.
-    pub(crate) avoid: &'a [Name],
+    pub(crate) excluded: &'a [Name],
     /// Engines to which connecting failed for it.
-    pub(crate) unsent: &'a [Name],
+    pub(crate) connect_failures: &'a [Name],
     /// Time until the answer must begin.
     pub(crate) left: Duration,
     /// How long it may wait for a reservation at a rate-limited engine.
-    pub(crate) queue: Duration,
+    pub(crate) reservation_wait_max: Duration,
     /// The operator's target for the time to an answer.
     pub(crate) target: Duration,
 }
@@ -115,7 +115,7 @@
     let Query { service, prompt, .. } = query;
     let mut rng = state.rng.fork();
     let state = &*state;
-    let work = prompt.map(|prompt| state.speed.work(service, &prompt.model, prompt.tokens));
+    let work = prompt.map(|prompt| state.speed.prefill_time(service, &prompt.model, prompt.tokens));
     let mut found = look(state, now, query, &mut rng);
     for candidate in &mut found.candidates {
         candidate.cost_ms +=
@@ -127,22 +127,22 @@
     match found.soonest_ms {
         Some(soonest) => Choice::Full(Duration::from_secs_f64(soonest / 1_000.0)),
         None if let Some(pause) = found.pause => Choice::Paused(pause),
-        None if query.pin.binds() && found.takers == 0 => Choice::BuildGone,
-        None if found.holders == 0 && found.members > 0 && prompt.is_some() => Choice::Absent,
-        None if query.homes.bind() => Choice::Homeless,
-        None => Choice::Nowhere,
+        None if query.pin.is_restricted() && found.takers == 0 => Choice::BuildGone,
+        None if found.holders == 0 && found.members > 0 && prompt.is_some() => Choice::NotLoaded,
+        None if query.homes.is_restricted() => Choice::RegionUnavailable,
+        None => Choice::Unreachable,
     }
 }
 
 /// Scans all engines of a service for candidates.
 fn look<'a>(state: &'a State, now: Time, query: Query<'a>, rng: &mut fastrand::Rng) -> Found<'a> {
-    let Query { service, prompt, avoid, .. } = query;
+    let Query { service, prompt, excluded: avoid, .. } = query;
     let settings = &state.settings;
-    let run_ms = state.pace(service);
+    let run_ms = state.mean_run_ms(service);
     let mut found = Found::default();
     let settling = settling(state, now, query);
     for engine in state.engines_of(service) {
-        let Some(permit) = homes::permit(state, query.homes, engine) else {
+        let Some(permit) = regions::permit(state, query.homes, engine) else {
             continue;
         };
         let build = engine.entry.build.as_ref();
@@ -157,7 +157,7 @@
         if !engine.takes_work() || !prompt.is_none_or(serves) {
             continue;
         }
-        if let Some(pause) = engine.health.pause(now) {
+        if let Some(pause) = engine.health.pause_left(now) {
             found.pause = Some(found.pause.map_or(pause, |shortest| shortest.min(pause)));
             continue;
         }
@@ -165,16 +165,16 @@
             continue;
         }
         found.holders += 1;
-        if !path::is_reachable(state, now, engine, query.unsent.contains(&engine.entry.id)) {
+        if !path::is_reachable(state, now, engine, query.connect_failures.contains(&engine.entry.id)) {
             continue;
         }
-        let place_ms = match intake::access(state, now, engine) {
-            Access::Open => 0.0,
+        let place_ms = match rate_limit::access(state, now, engine) {
+            Access::Unlimited => 0.0,
             Access::Closed(pause) => {
                 found.pause = Some(found.pause.map_or(pause, |shortest| shortest.min(pause)));
                 continue;
             }
-            Access::After(wait, _) if wait > query.queue.min(query.left) => {
+            Access::After(wait, _) if wait > query.reservation_wait_max.min(query.left) => {
                 let room_ms = ms(wait);
                 found.soonest_ms = Some(found.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
                 continue;
@@ -182,7 +182,7 @@
             // For a prompt, `read_ms` counts the wait.
             Access::After(wait, reserve_ms) => reserve_ms + if prompt.is_none() { ms(wait) } else { 0.0 },
         };
-        if intake::would_wait(state, now, engine) {
+        if rate_limit::would_wait(state, now, engine) {
             let room_ms = run_ms / f64::from(engine.entry.slots.max(1));
             found.soonest_ms = Some(found.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
             continue;
@@ -190,7 +190,7 @@
         let queue_ms = queue_ms(engine, engine.load(), run_ms);
         let (offered, come_back_ms) = match prompt {
             Some(_) => (!is_full(engine, engine.load()), run_ms / f64::from(engine.entry.slots.max(1))),
-            None => (takes_call(engine, now, query, run_ms, rng.f64()), ms(COME_BACK)),
+            None => (takes_call(engine, now, query, run_ms, rng.f64()), ms(RETRY_AFTER)),
         };
         if queue_ms > ms(query.left) || !offered {
             let room_ms = queue_ms.max(come_back_ms);
@@ -207,7 +207,7 @@
 /// How long a build must have been known to get a request; none if any build may get it. A request that begins a resumable stream goes to
 /// a build that all entry VMs know, as long as any such build serves.
 fn settling(state: &State, now: Time, query: Query<'_>) -> Option<Duration> {
-    let settling = pin::settling(state);
+    let settling = pin::settling_time(state);
     if !query.begins || !state.history.is_settling(now, query.service, settling) {
         return None;
     }
@@ -228,25 +228,25 @@
     work: Option<Duration>,
     drawn: f64,
 ) -> Option<Pick> {
-    let run_ms = state.pace(service);
-    let others: u32 = candidates.iter().map(|candidate| candidate.engine.others.open).sum();
+    let run_ms = state.mean_run_ms(service);
+    let others: u32 = candidates.iter().map(|candidate| candidate.engine.others_load.open).sum();
     let slots = candidates.iter().map(|candidate| candidate.engine.entry.slots).max().unwrap_or(1);
     let step_ms = match work {
-        Some(work) => ms(work) + state.settings.crowd_ms,
+        Some(work) => ms(work) + state.settings.open_request_ms,
         None => run_ms / f64::from(slots.max(1)),
     };
     let mut zones: BTreeMap<&Name, usize> = BTreeMap::new();
     for candidate in candidates {
         *zones.entry(&candidate.engine.entry.zone).or_default() += 1;
     }
-    let late_ms = ms(frame::lateness(state, now));
+    let late_ms = ms(frame::load_staleness(state, now));
     // Entry VMs prefer the engines of their own availability zone, so the unseen requests of each zone raise the costs there.
     let requests = f64::from(others) * late_ms / run_ms.max(1.0) / zones.len().max(1) as f64;
-    let requests = if state.settings.uses(Mechanism::Draw) { requests } else { 0.0 };
-    let unseen = Unseen { requests, step_ms };
+    let requests = if state.settings.is_enabled(Mechanism::WeightedDraw) { requests } else { 0.0 };
+    let unseen = Estimate { requests, step_ms };
     let cost = |candidate: &Candidate<'_>| {
         let zone = &candidate.engine.entry.zone;
-        let raised = if *zone == state.me.zone { 0.0 } else { unseen.each_ms(zones[zone]) };
+        let raised = if *zone == state.me.zone { 0.0 } else { unseen.per_engine_ms(zones[zone]) };
         candidate.cost_ms + raised
     };
     let costs: Vec<f64> = candidates.iter().map(cost).collect();
@@ -281,9 +281,9 @@
 /// in time, because their runs are short. The load of other entry VMs is reported too late for this decision; the share of
 /// calls that is offered follows it by the waits seen in answers.
 fn takes_call(engine: &Engine, now: Time, query: Query<'_>, run_ms: f64, drawn: f64) -> bool {
-    let answer_ms = queue_ms(engine, engine.own, run_ms) + run_ms;
-    let late = is_full(engine, engine.own) && answer_ms > ms(query.target);
-    !late && engine.share.takes(now, drawn)
+    let answer_ms = queue_ms(engine, engine.own_load, run_ms) + run_ms;
+    let late = is_full(engine, engine.own_load) && answer_ms > ms(query.target);
+    !late && engine.share.admits(now, drawn)
 }
 
 fn ms(time: Duration) -> f64 {
@@ -299,13 +299,13 @@
 /// Other costs of an engine, in ms: its open requests, another availability zone, and recent failures.
 fn beside_ms(engine: &Engine, now: Time, zone: &Name, settings: &Settings) -> f64 {
     let mut cost = 0.0;
-    if settings.uses(Mechanism::CrowdCost) {
-        cost += f64::from(engine.load().open) * settings.crowd_ms;
+    if settings.is_enabled(Mechanism::OpenRequestCost) {
+        cost += f64::from(engine.load().open) * settings.open_request_ms;
     }
-    if engine.entry.zone != *zone && settings.uses(Mechanism::ZoneCost) {
+    if engine.entry.zone != *zone && settings.is_enabled(Mechanism::ZoneCost) {
         cost += settings.zone_ms;
     }
-    if settings.uses(Mechanism::Faults) {
+    if settings.is_enabled(Mechanism::RecentFailures) {
         cost += engine.health.faults(now, settings) * settings.fault_ms;
     }
     cost
--- a/fleet/src/config.rs
+++ b/fleet/src/config.rs
@@ -7,8 +7,8 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::homes::Homes;
 use crate::key::Digest;
+use crate::regions::Regions;
 use crate::request::Arrival;
 
 /// One complete version of the configuration.
@@ -45,7 +45,7 @@
     /// Its rate limit across all entry VMs; none if it has no limit.
     pub limit: Option<Limit>,
     /// Regions in which its requests may be served.
-    pub homes: Homes,
+    pub allowed_regions: Regions,
 }
 
 /// A key and the workspace that it belongs to.
@@ -76,7 +76,7 @@
     /// Prompt tokens and generated tokens.
     Tokens {
         /// Tokens counted for a request that does not state its number of tokens.
-        unsaid: f64,
+        default_tokens: f64,
     },
 }
 
@@ -86,7 +86,7 @@
     pub fn cost(&self, arrival: &Arrival) -> f64 {
         match self.unit {
             Unit::Requests => 1.0,
-            Unit::Tokens { unsaid } => arrival.tokens.map_or(unsaid, |tokens| tokens as f64),
+            Unit::Tokens { default_tokens: unsaid } => arrival.tokens.map_or(unsaid, |tokens| tokens as f64),
         }
     }
 }
@@ -113,11 +113,11 @@
     /// Maximum number of engines that one request is sent to.
     pub attempts: u32,
     /// The services that requests are distributed over, with their weights.
-    pub split: Vec<Share>,
+    pub split: Vec<Destination>,
     /// Whether requests without a key are accepted.
     pub public: bool,
     /// Regions in which its requests may be served.
-    pub homes: Homes,
+    pub allowed_regions: Regions,
 }
 
 /// Callers abandon a stream that has not begun, or has paused, for the longest of three times. The first is this fixed minimum.
@@ -130,7 +130,7 @@
 impl Route {
     /// How long callers wait for a response to begin.
     #[must_use]
-    pub fn patience(&self) -> Duration {
+    pub fn response_timeout(&self) -> Duration {
         if !self.kind.streams() {
             return self.timeout;
         }
@@ -141,7 +141,7 @@
 
 /// A service of a route and its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Share {
+pub struct Destination {
     /// Name of the service.
     pub service: Name,
     /// Weight relative to the other services of the route.
@@ -193,14 +193,14 @@
     /// Capacity and models of its engines; none if they do not run models.
     pub pool: Option<Pool>,
     /// Request limit of an engine for some time after its start; none if there is none.
-    pub start: Option<Start>,
+    pub start: Option<Warmup>,
 }
 
 /// The request rate that an engine can take for some time after its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Start {
+pub struct Warmup {
     /// How long the limit applies after the start.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Requests per second from all entry VMs together.
     pub per_s: f64,
 }
@@ -337,7 +337,7 @@
     }
 
     /// Returns the workspaces that have a rate limit.
-    pub fn limited(&self) -> impl Iterator<Item = &Arc<Workspace>> {
+    pub fn limited_workspaces(&self) -> impl Iterator<Item = &Arc<Workspace>> {
         self.workspaces.values().filter(|workspace| workspace.limit.is_some())
     }
 
--- a/fleet/src/crash.rs
+++ b/fleet/src/crash.rs
@@ -26,7 +26,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::effect::Effect;
-use crate::engine::Reach;
+use crate::engine::Port;
 use crate::flow::{self, Flow, Stage};
 use crate::push;
 use crate::record::Record;
@@ -34,7 +34,9 @@
 use crate::state::State;
 
 pub use register::Register;
-pub(crate) use shared::{began, clear_due, is_sound, judge, shared, writes};
+pub(crate) use shared::{
+    announce_cleared, answer_began, answer_continued, evaluate_accused, mark_sound, shared_parts,
+};
 
 use register::{Loss, QUARANTINE_MAX, REMEMBERED, Run};
 
@@ -49,17 +51,17 @@
 
 /// Message about crashes from one entry VM to the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Report {
     /// Runs that the crash of an engine broke.
     pub suspects: Vec<Suspect>,
     /// Quarantined and cleared requests.
-    pub entries: Vec<Entry>,
+    pub verdicts: Vec<Verdict>,
 }
 
-impl News {
+impl Report {
     /// Returns a message that contains verdicts only.
-    pub(crate) const fn of(entries: Vec<Entry>) -> Self {
-        Self { suspects: Vec::new(), entries }
+    pub(crate) const fn of(entries: Vec<Verdict>) -> Self {
+        Self { suspects: Vec::new(), verdicts: entries }
     }
 }
 
@@ -71,20 +73,20 @@
     /// Id of the engine, if it runs models.
     pub engine: Option<Name>,
     /// Time since the request was sent to the engine.
-    pub sent: Duration,
+    pub sent_ago: Duration,
     /// Time since the run broke.
-    pub broke: Duration,
+    pub broken_ago: Duration,
     /// Fingerprints of the parts that its prompt shares with others.
     #[serde(default)]
     pub parts: Arc<[Fingerprint]>,
     /// Whether its answer had begun, shortly before the crash.
     #[serde(default)]
-    pub begun: bool,
+    pub answer_begun: bool,
 }
 
 /// Quarantine state of a request or of a part of prompts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct Verdict {
     /// Fingerprint of the request or part.
     pub request: Fingerprint,
     /// Whether it is quarantined or cleared.
@@ -110,7 +112,7 @@
 
 /// A quarantined request or part, as stored in the lease's row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct Quarantine {
     /// Fingerprint of the request or part.
     pub request: Fingerprint,
     /// End of the quarantine by the store's clock, in ms.
@@ -135,14 +137,14 @@
 
 /// Handles a connection that broke before the answer began, or shortly after. A probe of the engine's port
 /// shows whether the engine has crashed: a connection may break for other reasons.
-pub(crate) fn lost(state: &mut State, now: Time, id: Id, run: Lost<'_>, out: &mut Vec<Effect>) {
+pub(crate) fn connection_lost(state: &mut State, now: Time, id: Id, run: Lost<'_>, out: &mut Vec<Effect>) {
     let Lost { engine, sent, begun } = run;
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
     let (request, parts) = (flow.fingerprint, Arc::clone(&flow.parts));
     // The end of an engine that has announced its shutdown or is no longer listed was expected.
-    let Some(known) = state.engines.get(engine).filter(|engine| !engine.leaves()) else {
+    let Some(known) = state.engines.get(engine).filter(|engine| !engine.is_leaving()) else {
         return;
     };
     let runs: usize = state.crashes.losses.values().map(|loss| loss.runs.len()).sum();
@@ -158,7 +160,7 @@
 
 /// Handles an answer that ended with its connection shortly after it had begun. This may be a complete answer,
 /// but a crash can look the same: the run counts if the engine is found to have crashed.
-pub(crate) fn closed(state: &mut State, now: Time, id: Id, run: Lost<'_>, begun: Option<Time>) {
+pub(crate) fn connection_closed(state: &mut State, now: Time, id: Id, run: Lost<'_>, begun: Option<Time>) {
     let Lost { engine, sent, .. } = run;
     let Some(flow) = state.flows.get(&id).filter(|_| is_suspect(now, begun)) else {
         return;
@@ -170,15 +172,15 @@
 
 /// Handles the result of a probe of an engine's port from this machine. A partition can also cause a refused
 /// connection, so another entry VM, on the engine's side of such a partition, is asked for its own probe.
-pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Reach, out: &mut Vec<Effect>) {
+pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Port, out: &mut Vec<Effect>) {
     let alone = state.members.is_alone(&state.me.vm);
-    if reach == Reach::Closed && state.engines.get(engine).is_some_and(|known| !known.leaves()) {
+    if reach == Port::Closed && state.engines.get(engine).is_some_and(|known| !known.is_leaving()) {
         state.crashes.reopen(engine, &state.me.vm, now);
     }
     match reach {
-        Reach::Closed if alone => confirm(state, now, engine, out),
-        Reach::Closed => ask(state, engine, out),
-        Reach::Open | Reach::Silent => dismiss(state, engine),
+        Port::Closed if alone => confirm(state, now, engine, out),
+        Port::Closed => ask(state, engine, out),
+        Port::Open | Port::Silent => dismiss(state, engine),
     }
 }
 
@@ -188,12 +190,12 @@
     state: &mut State,
     now: Time,
     engine: &Name,
-    reach: Option<Reach>,
+    reach: Option<Port>,
     out: &mut Vec<Effect>,
 ) {
     match reach {
-        Some(Reach::Closed) => agree(state, now, engine, out),
-        Some(Reach::Open | Reach::Silent) => dismiss(state, engine),
+        Some(Port::Closed) => agree(state, now, engine, out),
+        Some(Port::Open | Port::Silent) => dismiss(state, engine),
         None => ask(state, engine, out),
     }
 }
@@ -213,14 +215,14 @@
     state: &mut State,
     now: Time,
     engine: &Name,
-    reach: Option<Reach>,
+    reach: Option<Port>,
     out: &mut Vec<Effect>,
 ) {
     let agreed = state.crashes.losses.get(engine).is_some_and(|loss| loss.agreed);
     match reach {
-        Some(Reach::Open) => dismiss(state, engine),
-        Some(Reach::Closed | Reach::Silent) | None if agreed => confirm(state, now, engine, out),
-        Some(Reach::Closed | Reach::Silent) | None => {}
+        Some(Port::Open) => dismiss(state, engine),
+        Some(Port::Closed | Port::Silent) | None if agreed => confirm(state, now, engine, out),
+        Some(Port::Closed | Port::Silent) | None => {}
     }
 }
 
@@ -231,7 +233,7 @@
     };
     let zone = state.engines.get(engine).map(|known| &known.entry.zone);
     let prober =
-        zone.and_then(|zone| state.members.prober(engine, zone, *zone == state.me.zone, &loss.asked));
+        zone.and_then(|zone| state.members.pick_prober(engine, zone, *zone == state.me.zone, &loss.asked));
     match prober.filter(|_| loss.asked.len() <= PROBERS_MAX) {
         Some(prober) => {
             loss.asked.push(prober.vm.clone());
@@ -257,55 +259,61 @@
     let suspect = |run: &Run| Suspect {
         request: run.request,
         engine: runs_models.then(|| engine.clone()),
-        sent: now.since(run.sent),
-        broke: now.since(run.broke),
+        sent_ago: now.since(run.sent),
+        broken_ago: now.since(run.broke),
         parts: Arc::clone(&run.parts),
-        begun: run.begun,
+        answer_begun: run.begun,
     };
     let suspects: Vec<Suspect> = loss.runs.iter().map(suspect).collect();
     for (run, suspect) in loss.runs.iter().zip(&suspects) {
         take_suspect(state, now, suspect, Some((run.id, engine)), out);
     }
     shared::strike(state, now, &suspects);
-    push::tell_crashes(state, News { suspects, entries: Vec::new() }, out);
+    push::notify_crashes(state, Report { suspects, verdicts: Vec::new() }, out);
 }
 
 /// Logs that a request is refused because its content is quarantined.
-pub(crate) fn refused(state: &State, id: Id, request: Fingerprint, out: &mut Vec<Effect>) {
+pub(crate) fn log_refusal(state: &State, id: Id, request: Fingerprint, out: &mut Vec<Effect>) {
     note(state, request, "refused", Some(id), None, out);
 }
 
 /// Handles a successful answer: the request does not crash engines. A failure is no evidence, since an engine
 /// may fail a request before it runs it.
-pub(crate) fn answered(state: &mut State, now: Time, request: Fingerprint, out: &mut Vec<Effect>) {
+pub(crate) fn request_succeeded(state: &mut State, now: Time, request: Fingerprint, out: &mut Vec<Effect>) {
     let against = state.crashes.is_suspected(request) || state.crashes.is_quarantined(request, now);
     if !against {
         return;
     }
-    let entry = Entry { request, status: Status::Cleared { left: REMEMBERED } };
+    let entry = Verdict { request, status: Status::Cleared { left: REMEMBERED } };
     state.crashes.learn(entry, now);
     note(state, request, "cleared", None, None, out);
-    push::tell_crashes(state, News::of(vec![entry]), out);
+    push::notify_crashes(state, Report::of(vec![entry]), out);
 }
 
 /// Handles a message about crashes from another entry VM.
-pub(crate) fn told(state: &mut State, now: Time, news: News, out: &mut Vec<Effect>) {
+pub(crate) fn report_received(state: &mut State, now: Time, news: Report, out: &mut Vec<Effect>) {
     for suspect in &news.suspects {
         take_suspect(state, now, suspect, None, out);
     }
     shared::strike(state, now, &news.suspects);
-    for entry in news.entries {
+    for entry in news.verdicts {
         take_entry(state, now, entry, out);
     }
 }
 
 /// Takes over the quarantined requests of the lease's row; `store_ms` is the time of the store's clock.
-pub(crate) fn recall(state: &mut State, now: Time, kept: &[Kept], store_ms: u64, out: &mut Vec<Effect>) {
-    for Kept { request, until_ms, times } in kept.iter().filter(|kept| kept.until_ms > store_ms) {
+pub(crate) fn restore_quarantine(
+    state: &mut State,
+    now: Time,
+    kept: &[Quarantine],
+    store_ms: u64,
+    out: &mut Vec<Effect>,
+) {
+    for Quarantine { request, until_ms, times } in kept.iter().filter(|kept| kept.until_ms > store_ms) {
         // After a restore from a copy, the store's clock may be that of another machine.
         let left = Duration::from_millis(until_ms - store_ms).min(QUARANTINE_MAX);
         let status = Status::Quarantined { left, times: *times };
-        take_entry(state, now, Entry { request: *request, status }, out);
+        take_entry(state, now, Verdict { request: *request, status }, out);
     }
 }
 
@@ -317,7 +325,7 @@
     own: Option<(Id, &Name)>,
     out: &mut Vec<Effect>,
 ) {
-    if suspect.begun {
+    if suspect.answer_begun {
         return;
     }
     let request = suspect.request;
@@ -334,7 +342,7 @@
     }
 }
 
-fn take_entry(state: &mut State, now: Time, entry: Entry, out: &mut Vec<Effect>) {
+fn take_entry(state: &mut State, now: Time, entry: Verdict, out: &mut Vec<Effect>) {
     let before = state.crashes.is_quarantined(entry.request, now);
     let begins = state.crashes.learn(entry, now);
     match entry.status {
@@ -355,7 +363,7 @@
     let mut like: Vec<Id> = like.map(|(id, _)| *id).collect();
     like.sort_unstable();
     for id in like {
-        refused(state, id, request, out);
+        log_refusal(state, id, request, out);
         flow::give_up(state, now, id, Code::CrashesBackends, None, out);
     }
 }
--- a/fleet/src/crash/parts.rs
+++ b/fleet/src/crash/parts.rs
@@ -179,7 +179,7 @@
     /// once.
     pub(super) fn strike(&mut self, run: &Suspect, engine: &Name, view: &View<'_>) {
         let now = view.now;
-        let (sent, broke) = (now - run.sent, now - run.broke);
+        let (sent, broke) = (now - run.sent_ago, now - run.broken_ago);
         self.lose(engine, broke, &run.parts, now);
         let weight = -self.chance(view, |run| run.engine == *engine).ln();
         for (index, part) in run.parts.iter().enumerate() {
--- a/fleet/src/crash/register.rs
+++ b/fleet/src/crash/register.rs
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 
 use super::parts::{Charge, Parts, STRIKES_SUSPECT, View};
-use super::{Entry, Kept, Status, Suspect};
+use super::{Quarantine, Status, Suspect, Verdict};
 use crate::record::ms;
 use crate::request::{Fingerprint, Id};
 
@@ -134,13 +134,18 @@
     }
 
     /// The quarantined fingerprint that blocks a request: its own, or that of one of its parts.
-    pub(crate) fn bars(&self, request: Fingerprint, parts: &[Fingerprint], now: Time) -> Option<Fingerprint> {
+    pub(crate) fn blocked_by(
+        &self,
+        request: Fingerprint,
+        parts: &[Fingerprint],
+        now: Time,
+    ) -> Option<Fingerprint> {
         let all = std::iter::once(&request).chain(parts);
         all.copied().find(|of| self.is_quarantined(*of, now))
     }
 
     /// Whether one of these parts is suspected.
-    pub(crate) fn suspects(&self, parts: &[Fingerprint]) -> bool {
+    pub(crate) fn has_suspected_part(&self, parts: &[Fingerprint]) -> bool {
         parts.iter().any(|part| self.parts.strikes(*part) >= STRIKES_SUSPECT)
     }
 
@@ -151,21 +156,21 @@
 
     /// Number of quarantined requests and parts.
     #[must_use]
-    pub fn quarantined(&self, now: Time) -> usize {
+    pub fn quarantined_count(&self, now: Time) -> usize {
         self.cases.values().filter(|case| case.is_quarantined(now)).count()
     }
 
     /// Number of parts of prompts for which evidence of crashes is stored.
     #[must_use]
-    pub fn parts_known(&self) -> usize {
+    pub fn tracked_parts(&self) -> usize {
         self.parts.len()
     }
 
     /// Quarantined requests and parts in the form of the lease's row. `store_ms` is the latest time that the
     /// store's clock can show now.
-    pub(crate) fn kept(&self, now: Time, store_ms: u64) -> Vec<Kept> {
+    pub(crate) fn stored_quarantines(&self, now: Time, store_ms: u64) -> Vec<Quarantine> {
         let quarantined = self.cases.iter().filter(|(_, case)| case.is_quarantined(now));
-        let kept = quarantined.map(|(request, case)| Kept {
+        let kept = quarantined.map(|(request, case)| Quarantine {
             request: *request,
             until_ms: store_ms + case.quarantined_until.map_or(0, |until| ms(until.since(now))),
             times: case.times,
@@ -174,15 +179,15 @@
     }
 
     /// The verdict on a request or part, if there is one.
-    pub(super) fn entry(&self, request: Fingerprint, now: Time) -> Option<Entry> {
+    pub(super) fn entry(&self, request: Fingerprint, now: Time) -> Option<Verdict> {
         let status = self.cases.get(&request)?.status(now)?;
-        Some(Entry { request, status })
+        Some(Verdict { request, status })
     }
 
     /// All verdicts.
-    fn entries(&self, now: Time) -> Vec<Entry> {
+    fn entries(&self, now: Time) -> Vec<Verdict> {
         let known = |(request, case): (&Fingerprint, &Case)| {
-            case.status(now).map(|status| Entry { request: *request, status })
+            case.status(now).map(|status| Verdict { request: *request, status })
         };
         self.cases.iter().filter_map(known).collect()
     }
@@ -196,17 +201,17 @@
 
     /// Verdicts for another entry VM with this digest: all of them, or none if the digest is equal to the own
     /// one.
-    pub(crate) fn entries_beyond(&self, digest: u64, now: Time) -> Vec<Entry> {
+    pub(crate) fn verdicts_unless_equal(&self, digest: u64, now: Time) -> Vec<Verdict> {
         if digest == self.digest(now) { Vec::new() } else { self.entries(now) }
     }
 
     /// Verdicts that the hub may lack.
-    pub(crate) fn entries_for_hub(&self, now: Time) -> Vec<Entry> {
-        self.entries_beyond(self.hub_digest, now)
+    pub(crate) fn verdicts_for_hub(&self, now: Time) -> Vec<Verdict> {
+        self.verdicts_unless_equal(self.hub_digest, now)
     }
 
     /// Stores the hub's digest.
-    pub(crate) const fn hear_digest(&mut self, digest: u64) {
+    pub(crate) const fn set_hub_digest(&mut self, digest: u64) {
         self.hub_digest = digest;
     }
 
@@ -225,12 +230,12 @@
     /// Counts a crash against the request of a broken run. Returns whether that quarantines the request.
     pub(super) fn count(&mut self, suspect: &Suspect, now: Time) -> bool {
         let case = self.case(suspect.request, now);
-        let again = now - suspect.sent >= case.since;
+        let again = now - suspect.sent_ago >= case.since;
         if case.is_quarantined(now) || (case.cleared.is_some() && !again) {
             return false;
         }
         if case.crashes == 0 {
-            case.basis = now - suspect.broke;
+            case.basis = now - suspect.broken_ago;
         }
         case.forget_at = case.forget_at.max(now + REMEMBERED);
         if let Some(engine) = suspect.engine.as_ref().filter(|engine| !case.engines.contains(engine)) {
@@ -239,7 +244,7 @@
         case.cleared = None;
         if again {
             case.crashes += 1;
-            case.since = now - suspect.broke;
+            case.since = now - suspect.broken_ago;
         }
         let relapse = again && case.times > 0;
         if case.crashes < CRASHES_MAX && case.engines.len() < BURST_MAX && !relapse {
@@ -328,7 +333,7 @@
 
     /// Takes over a verdict of another entry VM. Returns whether that quarantines a request that was not
     /// quarantined.
-    pub(super) fn learn(&mut self, Entry { request, status }: Entry, now: Time) -> bool {
+    pub(super) fn learn(&mut self, Verdict { request, status }: Verdict, now: Time) -> bool {
         let case = self.case(request, now);
         match status {
             Status::Quarantined { left, times } => {
--- a/fleet/src/crash/shared.rs
+++ b/fleet/src/crash/shared.rs
@@ -7,7 +7,7 @@
 use boragecove_core::time::Time;
 
 use super::register::REMEMBERED;
-use super::{Entry, News, SOUND_AFTER, Status, Suspect, enforce, note};
+use super::{Report, SOUND_AFTER, Status, Suspect, Verdict, enforce, note};
 use crate::effect::Effect;
 use crate::push;
 use crate::request::{Arrival, Fingerprint, Id};
@@ -25,17 +25,17 @@
 
 /// Fingerprints of the parts that a request's prompt shares with others: each part is followed by the
 /// combination of the part and the model, since a part may crash engines with one model only.
-pub(crate) fn shared(arrival: &Arrival) -> Arc<[Fingerprint]> {
+pub(crate) fn shared_parts(arrival: &Arrival) -> Arc<[Fingerprint]> {
     let model = arrival.prompt.as_ref().map_or("", |prompt| &prompt.model);
     arrival.parts.iter().flat_map(|part| [*part, part.of_part_for(model)]).collect()
 }
 
 /// Records that an answer, which began at `began`, counts as successful: no part of its prompt crashes engines.
-pub(crate) fn is_sound(state: &mut State, now: Time, id: Id, began: Time, out: &mut Vec<Effect>) {
+pub(crate) fn mark_sound(state: &mut State, now: Time, id: Id, began: Time, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
-    if std::mem::replace(&mut flow.sound, true) {
+    if std::mem::replace(&mut flow.proven_safe, true) {
         return;
     }
     let parts = Arc::clone(&flow.parts);
@@ -46,27 +46,27 @@
             clear(state, now, part, began, out);
         } else if tells {
             let delay = tell_delay(state);
-            state.timers.set(now + delay, Timer::Clear(part));
+            state.timers.set(now + delay, Timer::AnnounceCleared(part));
         }
     }
 }
 
 /// Records a successful answer once it has been written for `SOUND_AFTER`.
-pub(crate) fn writes(state: &mut State, now: Time, id: Id, began: Time, out: &mut Vec<Effect>) {
+pub(crate) fn answer_continued(state: &mut State, now: Time, id: Id, began: Time, out: &mut Vec<Effect>) {
     if now.since(began) >= SOUND_AFTER {
-        is_sound(state, now, id, began, out);
+        mark_sound(state, now, id, began, out);
     }
 }
 
 /// Records that an answer has begun.
-pub(crate) fn began(state: &mut State, now: Time, id: Id) {
+pub(crate) fn answer_began(state: &mut State, now: Time, id: Id) {
     if let Some(flow) = state.flows.get(&id) {
         state.crashes.parts.begin(&flow.parts, now);
     }
 }
 
 /// Sends the message that clears a part after its random delay, unless the others know already.
-pub(crate) fn clear_due(state: &mut State, now: Time, part: Fingerprint, out: &mut Vec<Effect>) {
+pub(crate) fn announce_cleared(state: &mut State, now: Time, part: Fingerprint, out: &mut Vec<Effect>) {
     if let Some(began) = state.crashes.parts.told(part) {
         clear(state, now, part, began, out);
     }
@@ -74,10 +74,10 @@
 
 fn clear(state: &mut State, now: Time, part: Fingerprint, began: Time, out: &mut Vec<Effect>) {
     let left = REMEMBERED.saturating_sub(now.since(began));
-    let entry = Entry { request: part, status: Status::Cleared { left } };
+    let entry = Verdict { request: part, status: Status::Cleared { left } };
     state.crashes.learn(entry, now);
     note(state, part, "cleared", None, None, out);
-    push::tell_crashes(state, News::of(vec![entry]), out);
+    push::notify_crashes(state, Report::of(vec![entry]), out);
 }
 
 /// Maximum delay of a message about something that many entry VMs may observe at once.
@@ -99,12 +99,12 @@
 pub(super) fn strike(state: &mut State, now: Time, suspects: &[Suspect]) {
     let nodes = state.members.list().len();
     if state.crashes.strike(suspects, now, nodes) {
-        state.timers.set(now + JUDGE_EVERY, Timer::Judge);
+        state.timers.set(now + JUDGE_EVERY, Timer::EvaluateParts);
     }
 }
 
 /// Evaluates the quarantine candidates and quarantines those whose waiting time is over.
-pub(crate) fn judge(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn evaluate_accused(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let nodes = state.members.list().len();
     let time = SOUND_AFTER + tell_within(state) + HEARD_WITHIN;
     let mut entries = Vec::new();
@@ -114,9 +114,9 @@
         entries.extend(state.crashes.entry(part, now));
     }
     if !entries.is_empty() {
-        push::tell_crashes(state, News::of(entries), out);
+        push::notify_crashes(state, Report::of(entries), out);
     }
     if state.crashes.goes_on() {
-        state.timers.set(now + JUDGE_EVERY, Timer::Judge);
+        state.timers.set(now + JUDGE_EVERY, Timer::EvaluateParts);
     }
 }
--- a/fleet/src/demand.rs
+++ b/fleet/src/demand.rs
@@ -47,47 +47,47 @@
 
 /// Demand counters of this entry VM.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct Counters {
     by_target: BTreeMap<Target, Demand>,
 }
 
-impl Counts {
+impl Counters {
     fn entry(&mut self, target: &Target) -> &mut Demand {
         let new = || Demand { target: target.clone(), ..Demand::default() };
         self.by_target.entry(target.clone()).or_insert_with(new)
     }
 
-    pub(crate) fn arrived(&mut self, target: &Target, work: Duration) {
+    pub(crate) fn record_arrival(&mut self, target: &Target, work: Duration) {
         let demand = self.entry(target);
         demand.arrived += 1;
         demand.work_us += work.as_micros() as u64;
     }
 
-    pub(crate) fn waits(&mut self, target: &Target) {
+    pub(crate) fn begin_wait(&mut self, target: &Target) {
         self.entry(target).waiting += 1;
     }
 
-    pub(crate) fn waited(&mut self, target: &Target) {
+    pub(crate) fn end_wait(&mut self, target: &Target) {
         let demand = self.entry(target);
         demand.waiting = demand.waiting.saturating_sub(1);
     }
 
-    pub(crate) fn sent(&mut self, target: &Target) {
+    pub(crate) fn record_sent(&mut self, target: &Target) {
         self.entry(target).open += 1;
     }
 
-    pub(crate) fn ended(&mut self, target: &Target) {
+    pub(crate) fn record_ended(&mut self, target: &Target) {
         let demand = self.entry(target);
         demand.open = demand.open.saturating_sub(1);
     }
 
     /// Counters of one target.
-    pub(crate) fn of(&self, target: &Target) -> Option<&Demand> {
+    pub(crate) fn get(&self, target: &Target) -> Option<&Demand> {
         self.by_target.get(target)
     }
 
     /// All counters, without resetting them.
-    pub(crate) fn peek(&self) -> impl Iterator<Item = &Demand> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Demand> {
         self.by_target.values()
     }
 
@@ -105,7 +105,7 @@
 
 /// Smoothed demand of all entry VMs, as seen by the one that plans placement.
 #[derive(Debug, Default)]
-pub struct Appetite {
+pub struct Aggregate {
     models: BTreeMap<Target, Trend>,
     /// Time at which each adapter was last requested.
     adapters: FxHashMap<Target, Time>,
@@ -136,20 +136,20 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Trend {
     /// Requests under way or waiting, smoothed.
-    pub busy: f64,
+    pub concurrency: f64,
     /// Number of requests that wait now.
     pub waiting: u32,
     /// Time for which requests have waited while none was served.
-    pub starved: Duration,
+    pub starved_for: Duration,
     /// Number of engines that reading its prompts keeps busy, smoothed.
-    pub reading: f64,
+    pub reading_load: f64,
     /// Time of the last request; none if there was none.
-    pub asked: Option<Time>,
+    pub last_requested: Option<Time>,
 }
 
-impl Appetite {
+impl Aggregate {
     /// Adds the arrivals that an entry VM has reported.
-    pub(crate) fn arrived(&mut self, demand: &Demand) {
+    pub(crate) fn add_arrivals(&mut self, demand: &Demand) {
         if demand.arrived > 0 {
             let arrived = self.arrived.entry(demand.target.clone()).or_default();
             arrived.requests += demand.arrived;
@@ -185,18 +185,19 @@
         for (target, trend) in &mut self.models {
             let Sum { open, waiting, arrived } = sums.get(target).copied().unwrap_or_default();
             let blend = |old: f64, new: f64| keep.mul_add(old - new, new);
-            trend.busy = blend(trend.busy, f64::from(open + waiting));
+            trend.concurrency = blend(trend.concurrency, f64::from(open + waiting));
             trend.waiting = waiting;
-            trend.starved = match (waiting, open) {
+            trend.starved_for = match (waiting, open) {
                 (_, 1..) => Duration::ZERO,
-                (1.., 0) => trend.starved + now.since(before).min(UPDATE_MAX),
-                (0, 0) => trend.starved,
+                (1.., 0) => trend.starved_for + now.since(before).min(UPDATE_MAX),
+                (0, 0) => trend.starved_for,
             };
             if open + waiting + arrived.requests > 0 {
-                trend.asked = Some(now);
+                trend.last_requested = Some(now);
                 self.first.get_or_insert(now);
             }
-            trend.reading = blend(trend.reading, arrived.work_us as f64 / 1_000_000.0 / past.max(0.001));
+            trend.reading_load =
+                blend(trend.reading_load, arrived.work_us as f64 / 1_000_000.0 / past.max(0.001));
         }
     }
 
@@ -208,7 +209,7 @@
     }
 
     /// Records which adapters are in use.
-    pub(crate) fn touch<'a>(&mut self, now: Time, demands: impl IntoIterator<Item = &'a Demand>) {
+    pub(crate) fn mark_used<'a>(&mut self, now: Time, demands: impl IntoIterator<Item = &'a Demand>) {
         for demand in demands {
             if demand.target.adapter.is_some() && demand.open + demand.waiting + demand.arrived > 0 {
                 self.adapters.insert(demand.target.clone(), now);
@@ -217,7 +218,7 @@
     }
 
     /// Whether placement is to be logged now.
-    pub(crate) fn report_due(&mut self, now: Time) -> bool {
+    pub(crate) fn log_due(&mut self, now: Time) -> bool {
         let due = now.since(self.logged) >= LOG_EVERY;
         if due {
             self.logged = now;
@@ -227,13 +228,13 @@
 
     /// Time since the first request.
     #[must_use]
-    pub fn watched(&self, now: Time) -> Duration {
+    pub fn observed_for(&self, now: Time) -> Duration {
         self.first.map_or(Duration::ZERO, |first| now.since(first))
     }
 
     /// Time at which an adapter was last requested.
     #[must_use]
-    pub fn used(&self, target: &Target) -> Option<Time> {
+    pub fn last_used(&self, target: &Target) -> Option<Time> {
         self.adapters.get(target).copied()
     }
 }
--- a/fleet/src/departure.rs
+++ b/fleet/src/departure.rs
@@ -5,11 +5,11 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
+use crate::cursor::Cursor;
 use crate::effect::Effect;
 use crate::engine::{Entry, Incarnation};
-use crate::exchange::Exchange;
 use crate::flow;
-use crate::frame::{self, View};
+use crate::frame::{self, Position};
 use crate::notice::Start;
 use crate::push::{self, Message};
 use crate::record::Record;
@@ -20,7 +20,7 @@
 
 /// How this process learned that an engine is leaving or gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Road {
+pub enum Source {
     /// A response of the engine itself.
     Answer,
     /// This process's own read of the engines' table.
@@ -33,7 +33,7 @@
     Reply,
 }
 
-impl Road {
+impl Source {
     /// The label in logs and metrics.
     #[must_use]
     pub const fn label(self) -> &'static str {
@@ -88,9 +88,9 @@
     /// The lease term under which the sender is the hub.
     pub(crate) term: u64,
     /// The number of the last change that the frame reported.
-    pub(crate) told: u64,
+    pub(crate) reported_up_to: u64,
     /// Announcements that this process lacked.
-    pub(crate) words: Vec<Start>,
+    pub(crate) departing: Vec<Start>,
     /// The number of the hub's last change.
     pub(crate) version: u64,
 }
@@ -112,19 +112,19 @@
 pub(crate) struct Departures {
     words: BTreeMap<Name, Word>,
     /// Numbers the changes of the announcements.
-    exchange: Exchange,
+    exchange: Cursor,
     /// The number of the last change that was broadcast without a hub.
     spread: u64,
     news: News,
     /// Number of departures learned here, by source.
-    pub(crate) known: BTreeMap<Road, u64>,
+    pub(crate) learned: BTreeMap<Source, u64>,
     /// Number of departures of which others were notified, by audience.
-    pub(crate) told: BTreeMap<Audience, u64>,
+    pub(crate) notified: BTreeMap<Audience, u64>,
 }
 
 impl Departures {
     /// Whether this start of an engine has announced that it is leaving.
-    pub(crate) fn has(&self, engine: &Name, incarnation: Incarnation) -> bool {
+    pub(crate) fn is_leaving(&self, engine: &Name, incarnation: Incarnation) -> bool {
         self.words.get(engine).is_some_and(|word| word.incarnation == incarnation)
     }
 
@@ -142,37 +142,37 @@
 
     /// Handles the removal of an engine. Without a start time in the announcement, a later start under the same id could not be told apart
     /// from the one that left, so that its announcement is dropped.
-    pub(crate) fn gone(&mut self, engine: &Name) {
+    pub(crate) fn engine_removed(&mut self, engine: &Name) {
         if self.words.get(engine).is_some_and(|word| word.incarnation.0.is_none()) {
             self.words.remove(engine);
         }
     }
 
     /// Notes that an engine's row shows it as leaving or gone, which the previous row did not.
-    pub(crate) fn found(&mut self, engine: &Name) {
+    pub(crate) fn row_departed(&mut self, engine: &Name) {
         self.news.rows.push(engine.clone());
     }
 
     /// Announcements that the hub lacks, and the number of the last change.
-    pub(crate) fn untold(&self) -> (Vec<Start>, u64) {
-        let untold = |word: &Word| word.own && self.exchange.is_untold(word.number);
-        (self.words_that(untold), self.exchange.changes())
+    pub(crate) fn unreported(&self) -> (Vec<Start>, u64) {
+        let untold = |word: &Word| word.own && self.exchange.is_unreported(word.number);
+        (self.words_that(untold), self.exchange.last_change())
     }
 
     /// Whether the hub lacks any announcement.
-    pub(crate) fn is_any_untold(&self) -> bool {
-        self.words.values().any(|word| word.own && self.exchange.is_untold(word.number))
+    pub(crate) fn has_unreported(&self) -> bool {
+        self.words.values().any(|word| word.own && self.exchange.is_unreported(word.number))
     }
 
     /// The last of the hub's changes that this process has.
-    pub(crate) const fn known_there(&self) -> View {
-        self.exchange.known()
+    pub(crate) const fn hub_position(&self) -> Position {
+        self.exchange.hub_position()
     }
 
     /// As the hub of this term, returns the announcements that an entry VM with the view `known` lacks, and the number of the last change.
-    pub(crate) fn changed_since(&self, term: u64, known: View) -> (Vec<Start>, u64) {
-        let since = Exchange::last_known(term, known);
-        (self.words_that(|word| word.number > since), self.exchange.changes())
+    pub(crate) fn changed_since(&self, term: u64, known: Position) -> (Vec<Start>, u64) {
+        let since = Cursor::acknowledged(term, known);
+        (self.words_that(|word| word.number > since), self.exchange.last_change())
     }
 
     fn words_that(&self, wanted: impl Fn(&Word) -> bool) -> Vec<Start> {
@@ -182,12 +182,12 @@
 }
 
 /// Keeps leaving engines as leaving after the store was restored from an older copy, whose rows may be from before they were marked so.
-pub(crate) fn keep(state: &mut State, now: Time) {
+pub(crate) fn keep_leaving(state: &mut State, now: Time) {
     let State { engines, departures, .. } = state;
     for engine in engines.values_mut().filter(|engine| engine.entry.leaving) {
         let Entry { id, incarnation, .. } = &engine.entry;
-        engine.said_leaving = true;
-        if !departures.has(id, *incarnation) {
+        engine.announced_leaving = true;
+        if !departures.is_leaving(id, *incarnation) {
             departures.insert(id.clone(), *incarnation, false, now);
         }
     }
@@ -195,7 +195,7 @@
 
 /// Handles an engine's announcement that it is leaving: it gets no more work. An engine that is not listed now may reappear with the same
 /// start, so that its announcement is stored as well.
-pub(crate) fn said(state: &mut State, now: Time, from: &Start, road: Road, out: &mut Vec<Effect>) {
+pub(crate) fn mark_leaving(state: &mut State, now: Time, from: &Start, road: Source, out: &mut Vec<Effect>) {
     let later =
         state.departures.words.get(&from.engine).is_some_and(|word| word.incarnation >= from.incarnation);
     let listed = state.engines.get(&from.engine).map(|known| &known.entry);
@@ -208,7 +208,7 @@
     }
     // If its row shows it as leaving too, the others learn of it from that row.
     let is_news = listed.is_none_or(|listed| !listed.leaving || listed.incarnation != from.incarnation);
-    state.departures.insert(from.engine.clone(), from.incarnation, is_news && road == Road::Answer, now);
+    state.departures.insert(from.engine.clone(), from.incarnation, is_news && road == Source::Answer, now);
     if is_news {
         state.departures.news.words.push(from.clone());
     }
@@ -217,83 +217,94 @@
     let Some(known) = known.filter(|known| known.entry.incarnation == from.incarnation) else {
         return;
     };
-    let before = known.leaves();
-    known.said_leaving = true;
+    let before = known.is_leaving();
+    known.announced_leaving = true;
     let version = known.version.version;
     if !before {
         let (engine, service) = (from.engine.clone(), known.entry.service.clone());
         out.push(Effect::Record(Record::Engine { engine, service, state: "says_leaving", version }));
-        note_known(state, &from.engine, road, version, out);
+        record_learned(state, &from.engine, road, version, out);
     }
-    flow::withdraw(state, now, &from.engine, out);
+    flow::cancel_reservations(state, now, &from.engine, out);
 }
 
 /// Takes over announcements from another entry VM.
-pub(crate) fn told(state: &mut State, now: Time, words: &[Start], road: Road, out: &mut Vec<Effect>) {
+pub(crate) fn receive(state: &mut State, now: Time, words: &[Start], road: Source, out: &mut Vec<Effect>) {
     for word in words {
-        said(state, now, word, road, out);
+        mark_leaving(state, now, word, road, out);
     }
 }
 
 /// Handles the hub's reply to a frame.
-pub(crate) fn answered(state: &mut State, now: Time, answer: &Answer, out: &mut Vec<Effect>) {
+pub(crate) fn hub_replied(state: &mut State, now: Time, answer: &Answer, out: &mut Vec<Effect>) {
     let State { departures, engines, .. } = state;
-    if departures.exchange.answered(answer.term, answer.told) {
+    if departures.exchange.hub_replied(answer.term, answer.reported_up_to) {
         // The new hub may lack what was reported to its predecessor.
         for (engine, word) in &mut departures.words {
             word.own |= engines.contains_key(engine);
         }
     }
-    told(state, now, &answer.words, Road::Reply, out);
-    leave_to_others(state, out);
-    state.departures.exchange.learn(answer.version);
+    receive(state, now, &answer.departing, Source::Reply, out);
+    drop_pending(state, out);
+    state.departures.exchange.set_hub_version(answer.version);
 }
 
 /// Sends the departures found since the last notification: the hub notifies all entry VMs, a process that reads the table on behalf of its
 /// availability zone notifies that zone, and any other process reports them to the hub.
-pub(crate) fn tell(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn notify(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let News { rows, words } = std::mem::take(&mut state.departures.news);
     if rows.is_empty() && words.is_empty() {
         return;
     }
     let engines: Vec<Name> = rows.iter().chain(words.iter().map(|word| &word.engine)).cloned().collect();
     let departures = rows.iter().filter_map(|id| state.row_of(now, id)).collect();
-    let message = Message { departures, departed: words, ..Message::default() };
-    let audience = push::tell(state, now, &message, out);
-    note_told(state, audience, &engines, out);
-    frame::tell_hub(state, now, out);
+    let message = Message { departure_rows: departures, departing: words, ..Message::default() };
+    let audience = push::notify(state, now, &message, out);
+    record_notified(state, audience, &engines, out);
+    frame::report_reading(state, now, out);
 }
 
 /// Drops the departures found since the last notification: their sender has notified the others as well.
-pub(crate) fn leave_to_others(state: &mut State, out: &mut Vec<Effect>) {
+pub(crate) fn drop_pending(state: &mut State, out: &mut Vec<Effect>) {
     let News { rows, words } = std::mem::take(&mut state.departures.news);
     let engines: Vec<Name> = rows.into_iter().chain(words.into_iter().map(|word| word.engine)).collect();
-    note_told(state, Audience::Nobody, &engines, out);
+    record_notified(state, Audience::Nobody, &engines, out);
 }
 
 /// Broadcasts announcements that engines made to this process at once, because no hub answers that could pass them on.
-pub(crate) fn tell_without_hub(state: &mut State, out: &mut Vec<Effect>) {
+pub(crate) fn notify_without_hub(state: &mut State, out: &mut Vec<Effect>) {
     let Departures { exchange, spread, .. } = &state.departures;
-    let wanted = |word: &Word| word.own && exchange.is_untold(word.number) && word.number > *spread;
+    let wanted = |word: &Word| word.own && exchange.is_unreported(word.number) && word.number > *spread;
     let departed = state.departures.words_that(wanted);
     if departed.is_empty() {
         return;
     }
-    state.departures.spread = state.departures.exchange.changes();
+    state.departures.spread = state.departures.exchange.last_change();
     let engines: Vec<Name> = departed.iter().map(|word| word.engine.clone()).collect();
-    push::tell_everybody(state, &Message { departed, ..Message::default() }, out);
-    note_told(state, Audience::All, &engines, out);
+    push::broadcast(state, &Message { departing: departed, ..Message::default() }, out);
+    record_notified(state, Audience::All, &engines, out);
 }
 
-/// Counts and logs a departure. `version` is that of the engine's row, also if the row does not show it.
-pub(crate) fn note_known(state: &mut State, engine: &Name, road: Road, version: u64, out: &mut Vec<Effect>) {
-    *state.departures.known.entry(road).or_default() += 1;
+/// Counts and logs a departure. `config_version` is that of the engine's row, also if the row does not show it.
+pub(crate) fn record_learned(
+    state: &mut State,
+    engine: &Name,
+    road: Source,
+    version: u64,
+    out: &mut Vec<Effect>,
+) {
+    *state.departures.learned.entry(road).or_default() += 1;
     out.push(Effect::Record(Record::Departure { engine: engine.clone(), road: road.label(), version }));
 }
 
 /// Counts and logs a notification of departures.
-pub(crate) fn note_told(state: &mut State, audience: Audience, engines: &[Name], out: &mut Vec<Effect>) {
-    *state.departures.told.entry(audience).or_default() += engines.len() as u64;
+pub(crate) fn record_notified(
+    state: &mut State,
+    audience: Audience,
+    engines: &[Name],
+    out: &mut Vec<Effect>,
+) {
+    *state.departures.notified.entry(audience).or_default() += engines.len() as u64;
     if let Some(engine) = engines.first().cloned() {
         let engines = engines.len();
         out.push(Effect::Record(Record::DeparturesTold { engine, engines, to: audience.label() }));
--- a/fleet/src/effect.rs
+++ b/fleet/src/effect.rs
@@ -12,13 +12,13 @@
 use crate::frame::Frame;
 use crate::lease;
 use crate::order::Order;
-use crate::pin::Note;
+use crate::pin::Announcement;
 use crate::push::Push;
 use crate::quota::Draw;
 use crate::record::Record;
 use crate::request::{Id, Step, Stream};
 use crate::revision::Revision;
-use crate::schedule::Ask;
+use crate::schedule::ReservationRequest;
 
 /// An action for the process to carry out.
 #[derive(Clone, Debug)]
@@ -37,19 +37,19 @@
         /// The frame.
         frame: Box<Frame>,
     },
-    /// Push an update to another entry VM; [`crate::event::Event::Missed`] follows if that fails.
+    /// Push an update to another entry VM; [`crate::event::Event::PushFailed`] follows if that fails.
     Push(Push),
     /// Ask the owner of an engine's schedule for a reservation; its answer comes back as [`crate::event::Event::Granted`].
-    Ask {
+    Reserve {
         /// Where the owner listens.
         address: SocketAddr,
         /// The request that the reservation is for.
         request: Id,
         /// The reservation request.
-        ask: Ask,
+        ask: ReservationRequest,
     },
-    /// Ask a holder of a share of a workspace's limit for credit; its answer comes back as [`crate::event::Event::Drawn`].
-    Draw {
+    /// Ask a holder of a share of a workspace's limit for credit; its answer comes back as [`crate::event::Event::CreditAnswered`].
+    RequestCredit {
         /// Where the holder listens.
         address: SocketAddr,
         /// The request that the credit is for.
@@ -57,8 +57,8 @@
         /// The request for credit.
         draw: Draw,
     },
-    /// Ask the leader for a permit to repeat a request; its answer comes back as [`crate::event::Event::Permitted`].
-    Permit {
+    /// Ask the leader for a permit to repeat a request; its answer comes back as [`crate::event::Event::PermitAnswered`].
+    RequestPermit {
         /// Where the leader listens.
         address: SocketAddr,
         /// The request to be repeated.
@@ -66,17 +66,17 @@
         /// The current time.
         asked: Time,
         /// The request for a permit.
-        ask: budget::Ask,
+        ask: budget::PermitRequest,
     },
     /// Tell another entry VM which engine builds began some streams. No answer is expected.
-    Note {
+    AnnounceOrigins {
         /// Where the entry VM listens.
         address: SocketAddr,
         /// The streams, by origin.
-        notes: Vec<Note>,
+        notes: Vec<Announcement>,
     },
-    /// Ask another entry VM which engine build began a stream; its answer comes back as [`crate::event::Event::Traced`].
-    Trace {
+    /// Ask another entry VM which engine build began a stream; its answer comes back as [`crate::event::Event::OriginAnswered`].
+    QueryOrigin {
         /// Where the entry VM listens.
         address: SocketAddr,
         /// The request that resumes the stream.
@@ -126,7 +126,7 @@
     /// Poll the store's tables in this way; none leaves that to the hub.
     Follow(Option<Follow>),
     /// Ask the store at once, on a new connection, for changes of the engines' table; the answer comes back as
-    /// [`crate::event::Event::Listed`], or as [`crate::event::Event::Unread`].
+    /// [`crate::event::Event::EnginesRead`], or as [`crate::event::Event::RefreshFailed`].
     Refresh {
         /// The revision up to which the table is already known.
         after: Revision,
@@ -138,7 +138,7 @@
     /// Take the entry VM in or out of the balancer's rotation.
     Ready(bool),
     /// The models or adapters at this engine have changed; replies that are held back for that may be sent.
-    Changed(Name),
+    HoldingsChanged(Name),
     /// Send [`crate::event::Event::Wake`] at this time. A later effect of this kind replaces an earlier one.
     WakeAt(Time),
     /// Exit the process: nothing is in flight any more.
@@ -147,7 +147,7 @@
 
 /// Time limits of a long poll for changes of a table.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Patience {
+pub struct Poll {
     /// How long the store may hold the call before it answers that nothing has changed.
     pub wait: Duration,
     /// How long after `wait` the answer may still begin; after that, the call is repeated.
@@ -158,24 +158,24 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Follow {
     /// The store's revision up to which the engines' table is known; 0 if it is not.
-    pub listed: Revision,
+    pub engines_version: Revision,
     /// The store's revision up to which the operator's table is known; 0 if it is not.
-    pub declared: Revision,
+    pub operator_version: Revision,
     /// The version of the configuration in the operator's table at that revision.
     pub config: u64,
     /// After the store was restored from an older copy, a table that is known from before is read in full within this time; entry VMs
     /// spread these reads, since several may have to make them.
-    pub spread: Duration,
+    pub reload_spread: Duration,
     /// Time limits of long polls of the engines' table.
-    pub engines: Patience,
+    pub engines: Poll,
     /// Time limits of long polls of the operator's table.
-    pub operator: Patience,
+    pub operator: Poll,
     /// The longest pause after a failed call.
     pub retry_max: Duration,
     /// Time until the first call.
     pub delay: Duration,
     /// The shortest pause after a failed call.
-    pub failed: Duration,
+    pub retry_min: Duration,
     /// Time from an answer to the next call, so that changes made close together are read together.
     pub pause: Duration,
 }
--- a/fleet/src/engine.rs
+++ b/fleet/src/engine.rs
@@ -12,7 +12,7 @@
 use crate::path::Path;
 use crate::revision::Revision;
 use crate::schedule::Schedule;
-use crate::share::Share;
+use crate::throttle::Throttle;
 pub use health::Health;
 
 /// Fraction of an engine's slots in use above which a new request may have to wait for one. It is below 1 because loads are known with a delay.
@@ -83,7 +83,7 @@
     /// The entry; none if the engine was removed.
     pub entry: Option<Entry>,
     /// For a removed engine, how much longer the sender waits for it to come back; none if the receiver decides that itself.
-    pub lapses: Option<Duration>,
+    pub grace_left: Option<Duration>,
 }
 
 /// The models that an engine holds according to the orders sent to it.
@@ -118,7 +118,7 @@
 impl Residency {
     /// Creates the residency from the list of an entry or a report, in which all models are ready.
     #[must_use]
-    pub fn of(held: &[Held]) -> Self {
+    pub fn from_held(held: &[Held]) -> Self {
         let ready = |held: &Held| Copy {
             model: held.model.clone(),
             phase: Phase::Ready,
@@ -186,7 +186,7 @@
     /// Its entry in the engines' table, without information from other sources.
     pub entry: Entry,
     /// Whether this start of it has announced in a response that it is leaving.
-    pub said_leaving: bool,
+    pub announced_leaving: bool,
     /// Whether another engine has responded at its address since its row was read.
     pub replaced: bool,
     /// The store's revision of its row.
@@ -200,19 +200,19 @@
     /// Its request limit after a start, if it applies.
     pub cold: Option<Cold>,
     /// Load sent by this process.
-    pub own: Load,
+    pub own_load: Load,
     /// Load sent by the other entry VMs.
-    pub others: Load,
+    pub others_load: Load,
     /// The schedule of prompts for it. It is exact at the entry VM that owns the schedule, and an estimate elsewhere.
     pub schedule: Schedule,
     /// Its share of the requests of a service that does not run models.
-    pub share: Share,
+    pub share: Throttle,
     /// Its health as observed by this process.
     pub health: Health,
     /// The network path to it.
     pub path: Path,
     /// The models that it holds, according to the process that sends it orders; none until that is known.
-    pub ordered: Option<Residency>,
+    pub residency: Option<Residency>,
     /// Models and adapters that it rejected as absent, and until when they count as absent.
     pub absent: Vec<(Name, Option<Name>, Time)>,
 }
@@ -223,20 +223,20 @@
     pub fn new(entry: Entry, version: Revision) -> Self {
         Self {
             entry,
-            said_leaving: false,
+            announced_leaving: false,
             replaced: false,
             version,
             changed: version,
             missing_until: None,
             evacuated: false,
             cold: None,
-            own: Load::default(),
-            others: Load::default(),
-            share: Share::default(),
+            own_load: Load::default(),
+            others_load: Load::default(),
+            share: Throttle::default(),
             schedule: Schedule::default(),
             health: Health::default(),
             path: Path::default(),
-            ordered: None,
+            residency: None,
             absent: Vec::new(),
         }
     }
@@ -247,14 +247,14 @@
             id: self.entry.id.clone(),
             version: self.version,
             entry: self.missing_until.is_none().then(|| self.entry.clone()),
-            lapses: self.missing_until.map(|until| until.since(now)),
+            grace_left: self.missing_until.map(|until| until.since(now)),
         }
     }
 
     /// The load from all entry VMs.
     #[must_use]
     pub const fn load(&self) -> Load {
-        self.own.plus(self.others)
+        self.own_load.plus(self.others_load)
     }
 
     /// Whether so many requests are in flight there that a new one may have to wait for a slot.
@@ -265,41 +265,41 @@
 
     /// Whether it is leaving or gone: according to its row, to its own announcement, or because another engine responds at its address.
     #[must_use]
-    pub const fn leaves(&self) -> bool {
-        self.entry.leaving || self.said_leaving || self.replaced
+    pub const fn is_leaving(&self) -> bool {
+        self.entry.leaving || self.announced_leaving || self.replaced
     }
 
     /// Whether it may be sent work.
     #[must_use]
     pub const fn takes_work(&self) -> bool {
-        !self.leaves() && !self.evacuated
+        !self.is_leaving() && !self.evacuated
     }
 
     /// Resets the state that belongs to the previous start of the engine, such as its models, its health and its path. Requests sent to the
     /// previous start end when their connections break.
     pub(crate) fn restart(&mut self) {
-        self.said_leaving = false;
+        self.announced_leaving = false;
         self.replaced = false;
         self.health = Health::default();
         self.path = Path::default();
         self.schedule = Schedule::default();
         self.cold = None;
-        self.ordered = None;
+        self.residency = None;
         self.absent.clear();
     }
 
     /// Takes over the models that it holds from the process that sends it orders, unless they are those of another start. Models that it has
     /// got since no longer count as absent.
-    pub fn learn(&mut self, incarnation: Incarnation, residency: Residency) {
+    pub fn set_residency(&mut self, incarnation: Incarnation, residency: Residency) {
         if incarnation != self.entry.incarnation {
             return;
         }
-        let before = self.ordered.take().unwrap_or_default();
+        let before = self.residency.take().unwrap_or_default();
         self.absent.retain(|(model, adapter, _)| {
             let adapter = adapter.as_deref();
             before.serves(model, adapter) || !residency.serves(model, adapter)
         });
-        self.ordered = Some(residency);
+        self.residency = Some(residency);
     }
 
     /// Whether it can run requests for a model, as far as this process knows.
@@ -311,7 +311,7 @@
         if refused {
             return false;
         }
-        match &self.ordered {
+        match &self.residency {
             Some(residency) => residency.serves(model, adapter),
             None => self.entry.held.iter().any(|held| {
                 held.model == *model
@@ -323,7 +323,7 @@
 
 /// How the port of an engine responds to a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reach {
+pub enum Port {
     /// A connection can be opened.
     Open,
     /// The connection is refused: the engine's process has ended, or a device on the path rejects connections to it.
--- a/fleet/src/engine/health.rs
+++ b/fleet/src/engine/health.rs
@@ -26,11 +26,11 @@
     faults: f64,
     faults_at: Time,
     /// When it last responded.
-    pub heard: Time,
+    pub last_heard: Time,
     /// When this process last sent a request to it.
-    pub sent: Option<Time>,
+    pub last_sent: Option<Time>,
     /// When this process last sent it a health check.
-    pub asked: Time,
+    pub last_checked: Time,
     /// When a suspicion was last logged.
     pub(crate) logged_at: Option<Time>,
     /// Whether the current suspicion was logged, in which case its end has to be logged too.
@@ -39,8 +39,8 @@
 
 impl Health {
     /// Records a response, which ends a suspicion and resets the backoff.
-    pub fn hear(&mut self, now: Time) {
-        self.heard = now;
+    pub fn record_response(&mut self, now: Time) {
+        self.last_heard = now;
         self.suspect_until = None;
         self.suspected_since = None;
         self.refuses = false;
@@ -57,24 +57,24 @@
 
     /// Whether its silence may be temporary, so that it can still resume with its models and requests in place.
     #[must_use]
-    pub fn may_go_on(&self, now: Time) -> bool {
+    pub fn may_resume(&self, now: Time) -> bool {
         !self.refuses && self.suspected_since.is_some_and(|since| now.since(since) < SILENT_MAX)
     }
 
     /// Whether it is suspected at `now`.
     #[must_use]
-    pub fn suspected(&self, now: Time) -> bool {
+    pub fn is_suspected(&self, now: Time) -> bool {
         self.suspect_until.is_some_and(|until| now < until)
     }
 
     /// How much longer it wants no requests from this process; none if it takes requests.
     #[must_use]
-    pub fn pause(&self, now: Time) -> Option<Duration> {
+    pub fn pause_left(&self, now: Time) -> Option<Duration> {
         self.paused_until.filter(|until| now < *until).map(|until| until.since(now))
     }
 
     /// Records the failure of a request that had been sent to it.
-    pub fn fail(&mut self, now: Time, settings: &Settings) {
+    pub fn record_failure(&mut self, now: Time, settings: &Settings) {
         self.faults = self.faults(now, settings) + 1.0;
         self.faults_at = now;
     }
--- a/fleet/src/era.rs
+++ b/fleet/src/era.rs
@@ -48,23 +48,23 @@
 
     /// Whether by `at` all writes that the restored copy lacked had been repeated.
     pub(crate) fn is_settled(&self, at: Time, settings: &Settings) -> bool {
-        self.number == 0 || self.known_old.is_some() || at >= self.since + settings.rewritten_within
+        self.number == 0 || self.known_old.is_some() || at >= self.since + settings.restore_rewrite_time
     }
 
     /// How much longer an entry that the restored copy lacks may still be written again; none once that time is over.
-    pub(crate) fn rewrites(&self, now: Time, settings: &Settings) -> Option<Duration> {
-        let until = self.since + settings.rewritten_within;
+    pub(crate) fn rewrite_time_left(&self, now: Time, settings: &Settings) -> Option<Duration> {
+        let until = self.since + settings.restore_rewrite_time;
         (self.number > 0 && self.known_old.is_none() && now < until).then(|| until.since(now))
     }
 
     /// Whether a reading of the store as of `at` may list an engine that is gone because the restored copy still has its entry. The store
     /// removes such an entry once some heartbeats have been missed in this era.
-    pub(crate) fn doubts_removed(&self, at: Time, settings: &Settings) -> bool {
+    pub(crate) fn may_list_removed(&self, at: Time, settings: &Settings) -> bool {
         let missed = settings.engine_heartbeat.mul_f64(HEARTBEATS_MISSED);
         let until = self.since + missed;
-        // An era that was marked as old began at least `rewritten_within` before that.
+        // An era that was marked as old began at least `restore_rewrite_time` before that.
         let until_by_others =
-            self.known_old.map(|old| old + missed.saturating_sub(settings.rewritten_within));
+            self.known_old.map(|old| old + missed.saturating_sub(settings.restore_rewrite_time));
         let until = until_by_others.map_or(until, |by_others| until.min(by_others));
         self.number > 0 && at < until
     }
@@ -75,18 +75,18 @@
     }
 
     /// Records the version of a listing of the engines' table; only the first one in an era counts.
-    pub(crate) fn listed(&mut self, version: u64) {
+    pub(crate) fn set_first_listed(&mut self, version: u64) {
         self.first_listed.get_or_insert(version);
     }
 
     /// Marks the era as having begun long ago, as reported by a process that saw its beginning.
-    pub(crate) fn settle(&mut self, now: Time) {
+    pub(crate) fn mark_old(&mut self, now: Time) {
         self.known_old.get_or_insert(now);
     }
 }
 
 /// Handles an era that the store or another entry VM named.
-pub(crate) fn heard(state: &mut State, now: Time, era: u64, out: &mut Vec<Effect>) {
+pub(crate) fn observe(state: &mut State, now: Time, era: u64, out: &mut Vec<Effect>) {
     let before = state.era;
     state.era.is_known = true;
     if era <= before.number {
@@ -96,27 +96,27 @@
     if before.is_known {
         risen(state, now, before, out);
     }
-    lease::era_risen(state, now, out);
+    lease::era_advanced(state, now, out);
 }
 
 /// Whether data of this era is outdated.
-pub(crate) const fn is_past(state: &State, era: u64) -> bool {
+pub(crate) const fn is_outdated(state: &State, era: u64) -> bool {
     era < state.era.number
 }
 
 /// Handles the store's restore from an older copy while this process was running.
 fn risen(state: &mut State, now: Time, before: Era, out: &mut Vec<Effect>) {
-    departure::keep(state, now);
+    departure::keep_leaving(state, now);
     // Entries that expired meanwhile, or that the copy lacks, are written again soon.
-    state.store_troubled = Some(now);
+    state.store_failing_since = Some(now);
     out.push(Effect::Record(Record::Era {
         era: state.era.number,
         before: before.number,
-        listed: state.listed.version,
-        declared: state.declared.version,
+        listed: state.engines_revision.version,
+        declared: state.config_revision.version,
         engines: state.engines.len(),
-        leaving: state.engines.values().filter(|engine| engine.leaves()).count(),
-        removed: state.removed.len(),
-        led: state.lease.holds(now).is_some(),
+        leaving: state.engines.values().filter(|engine| engine.is_leaving()).count(),
+        removed: state.tombstones.len(),
+        led: state.lease.held_term(now).is_some(),
     }));
 }
--- a/fleet/src/evacuation.rs
+++ b/fleet/src/evacuation.rs
@@ -15,8 +15,8 @@
 use crate::effect::Effect;
 use crate::era;
 use crate::flow;
-use crate::intake;
 use crate::push;
+use crate::rate_limit;
 use crate::record::Record;
 use crate::revision::Revision;
 use crate::state::State;
@@ -24,7 +24,7 @@
 
 /// Whether operators have evacuated an availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Word {
+pub struct Status {
     /// The availability zone.
     pub zone: Name,
     /// The store's revision of the row, or of its removal.
@@ -37,7 +37,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Listing {
     /// The zones that have a row, or whose row was removed.
-    pub words: Vec<Word>,
+    pub zones: Vec<Status>,
     /// The store's revision as of which they were read.
     pub version: Revision,
     /// Whether these are all rows, rather than the changes since an earlier read.
@@ -63,7 +63,7 @@
 
 impl Evacuations {
     /// Whether a zone is evacuated.
-    pub(crate) fn has(&self, zone: &Name) -> bool {
+    pub(crate) fn is_evacuated(&self, zone: &Name) -> bool {
         self.by_zone.get(zone).is_some_and(|standing| standing.evacuated)
     }
 
@@ -73,8 +73,8 @@
     }
 
     /// The state of all zones that have or had a row.
-    pub(crate) fn words(&self) -> Vec<Word> {
-        let word = |(zone, standing): (&Name, &Standing)| Word {
+    pub(crate) fn all(&self) -> Vec<Status> {
+        let word = |(zone, standing): (&Name, &Standing)| Status {
             zone: zone.clone(),
             revision: standing.revision,
             evacuated: standing.evacuated,
@@ -88,7 +88,7 @@
             return 0;
         }
         let mut hash = Xxh3::new();
-        for Word { zone, revision, evacuated } in self.words() {
+        for Status { zone, revision, evacuated } in self.all() {
             hash.update(zone.as_bytes());
             hash.update(&[0, u8::from(evacuated)]);
             hash.update(&revision.era.to_le_bytes());
@@ -98,38 +98,38 @@
     }
 
     /// The state of all zones, if it differs from the one with this digest; otherwise nothing.
-    pub(crate) fn words_beyond(&self, digest: u64) -> Vec<Word> {
-        if digest == self.digest() { Vec::new() } else { self.words() }
+    pub(crate) fn all_unless(&self, digest: u64) -> Vec<Status> {
+        if digest == self.digest() { Vec::new() } else { self.all() }
     }
 
     /// The state of all zones, if the hub's differs; otherwise nothing.
-    pub(crate) fn words_for_hub(&self) -> Vec<Word> {
-        self.words_beyond(self.hub)
+    pub(crate) fn unreported(&self) -> Vec<Status> {
+        self.all_unless(self.hub)
     }
 
     /// Stores the digest from the hub's reply.
-    pub(crate) const fn hear_digest(&mut self, digest: u64) {
+    pub(crate) const fn set_hub_digest(&mut self, digest: u64) {
         self.hub = digest;
     }
 }
 
 /// Handles a read of the operators' table, or of its changes.
-pub(crate) fn listed(state: &mut State, now: Time, listing: Listing, out: &mut Vec<Effect>) {
-    era::heard(state, now, listing.version.era, out);
-    if era::is_past(state, listing.version.era) {
+pub(crate) fn apply_listing(state: &mut State, now: Time, listing: Listing, out: &mut Vec<Effect>) {
+    era::observe(state, now, listing.version.era, out);
+    if era::is_outdated(state, listing.version.era) {
         return;
     }
-    let mut words = listing.words;
+    let mut words = listing.zones;
     if listing.whole {
         words.extend(lacking(state, now, listing.version, &words));
     }
-    told(state, now, &words, out);
+    receive(state, now, &words, out);
 }
 
 /// Returns the zones that a complete read no longer lists. If that read is the first of a new era, a restored copy of the store may lack
 /// their rows, which may be written again: such zones stay evacuated for the time being.
-fn lacking(state: &mut State, now: Time, version: Revision, words: &[Word]) -> Vec<Word> {
-    let rewrites = state.era.rewrites(now, &state.settings);
+fn lacking(state: &mut State, now: Time, version: Revision, words: &[Status]) -> Vec<Status> {
+    let rewrites = state.era.rewrite_time_left(now, &state.settings);
     let mut over = Vec::new();
     for (zone, standing) in &mut state.evacuations.by_zone {
         let named = words.iter().any(|word| word.zone == *zone);
@@ -139,30 +139,30 @@
         match rewrites.filter(|_| standing.revision.era < version.era) {
             Some(rewrites) => {
                 standing.lacking_until = Some(now + rewrites);
-                state.timers.set(now + rewrites, Timer::Evacuations);
+                state.timers.set(now + rewrites, Timer::EvacuationExpiry);
             }
-            None => over.push(Word { zone: zone.clone(), revision: version, evacuated: false }),
+            None => over.push(Status { zone: zone.clone(), revision: version, evacuated: false }),
         }
     }
     over
 }
 
 /// Ends evacuations whose rows a restored copy of the store lacked and that were not written again in time.
-pub(crate) fn lapse(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn expire_missing(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let era = state.era.number();
     let lapsed = |standing: &Standing| standing.lacking_until.is_some_and(|until| until <= now);
     let lapsed = state.evacuations.by_zone.iter().filter(|(_, standing)| lapsed(standing));
-    let over = |(zone, _): (&Name, &Standing)| Word {
+    let over = |(zone, _): (&Name, &Standing)| Status {
         zone: zone.clone(),
         revision: Revision::new(era, 0),
         evacuated: false,
     };
-    let words: Vec<Word> = lapsed.map(over).collect();
-    told(state, now, &words, out);
+    let words: Vec<Status> = lapsed.map(over).collect();
+    receive(state, now, &words, out);
 }
 
 /// Takes over zone states from any source and notifies the others of those that are new.
-pub(crate) fn told(state: &mut State, now: Time, words: &[Word], out: &mut Vec<Effect>) {
+pub(crate) fn receive(state: &mut State, now: Time, words: &[Status], out: &mut Vec<Effect>) {
     let mut news = Vec::new();
     for word in words {
         if take(state, now, word, out) {
@@ -170,13 +170,13 @@
         }
     }
     if !news.is_empty() {
-        push::tell_evacuations(state, now, news, out);
+        push::notify_evacuations(state, now, news, out);
     }
 }
 
 /// Takes over the state of a zone. Returns whether it is newer than the one known before.
-fn take(state: &mut State, now: Time, word: &Word, out: &mut Vec<Effect>) -> bool {
-    let Word { zone, revision, evacuated } = word;
+fn take(state: &mut State, now: Time, word: &Status, out: &mut Vec<Effect>) -> bool {
+    let Status { zone, revision, evacuated } = word;
     let standing = state.evacuations.by_zone.entry(zone.clone()).or_default();
     if standing.revision >= *revision {
         return false;
@@ -204,10 +204,10 @@
     }
     for engine in changed {
         if evacuated {
-            flow::withdraw(state, now, &engine, out);
+            flow::cancel_reservations(state, now, &engine, out);
         } else {
-            intake::started(state, now, &engine);
+            rate_limit::engine_started(state, now, &engine);
         }
     }
-    flow::stir_later(state);
+    flow::request_rescan(state);
 }
--- a/fleet/src/event.rs
+++ b/fleet/src/event.rs
@@ -7,18 +7,18 @@
 
 use crate::budget::Permit;
 use crate::config::Config;
-use crate::engine::Reach;
+use crate::engine::Port;
 use crate::engine::{Incarnation, Row};
 use crate::evacuation;
 use crate::frame::{Frame, Reply};
 use crate::lease;
-use crate::notice::{Asked, Notice, Start};
+use crate::notice::{AnsweredRequest, Notice, Start};
 use crate::order::{Receipt, Report};
 use crate::path::Relay;
 use crate::pin::Origin;
 use crate::push;
 use crate::quota::Credit;
-use crate::request::{Arrival, End, Events, Id};
+use crate::request::{Arrival, End, Id, Timing};
 use crate::revision::Revision;
 use crate::schedule::Grant;
 use crate::settings::Settings;
@@ -29,7 +29,7 @@
     /// A version of the configuration was read.
     Configured(Arc<Config>),
     /// The operator's table was read.
-    Declared {
+    OperatorTableRead {
         /// The store's revision up to which it was read.
         version: Revision,
         /// The version of the configuration in the table; 0 if there is none.
@@ -40,9 +40,9 @@
     /// The operators' evacuations of availability zones were read.
     Evacuations(evacuation::Listing),
     /// The engines' table, or its changes, were read.
-    Listed(Listing),
+    EnginesRead(Listing),
     /// A refresh of the engines' table failed ([`crate::effect::Effect::Refresh`]).
-    Unread,
+    RefreshFailed,
     /// A response of the store, to any call, carried this era.
     Era(u64),
     /// The store has become unreachable (false), or can be reached again (true).
@@ -55,7 +55,7 @@
         arrival: Box<Arrival>,
     },
     /// A request's caller has disconnected.
-    Gone(Id),
+    CallerGone(Id),
     /// Events of an answer arrived and are forwarded to the caller.
     Began {
         /// The request.
@@ -64,15 +64,15 @@
         build: Option<Name>,
     },
     /// Bytes were received from an engine.
-    Heard(Name),
+    EngineActive(Name),
     /// An answer of an engine, to any kind of request, carried a notice about the engine itself.
-    Noticed {
+    NoticeReceived {
         /// The engine and its incarnation.
         from: Start,
         /// The notice.
         notice: Notice,
         /// The caller's request that was answered; none if the answer was to something else.
-        asked: Option<Asked>,
+        asked: Option<AnsweredRequest>,
     },
     /// The current attempt of a request ended.
     Ended {
@@ -83,16 +83,16 @@
         /// How it ended.
         end: End,
         /// The timing of its events.
-        events: Events,
+        events: Timing,
     },
-    /// A frame arrived from another entry VM. [`crate::reply`] computes the reply to it.
-    Framed(Box<Frame>),
+    /// A frame arrived from another entry VM. [`crate::reply_to_frame`] computes the reply to it.
+    FrameReceived(Box<Frame>),
     /// The hub replied to a frame; none if it could not be reached.
     Replied(Option<Box<Reply>>),
     /// Another entry VM pushed an update.
     Pushed(Box<push::Message>),
     /// A push to another entry VM failed.
-    Missed(push::Push),
+    PushFailed(push::Push),
     /// The owner of an engine's schedule answered a reservation request.
     Granted {
         /// The request that the reservation is for.
@@ -101,7 +101,7 @@
         grant: Option<Grant>,
     },
     /// A holder of a share of a workspace's limit answered a request for credit.
-    Drawn {
+    CreditAnswered {
         /// The request that the credit is for.
         request: Id,
         /// The workspace.
@@ -110,7 +110,7 @@
         credit: Option<Credit>,
     },
     /// The leader answered a request for a permit to repeat a request.
-    Permitted {
+    PermitAnswered {
         /// The request to be repeated.
         request: Id,
         /// When the permit was requested.
@@ -119,7 +119,7 @@
         permit: Option<Permit>,
     },
     /// Another entry VM answered which engine build began a stream.
-    Traced {
+    OriginAnswered {
         /// The request that resumes the stream.
         request: Id,
         /// The stream's origin; none if the entry VM does not know it, or could not be reached.
@@ -148,14 +148,14 @@
         /// The engine's id.
         engine: Name,
         /// The result.
-        reach: Reach,
+        reach: Port,
     },
     /// Another entry VM was asked to probe an engine's port.
     ProbedIndirectly {
         /// The engine's id.
         engine: Name,
         /// The result; none if the entry VM did not answer, or does not know the engine.
-        reach: Option<Reach>,
+        reach: Option<Port>,
     },
     /// Another entry VM was asked whether it reaches an engine.
     PathSeen {
@@ -164,10 +164,10 @@
         /// The entry VM that was asked.
         by: Relay,
         /// The state of the engine's port as seen there; none if the entry VM did not answer, or cannot tell.
-        reach: Option<Reach>,
+        reach: Option<Port>,
     },
     /// A request that was relayed for another entry VM has ended.
-    Relayed,
+    RelayEnded,
     /// The settings have changed.
     Settings(Box<Settings>),
     /// The process was asked to stop.
@@ -182,33 +182,33 @@
     pub const fn label(&self) -> &'static str {
         match self {
             Self::Configured(_) => "configured",
-            Self::Declared { .. } => "declared",
+            Self::OperatorTableRead { .. } => "declared",
             Self::Evacuations(_) => "evacuations",
-            Self::Listed(_) => "listed",
-            Self::Unread => "unread",
+            Self::EnginesRead(_) => "listed",
+            Self::RefreshFailed => "unread",
             Self::Era(_) => "era",
             Self::StoreUp(_) => "store_up",
             Self::Arrive { .. } => "arrive",
-            Self::Gone(_) => "gone",
+            Self::CallerGone(_) => "gone",
             Self::Began { .. } => "began",
-            Self::Heard(_) => "heard",
-            Self::Noticed { .. } => "noticed",
+            Self::EngineActive(_) => "heard",
+            Self::NoticeReceived { .. } => "noticed",
             Self::Ended { .. } => "ended",
-            Self::Framed(_) => "frame",
+            Self::FrameReceived(_) => "frame",
             Self::Replied(_) => "replied",
             Self::Pushed(_) => "pushed",
-            Self::Missed(_) => "missed",
+            Self::PushFailed(_) => "missed",
             Self::Granted { .. } => "granted",
-            Self::Drawn { .. } => "drawn",
-            Self::Permitted { .. } => "permitted",
-            Self::Traced { .. } => "traced",
+            Self::CreditAnswered { .. } => "drawn",
+            Self::PermitAnswered { .. } => "permitted",
+            Self::OriginAnswered { .. } => "traced",
             Self::Lease(_) => "lease",
             Self::Ordered { .. } => "ordered",
             Self::Reported { .. } => "reported",
             Self::Probed { .. } => "probed",
             Self::ProbedIndirectly { .. } => "probed_indirectly",
             Self::PathSeen { .. } => "path_seen",
-            Self::Relayed => "relayed",
+            Self::RelayEnded => "relayed",
             Self::Settings(_) => "settings",
             Self::Stop => "stop",
             Self::Wake => "wake",
--- a/fleet/src/flow.rs
+++ b/fleet/src/flow.rs
@@ -1,7 +1,7 @@
 //! The life cycle of a request: its state, its dispatch to engines and its waits.
 
 mod end;
-mod place;
+mod reservation;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 use crate::access;
 use crate::adapter;
 use crate::admit;
-use crate::budget::{self, Obtained, Repeat};
+use crate::budget::{self, Obtained, Retry};
 use crate::choose::{self, Choice, Pick, Query};
 use crate::config::{Route, Workspace};
 use crate::crash;
@@ -21,25 +21,25 @@
 use crate::effect::Effect;
 use crate::engine::Load;
 use crate::frame;
-use crate::homes;
 use crate::key::Digest;
 use crate::outcome;
 use crate::pin::{self, Pin};
 use crate::quota;
 use crate::record::{Record, ms};
+use crate::regions;
 use crate::request::{Arrival, End, Fingerprint, Id, Prompt, Refusal, Resumption, Step, Stream};
-use crate::schedule::Ask;
+use crate::schedule::ReservationRequest;
 use crate::settings::Settings;
 use crate::state::State;
 use crate::timer::Timer;
-pub(crate) use end::{close, deadline, give_up, gone, leave, waited};
-use place::engage;
-pub(crate) use place::granted;
+pub(crate) use end::{caller_gone, deadline_passed, detach, give_up, remove, wait_expired};
+pub(crate) use reservation::reservation_answered;
+use reservation::reserve;
 
 /// How long a request waits while all engines are unreachable, or while nobody can have a missing model loaded.
 const DOUBT_WAIT: Duration = Duration::from_millis(400);
 /// The `retry_after` of a refusal if no better estimate is known.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(500);
+pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// A request that has not ended.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
     /// Units that it uses of its workspace's limit; 0 if there is no limit.
     pub(crate) cost: f64,
     /// The workspace whose credit it used, until that is refunded.
-    pub(crate) charged: Option<Name>,
+    pub(crate) charged_workspace: Option<Name>,
     /// The digest of its caller's key.
     pub(crate) key: Option<Digest>,
     pub(crate) prompt: Option<Prompt>,
@@ -59,15 +59,15 @@
     /// The parts of its prompt that other requests may share.
     pub(crate) parts: Arc<[Fingerprint]>,
     /// Whether an engine has answered it for long enough to show that it does not crash engines.
-    pub(crate) sound: bool,
+    pub(crate) proven_safe: bool,
     /// When the first event of the current attempt arrived.
-    pub(crate) first_at: Option<Time>,
+    pub(crate) first_event_at: Option<Time>,
     pub(crate) arrived: Time,
     pub(crate) deadline: Time,
     /// The time by which its answer must begin.
     pub(crate) begin_by: Time,
     /// Estimated time to read its prompt.
-    pub(crate) work: Duration,
+    pub(crate) prefill: Duration,
     pub(crate) stage: Stage,
     /// Number of attempts made, and the number of the current one.
     pub(crate) number: u32,
@@ -76,38 +76,38 @@
     /// Attempts that an engine refused.
     pub(crate) refusals: u32,
     /// Reservations that were denied since it was last sent.
-    pub(crate) asked: u32,
+    pub(crate) reservations_denied: u32,
     /// Engines that must not get it again.
-    pub(crate) avoid: Vec<Name>,
+    pub(crate) excluded: Vec<Name>,
     /// Engines to which connecting failed for this request; one entry per failure.
-    pub(crate) unsent: Vec<Name>,
+    pub(crate) connect_failures: Vec<Name>,
     pub(crate) may_have_run: bool,
     /// The builds whose engines may continue its answer.
     pub(crate) pin: Pin,
     /// The stream that it begins or resumes, if that has an id.
     pub(crate) stream: Option<Stream>,
     /// The stream that its client resumes, until it is known which build began that.
-    pub(crate) resumes: Option<Resumption>,
+    pub(crate) resumption: Option<Resumption>,
     /// Whether its next attempt needs a permit, or has one.
-    pub(crate) repeat: Repeat,
+    pub(crate) retry: Retry,
     /// Expiry of a permit for another attempt that was obtained while the current one is still open.
-    pub(crate) ahead: Option<Time>,
+    pub(crate) early_permit: Option<Time>,
     /// Whether a request for a permit to the leader has not been answered yet.
-    pub(crate) asks_repeat: bool,
+    pub(crate) awaits_permit: bool,
     /// How its last attempt ended.
-    pub(crate) ended: Option<End>,
+    pub(crate) last_end: Option<End>,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) enum Stage {
     /// It waits for credit of its workspace's limit.
-    Charging(quota::Asking),
+    Charging(quota::Pending),
     /// It waits for this number of entry VMs to answer which build began the stream that it resumes.
     Tracing { left: usize },
     /// It waits for an engine.
     Waiting,
     /// It waits for a reservation in an engine's schedule.
-    Scheduling { pick: Pick, ask: Box<Ask>, owner: Name },
+    Scheduling { pick: Pick, ask: Box<ReservationRequest>, owner: Name },
     /// It was sent to an engine, or will be once the time of its reservation (`at`) comes.
     Sent { engine: Name, at: Time, begun: bool, relay: Option<Name> },
 }
@@ -123,7 +123,7 @@
 
     /// How long it may wait for a reservation at a rate-limited engine. Less urgent requests may wait for a shorter time, so that the few
     /// reservations go to the urgent ones.
-    pub(crate) fn queue(&self, settings: &Settings) -> Duration {
+    pub(crate) fn reservation_wait_max(&self, settings: &Settings) -> Duration {
         settings.schedule_wait / (1 + u32::from(self.priority()))
     }
 
@@ -134,13 +134,13 @@
     }
 
     pub(crate) fn load(&self, begun: bool) -> Load {
-        Load { open: 1, reading_us: if begun { 0 } else { self.work.as_micros() as u64 } }
+        Load { open: 1, reading_us: if begun { 0 } else { self.prefill.as_micros() as u64 } }
     }
 }
 
 /// Handles a new request of a caller.
 pub(crate) fn arrive(state: &mut State, now: Time, id: Id, arrival: Arrival, out: &mut Vec<Effect>) {
-    let (fingerprint, parts) = (arrival.fingerprint, crash::shared(&arrival));
+    let (fingerprint, parts) = (arrival.fingerprint, crash::shared_parts(&arrival));
     match admit::admit(state, now, arrival) {
         Ok(flow) => {
             state.timers.set(flow.deadline, Timer::Deadline(id));
@@ -151,8 +151,8 @@
         }
         Err(Refusal { code, retry_after }) => {
             if code == Code::CrashesBackends {
-                let of = state.crashes.bars(fingerprint, &parts, now).unwrap_or(fingerprint);
-                crash::refused(state, id, of, out);
+                let of = state.crashes.blocked_by(fingerprint, &parts, now).unwrap_or(fingerprint);
+                crash::log_refusal(state, id, of, out);
             }
             end::refuse(state, now, id, Refusal { code, retry_after }, false, out);
         }
@@ -165,7 +165,7 @@
         return;
     };
     // Every request passes here before it is sent: also retries, resumed streams, and requests that waited or lost a reservation.
-    if state.crashes.bars(flow.fingerprint, &flow.parts, now).is_some() {
+    if state.crashes.blocked_by(flow.fingerprint, &flow.parts, now).is_some() {
         give_up(state, now, id, Code::CrashesBackends, None, out);
         return;
     }
@@ -173,49 +173,49 @@
         give_up(state, now, id, code, retry_after, out);
         return;
     }
-    if state.freshness.in_doubt() {
+    if state.freshness.awaits_refresh() {
         // Waiting requests are dispatched again anyway.
         if fresh {
             state.freshness.hold(id);
         }
         return;
     }
-    if !pin::identify(state, now, id, out) {
+    if !pin::resolve_origin(state, now, id, out) {
         return;
     }
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    let (service, prompt, avoid) = (flow.service.clone(), flow.prompt.clone(), flow.avoid.clone());
-    let (unsent, pin) = (flow.unsent.clone(), flow.pin.clone());
-    let homes = homes::of(state, flow);
+    let (service, prompt, avoid) = (flow.service.clone(), flow.prompt.clone(), flow.excluded.clone());
+    let (unsent, pin) = (flow.connect_failures.clone(), flow.pin.clone());
+    let homes = regions::of_request(state, flow);
     let query = Query {
         service: &service,
         prompt: prompt.as_ref(),
         homes: &homes,
         pin: &pin,
-        begins: pin::begins(flow),
-        avoid: &avoid,
-        unsent: &unsent,
-        left: flow.begin_by.since(now).saturating_sub(state.settings.reserve),
-        queue: flow.queue(&state.settings),
+        begins: pin::begins_resumable(flow),
+        excluded: &avoid,
+        connect_failures: &unsent,
+        left: flow.begin_by.since(now).saturating_sub(state.settings.answer_reserve),
+        reservation_wait_max: flow.reservation_wait_max(&state.settings),
         target: flow.route.target,
     };
     match choose::choose(state, now, query) {
         Choice::Engine(pick) => match budget::obtain(state, now, id, out) {
-            Obtained::Yes => engage(state, now, id, pick, fresh, out),
-            Obtained::Asked => {}
-            Obtained::No => outcome::not_repeated(state, now, id, out),
+            Obtained::Yes => reserve(state, now, id, pick, fresh, out),
+            Obtained::Pending => {}
+            Obtained::No => outcome::end_without_retry(state, now, id, out),
         },
-        Choice::Absent => {
+        Choice::NotLoaded => {
             // Models are not loaded on engines of a given build because a request is pinned to it.
-            let loads = can_load(state, now) && !pin.binds();
+            let loads = can_load(state, now) && !pin.is_restricted();
             let wait = if loads { state.settings.load_wait } else { DOUBT_WAIT };
             wait_for(state, now, id, wait, fresh, out);
         }
         Choice::BuildGone => give_up(state, now, id, Code::BuildGone, Some(Duration::ZERO), out),
-        Choice::Homeless => give_up(state, now, id, Code::NoBackend, Some(COME_BACK), out),
-        Choice::Nowhere => wait_for(state, now, id, DOUBT_WAIT, fresh, out),
+        Choice::RegionUnavailable => give_up(state, now, id, Code::NoBackend, Some(RETRY_AFTER), out),
+        Choice::Unreachable => wait_for(state, now, id, DOUBT_WAIT, fresh, out),
         Choice::Full(wait) if fresh || flow_waited(state, now, id) => {
             give_up(state, now, id, Code::DeadlineUnreachable, Some(wait), out);
         }
@@ -226,7 +226,7 @@
 
 /// Whether a missing model can be loaded: this process may send orders, or the hub can be told.
 fn can_load(state: &State, now: Time) -> bool {
-    state.lease.orders(now).is_some() || (state.hub.leads && state.hub.alive(now, &state.settings))
+    state.lease.ordering_term(now).is_some() || (state.hub.leads && state.hub.is_alive(now, &state.settings))
 }
 
 /// Whether a request has waited for overloaded engines as long as it may.
@@ -238,16 +238,16 @@
     if !fresh {
         return;
     }
-    let reserve = state.settings.reserve;
+    let reserve = state.settings.answer_reserve;
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
     let until = (now + wait).min(flow.begin_by - reserve);
     if until <= now {
-        give_up(state, now, id, Code::DeadlineUnreachable, Some(COME_BACK), out);
+        give_up(state, now, id, Code::DeadlineUnreachable, Some(RETRY_AFTER), out);
         return;
     }
-    state.timers.set(until, Timer::Wait(id));
+    state.timers.set(until, Timer::LoadWait(id));
     state.waiting.insert(id);
     if let Some(target) = flow.target() {
         out.push(Effect::Record(Record::Waits {
@@ -256,24 +256,24 @@
             adapter: target.adapter.clone(),
             at_most_ms: ms(until.since(now)),
         }));
-        state.demand.waits(&target);
-        if state.lease.orders(now).is_some() {
-            state.appetite.touch(now, state.demand.of(&target));
-            adapter::wanted(state, now, &[target], out);
+        state.demand.begin_wait(&target);
+        if state.lease.ordering_term(now).is_some() {
+            state.fleet_demand.mark_used(now, state.demand.get(&target));
+            adapter::place_targets(state, now, &[target], out);
         } else {
-            frame::tell_wait(state, now, out);
+            frame::report_waiting(state, now, out);
         }
     }
 }
 
 /// Requests a rescan of the waiting requests at the end of this event, since something that they may wait for has changed.
-pub(crate) const fn stir_later(state: &mut State) {
-    state.stirred = true;
+pub(crate) const fn request_rescan(state: &mut State) {
+    state.rescan_requested = true;
 }
 
 /// Dispatches all requests that wait for an engine again.
-pub(crate) fn stir(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    state.stirred = false;
+pub(crate) fn rescan_waiting(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    state.rescan_requested = false;
     let waiting: Vec<Id> = state.waiting.iter().copied().collect();
     for id in waiting {
         dispatch(state, now, id, false, out);
@@ -285,7 +285,7 @@
 }
 
 /// Dispatches requests that were held back while the engines' table was in doubt, unless they have ended or wait already.
-pub(crate) fn release(state: &mut State, now: Time, held: &[Id], out: &mut Vec<Effect>) {
+pub(crate) fn dispatch_held(state: &mut State, now: Time, held: &[Id], out: &mut Vec<Effect>) {
     for id in held {
         let flow = state.flows.get(id);
         if flow.is_some_and(|flow| matches!(flow.stage, Stage::Waiting)) && !state.waiting.contains(id) {
@@ -296,12 +296,12 @@
 
 /// Cancels the reservations at an engine that must get nothing more, and dispatches their requests to other engines. Requests
 /// that were sent already are not affected.
-pub(crate) fn withdraw(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn cancel_reservations(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     withdraw_from(state, now, |of| of == engine, out);
 }
 
 /// The same for all engines.
-pub(crate) fn withdraw_all(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn cancel_all_reservations(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     withdraw_from(state, now, |_any| true, out);
 }
 
@@ -312,8 +312,8 @@
     due.sort_unstable();
     for id in due {
         // The request may have to wait for a reservation at another engine. Without this step it would be sent here meanwhile.
-        out.push(Effect::Step { request: id, step: Step::Wait });
-        leave(state, id);
+        out.push(Effect::Step { request: id, step: Step::Hold });
+        detach(state, id);
         if let Some(flow) = state.flows.get_mut(&id) {
             flow.used -= 1;
         }
--- a/fleet/src/flow/end.rs
+++ b/fleet/src/flow/end.rs
@@ -6,7 +6,7 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
-use super::{COME_BACK, Flow, Stage, can_load};
+use super::{Flow, RETRY_AFTER, Stage, can_load};
 use crate::budget;
 use crate::effect::Effect;
 use crate::proof;
@@ -27,7 +27,7 @@
     *state.refusals.entry(refusal.code).or_default() += 1;
     if refusal.code == Code::KeyUnproven {
         // The regular check runs once per frame interval: it would not log a shorter loss of the proof.
-        proof::check(state, now, out);
+        proof::log_change(state, now, out);
     }
     out.push(Effect::Record(refused_record(state, now, id, refusal, ran)));
     out.push(Effect::Step { request: id, step: Step::Refuse(refusal) });
@@ -44,7 +44,7 @@
         outcome: if ran { "unknown" } else { "not-run" },
         retry_after_ms: refusal.retry_after.map(ms),
         after_ms: flow.map_or(0, |flow| ms(now.since(flow.arrived))),
-        charge: quota::account(state, now, id),
+        charge: quota::charge_record(state, now, id),
         proof_age_ms: proof.map(ms),
     }
 }
@@ -73,12 +73,12 @@
     if !ran {
         quota::refund(state, now, id);
     }
-    leave(state, id);
-    close(state, id);
+    detach(state, id);
+    remove(state, id);
 }
 
 /// Detaches a request from its engine. Returns the engine and when the request was sent there; none if it was not.
-pub(crate) fn leave(state: &mut State, id: Id) -> Option<(Name, Time)> {
+pub(crate) fn detach(state: &mut State, id: Id) -> Option<(Name, Time)> {
     let flow = state.flows.get_mut(&id)?;
     let (engine, at, begun) = match std::mem::replace(&mut flow.stage, Stage::Waiting) {
         Stage::Waiting | Stage::Tracing { .. } | Stage::Charging(_) => return None,
@@ -87,45 +87,45 @@
     };
     let load = flow.load(begun);
     if let Some(target) = flow.target() {
-        state.demand.ended(&target);
+        state.demand.record_ended(&target);
     }
     if let Some(known) = state.engines.get_mut(&engine) {
-        known.own = known.own.minus(load);
+        known.own_load = known.own_load.minus(load);
     }
     at.map(|at| (engine, at))
 }
 
 /// Drops the state of a request.
-pub(crate) fn close(state: &mut State, id: Id) {
+pub(crate) fn remove(state: &mut State, id: Id) {
     let Some(flow) = state.flows.remove(&id) else {
         return;
     };
-    budget::put_back(state, &flow);
+    budget::return_unused(state, &flow);
     if state.waiting.remove(&id)
         && let Some(target) = flow.target()
     {
-        state.demand.waited(&target);
+        state.demand.end_wait(&target);
     }
 }
 
 /// Handles the disconnection of a request's caller.
-pub(crate) fn gone(state: &mut State, now: Time, id: Id) {
+pub(crate) fn caller_gone(state: &mut State, now: Time, id: Id) {
     let ran = |flow: &Flow| flow.may_have_run || matches!(flow.stage, Stage::Sent { .. });
     if !state.flows.get(&id).is_none_or(ran) {
         quota::refund(state, now, id);
     }
-    leave(state, id);
-    close(state, id);
+    detach(state, id);
+    remove(state, id);
 }
 
 /// Ends a request whose deadline has passed.
-pub(crate) fn deadline(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
+pub(crate) fn deadline_passed(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
     let ran = flow.may_have_run || matches!(flow.stage, Stage::Sent { .. });
     let code = if ran { Code::DeadlinePassed } else { Code::DeadlineUnreachable };
-    give_up(state, now, id, code, Some(COME_BACK), out);
+    give_up(state, now, id, code, Some(RETRY_AFTER), out);
 }
 
 /// The `retry_after` for a caller whose wait has expired. While nobody may send orders, no model is loaded. Callers have one or
@@ -134,13 +134,13 @@
 fn come_back(state: &State, now: Time, id: Id) -> Duration {
     let waits_for_model = state.flows.get(&id).is_some_and(|flow| flow.prompt.is_some());
     if waits_for_model && !can_load(state, now) {
-        return state.lease.orders_in(now).unwrap_or(state.settings.order_gap) + COME_BACK;
+        return state.lease.orders_allowed_in(now).unwrap_or(state.settings.order_gap) + RETRY_AFTER;
     }
-    COME_BACK
+    RETRY_AFTER
 }
 
 /// Ends a request that has waited for a model or an engine as long as it may.
-pub(crate) fn waited(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
+pub(crate) fn wait_expired(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     if state.waiting.contains(&id) {
         let come_back = come_back(state, now, id);
         give_up(state, now, id, Code::NoBackend, Some(come_back), out);
--- a/fleet/src/flow/place.rs
+++ b/fleet/src/flow/reservation.rs
@@ -6,19 +6,19 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
-use super::{COME_BACK, Flow, Stage, dispatch, give_up, leave};
+use super::{Flow, RETRY_AFTER, Stage, detach, dispatch, give_up};
 use crate::access;
 use crate::choose::Pick;
 use crate::effect::Effect;
 use crate::engine::Engine;
-use crate::homes;
-use crate::intake;
 use crate::path;
 use crate::proof;
 use crate::quota;
+use crate::rate_limit;
 use crate::record::{Record, ms};
+use crate::regions;
 use crate::request::{Attempt, Id, Refusal, Step};
-use crate::schedule::{self, Ask, Grant, Need};
+use crate::schedule::{self, Cost, Grant, ReservationRequest};
 use crate::settings::Mechanism;
 use crate::state::State;
 use crate::timer::Timer;
@@ -28,50 +28,55 @@
 const PLACE_KEPT: Duration = Duration::from_millis(300);
 
 /// Counts a request at the chosen engine, and sends it at once or after a reservation in the engine's schedule.
-pub(super) fn engage(state: &mut State, now: Time, id: Id, pick: Pick, fresh: bool, out: &mut Vec<Effect>) {
+pub(super) fn reserve(state: &mut State, now: Time, id: Id, pick: Pick, fresh: bool, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    let surge = intake::surge_of(state, &flow.service);
-    let bound = state.engines.get(&pick.engine).and_then(|engine| intake::bound_of(state, now, engine));
+    let surge = rate_limit::surge_limit(state, &flow.service);
+    let bound =
+        state.engines.get(&pick.engine).and_then(|engine| rate_limit::effective_limit(state, now, engine));
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
     let Some(engine) = state.engines.get_mut(&pick.engine) else {
         return;
     };
-    engine.own = engine.own.plus(flow.load(false));
+    engine.own_load = engine.own_load.plus(flow.load(false));
     if let Some(target) = flow.target() {
         if !fresh {
-            state.demand.waited(&target);
+            state.demand.end_wait(&target);
         }
-        state.demand.sent(&target);
+        state.demand.record_sent(&target);
     }
-    let limit = state.intakes.told(now, engine);
+    let limit = state.rate_limits.report(now, engine);
     let cold = engine.cold.map(|cold| cold.until.since(now)).filter(|left| !left.is_zero());
     let limited = bound.is_some();
-    let brittle = limited && state.intakes.limit_of(engine, now).is_none();
-    let spaced = flow.prompt.is_some() && state.settings.uses(Mechanism::Spacing);
+    let brittle = limited && state.rate_limits.limit_of(engine, now).is_none();
+    let spaced = flow.prompt.is_some() && state.settings.is_enabled(Mechanism::Spacing);
     if !limited && !spaced && surge.is_none() {
         send(state, now, id, &pick, Duration::ZERO, out);
         return;
     }
     // After a denied reservation, the request takes any wait that its time allows at the next engine.
     let slack = pick.slack.max(state.settings.schedule_slack);
-    let most = if limited { flow.queue(&state.settings) } else { state.settings.schedule_wait };
-    let most = if brittle { most.min(intake::WAIT_MAX) } else { most };
-    let permitted = flow.repeat.until().map_or(Duration::MAX, |until| until.since(now));
-    let left = flow.begin_by.since(now).saturating_sub(state.settings.reserve).min(most).min(permitted);
+    let most =
+        if limited { flow.reservation_wait_max(&state.settings) } else { state.settings.schedule_wait };
+    let most = if brittle { most.min(rate_limit::WAIT_MAX) } else { most };
+    let permitted = flow.retry.until().map_or(Duration::MAX, |until| until.since(now));
+    let left =
+        flow.begin_by.since(now).saturating_sub(state.settings.answer_reserve).min(most).min(permitted);
     let expected = engine.schedule.wait(now);
-    let wait_max = if flow.asked == 0 { expected.saturating_add(slack).min(left) } else { left };
-    let mut need = Need::default();
+    let wait_max =
+        if flow.reservations_denied == 0 { expected.saturating_add(slack).min(left) } else { left };
+    let mut need = Cost::default();
     if spaced {
-        need = Need::new(flow.work, state.speed.event(&flow.service), &flow.route);
+        need = Cost::new(flow.prefill, state.speed.event_time(&flow.service), &flow.route);
     }
-    if !state.settings.uses(Mechanism::Pressing) {
+    if !state.settings.is_enabled(Mechanism::DeadlinePressure) {
         need.target = Duration::ZERO;
     }
-    let ask = Ask { engine: pick.engine.clone(), need, wait_max, limit, cold };
+    let ask =
+        ReservationRequest { engine: pick.engine.clone(), cost: need, wait_max, limit, cold_left: cold };
     let zone = &engine.entry.zone;
     let owner = if limited {
         state.members.sole_owner(&pick.engine, zone).cloned()
@@ -85,36 +90,42 @@
         owner: owner.as_ref().map_or_else(|| state.me.vm.clone(), |owner| owner.vm.clone()),
     };
     if let Some(owner) = owner {
-        out.push(Effect::Ask { address: owner.address, request: id, ask });
+        out.push(Effect::Reserve { address: owner.address, request: id, ask });
         return;
     }
     let grant = schedule::grant(state, now, &ask);
-    state.intakes.count_answer(&ask, Some(grant));
+    state.rate_limits.count_answer(&ask, Some(grant));
     if grant == Grant::Elsewhere {
-        schedule::learn(state, now, &ask, grant);
+        schedule::learn_grant(state, now, &ask, grant);
     }
     scheduled(state, now, id, grant, out);
 }
 
 /// Handles the answer of a schedule's owner; `grant` is none if it did not answer.
-pub(crate) fn granted(state: &mut State, now: Time, id: Id, grant: Option<Grant>, out: &mut Vec<Effect>) {
+pub(crate) fn reservation_answered(
+    state: &mut State,
+    now: Time,
+    id: Id,
+    grant: Option<Grant>,
+    out: &mut Vec<Effect>,
+) {
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    let surge = intake::surge_of(state, &flow.service);
+    let surge = rate_limit::surge_limit(state, &flow.service);
     let Stage::Scheduling { ask, owner, .. } = flow.stage.clone() else {
         return;
     };
-    state.intakes.count_answer(&ask, grant);
+    state.rate_limits.count_answer(&ask, grant);
     if let Some(grant) = grant {
-        schedule::learn(state, now, &ask, grant);
+        schedule::learn_grant(state, now, &ask, grant);
         scheduled(state, now, id, grant, out);
         return;
     }
-    schedule::unanswered(state, now, &owner, out);
+    schedule::owner_timed_out(state, now, &owner, out);
     if is_limited(state, now, &ask.engine) {
         // Only the owner may grant reservations at a limited engine.
-        leave(state, id);
+        detach(state, id);
         dispatch(state, now, id, true, out);
         return;
     }
@@ -129,7 +140,9 @@
 
 /// Sends a request whose reservation was granted, or looks for another engine if it was denied.
 fn scheduled(state: &mut State, now: Time, id: Id, grant: Grant, out: &mut Vec<Effect>) {
-    let Some(Flow { stage: Stage::Scheduling { pick, ask, .. }, asked, .. }) = state.flows.get(&id) else {
+    let Some(Flow { stage: Stage::Scheduling { pick, ask, .. }, reservations_denied: asked, .. }) =
+        state.flows.get(&id)
+    else {
         return;
     };
     let (pick, asked) = (pick.clone(), *asked);
@@ -141,19 +154,19 @@
     }
     match grant {
         Grant::After(wait)
-            if !unaware && !state.freshness.in_doubt() && is_open(state, now, id, &pick.engine) =>
+            if !unaware && !state.freshness.awaits_refresh() && is_open(state, now, id, &pick.engine) =>
         {
             send(state, now, id, &pick, wait, out);
         }
         // The engine was removed, suspected or limited meanwhile, or that is in doubt.
         Grant::After(_) => {
-            leave(state, id);
+            detach(state, id);
             dispatch(state, now, id, true, out);
         }
         Grant::Busy(_) | Grant::Elsewhere if asked == 0 => {
-            leave(state, id);
+            detach(state, id);
             if let Some(flow) = state.flows.get_mut(&id) {
-                flow.asked += 1;
+                flow.reservations_denied += 1;
             }
             dispatch(state, now, id, true, out);
         }
@@ -161,14 +174,14 @@
             give_up(state, now, id, Code::DeadlineUnreachable, Some(wait), out);
         }
         Grant::Elsewhere => {
-            give_up(state, now, id, Code::DeadlineUnreachable, Some(COME_BACK), out);
+            give_up(state, now, id, Code::DeadlineUnreachable, Some(RETRY_AFTER), out);
         }
     }
 }
 
 /// Whether a limit applies to an engine.
 fn is_limited(state: &State, now: Time, engine: &Name) -> bool {
-    state.engines.get(engine).is_some_and(|engine| intake::bound_of(state, now, engine).is_some())
+    state.engines.get(engine).is_some_and(|engine| rate_limit::effective_limit(state, now, engine).is_some())
 }
 
 /// Whether an engine can still be sent the request that it was chosen for.
@@ -176,7 +189,7 @@
     let Some(flow) = state.flows.get(&id) else {
         return false;
     };
-    let (prompt, homes) = (flow.prompt.as_ref(), homes::of(state, flow));
+    let (prompt, homes) = (flow.prompt.as_ref(), regions::of_request(state, flow));
     let serves = |engine: &Engine| {
         prompt.is_none_or(|prompt| engine.serves(&prompt.model, prompt.adapter.as_deref(), now))
     };
@@ -184,9 +197,9 @@
     engine.is_some_and(|engine| {
         engine.takes_work()
             && path::is_reachable(state, now, engine, false)
-            && engine.health.pause(now).is_none()
+            && engine.health.pause_left(now).is_none()
             && serves(engine)
-            && homes::permit(state, &homes, engine).is_some()
+            && regions::permit(state, &homes, engine).is_some()
             && flow.pin.allows(engine.entry.build.as_ref())
     })
 }
@@ -195,11 +208,12 @@
     let hub_age = state.hub.age(now);
     let listed_age = state.freshness.age(now);
     let config = state.config.as_ref().map_or(0, |config| config.version);
-    let silence = state.settings.silence;
-    let charge = quota::account(state, now, id);
-    let send_by = proof::until(state);
-    let surge = state.flows.get(&id).and_then(|flow| intake::surge_of(state, &flow.service));
-    let bound = state.engines.get(&pick.engine).and_then(|engine| intake::bound_of(state, now, engine));
+    let silence = state.settings.engine_silence;
+    let charge = quota::charge_record(state, now, id);
+    let send_by = proof::valid_until(state);
+    let surge = state.flows.get(&id).and_then(|flow| rate_limit::surge_limit(state, &flow.service));
+    let bound =
+        state.engines.get(&pick.engine).and_then(|engine| rate_limit::effective_limit(state, now, engine));
     let relay = state.engines.get(&pick.engine).and_then(|engine| path::relay_of(state, engine)).cloned();
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
@@ -208,18 +222,18 @@
         return;
     };
     let at = now + wait;
-    engine.health.sent = Some(at);
-    let limit = state.intakes.limit_of(engine, now);
-    let named = state.intakes.named_by(engine).is_some() || state.intakes.is_brittle(engine);
+    engine.health.last_sent = Some(at);
+    let limit = state.rate_limits.limit_of(engine, now);
+    let named = state.rate_limits.reported_limit(engine).is_some() || state.rate_limits.is_brittle(engine);
     if limit.is_some() {
-        state.intakes.count();
+        state.rate_limits.count_sent();
     }
     let place_until = (bound.is_some() || surge.is_some()).then_some(at + PLACE_KEPT);
     flow.number += 1;
     flow.used += 1;
-    flow.repeat = flow.repeat.sent();
-    flow.asked = 0;
-    state.paths.sent += u64::from(relay.is_some());
+    flow.retry = flow.retry.sent();
+    flow.reservations_denied = 0;
+    state.paths.sent_by_relay += u64::from(relay.is_some());
     let relay_vm = relay.as_ref().map(|relay| relay.vm.clone());
     flow.stage = Stage::Sent { engine: pick.engine.clone(), at, begun: false, relay: relay_vm.clone() };
     out.push(Effect::Record(Record::Sent {
@@ -240,7 +254,7 @@
         pause_max_ms: flow.route.kind.streams().then_some(ms(flow.route.pause)),
         left_ms: ms(flow.deadline.since(now)),
         limit_per_s: limit.map(|limit| limit.per_s),
-        limit_age_ms: limit.map(|limit| ms(now.since(limit.heard))),
+        limit_age_ms: limit.map(|limit| ms(now.since(limit.reported_at))),
         charge,
     }));
     let attempt = Attempt {
@@ -259,9 +273,9 @@
             .filter(|_| flow.workspace.is_some())
             .into_iter()
             .chain(place_until)
-            .chain(flow.repeat.until())
+            .chain(flow.retry.until())
             .min(),
-        write_by: at + state.settings.departure.write(),
+        write_by: at + state.settings.departure_bound.send_delay_max(),
         limited: named,
         permit: pick.permit,
     };
