--- a/fleet/src/frame.rs
+++ b/fleet/src/frame.rs
@@ -17,36 +17,36 @@
 use boragecove_core::time::Time;
 use bytes::Bytes;
 
-pub(crate) use answered::{learn_early, replied};
+pub(crate) use answered::{apply_early_residency, reply_received};
 pub(crate) use follow::follow;
-pub(crate) use hold::{awaits, meets};
-pub(crate) use loads::digest_of;
-pub use message::{Absent, Declared, EngineLoad, Frame, Reading, Reply, Resident, View};
-pub(crate) use peers::{inherit, reached};
-pub(crate) use reading::{is_answered, speaks_for_zone, tell_hub};
+pub(crate) use hold::{awaits_adapter, serves_waiting};
+pub(crate) use loads::engine_id_digest;
+pub use message::{Absent, Declaration, EngineLoad, Frame, Position, Reading, Reply, Resident};
+pub(crate) use peers::{inherit_members, reachable_members};
+pub(crate) use reading::{hub_responds, pushes_to_zone, report_reading};
 use snapshot::Snapshots;
-pub use snapshot::{Reason, Told};
+pub use snapshot::{Count, Reason};
 
 use crate::adapter;
 use crate::budget;
-use crate::crash::{self, News};
-use crate::departure::{self, Road};
+use crate::crash::{self, Report};
+use crate::departure::{self, Source};
 use crate::effect::Effect;
 use crate::engine::Load;
 use crate::era;
 use crate::evacuation;
-use crate::intake;
 use crate::ledger;
 use crate::members::Member;
 use crate::path;
 use crate::proof;
 use crate::quota;
+use crate::rate_limit;
 use crate::revision::Revision;
 use crate::rollout;
 use crate::settings::Settings;
 use crate::state::State;
+use crate::suspicion;
 use crate::timer::Timer;
-use crate::trust;
 
 /// Number of frame intervals without a reply after which the hub counts as lost.
 const FRAMES_MISSED: f64 = 2.5;
@@ -72,15 +72,15 @@
     /// Number of entry VMs as counted by the hub.
     pub(crate) nodes: u32,
     /// Version of the engines' residencies known here.
-    pub(crate) view: View,
+    pub(crate) residency_version: Position,
     /// Residencies reported by the hub for engines, or starts of engines, whose rows haven't arrived yet.
     early: BTreeMap<Name, Resident>,
     /// When the hub last replied.
     answered: Option<Time>,
     /// Whether this process reads the store for other entry VMs when the hub doesn't.
-    pub(crate) reads: bool,
+    pub(crate) is_reader: bool,
     /// What the hub had when it last replied: its configuration version, and the revision of its engine table.
-    pub(crate) known_there: (u64, Revision),
+    pub(crate) reported_versions: (u64, Revision),
     /// As the hub: when the store last answered an entry VM that reads it.
     read_at: Option<Time>,
     /// Whether the last frame got no reply.
@@ -129,13 +129,13 @@
 impl Hub {
     /// The state of a process that has no data yet and reads the store itself.
     pub(crate) fn new() -> Self {
-        Self { reads: true, ..Self::default() }
+        Self { is_reader: true, ..Self::default() }
     }
 
     /// Whether the hub has replied recently.
     #[must_use]
-    pub fn alive(&self, now: Time, settings: &Settings) -> bool {
-        let silence = settings.hub_silence.max(self.pace(settings).mul_f64(FRAMES_MISSED));
+    pub fn is_alive(&self, now: Time, settings: &Settings) -> bool {
+        let silence = settings.hub_silence.max(self.frame_interval(settings).mul_f64(FRAMES_MISSED));
         self.answered.is_some_and(|at| now.since(at) < silence)
     }
 
@@ -143,20 +143,20 @@
     /// a hub counts as lost only long after it was. Its data is in doubt earlier: as soon as a frame got no reply and
     /// the data is older than `hub_silence`. The store is then read in addition, which neither puts more load on a
     /// hub that may only be busy nor replaces it.
-    fn speaks_for_store(&self, now: Time, settings: &Settings) -> bool {
+    fn is_current(&self, now: Time, settings: &Settings) -> bool {
         let doubted = self.unanswered && self.age(now) >= settings.hub_silence;
-        self.fresh && !doubted && self.alive(now, settings)
+        self.fresh && !doubted && self.is_alive(now, settings)
     }
 
     /// Factor by which this entry VM's intervals are longer in a large fleet; 1 in a small one.
-    fn many(&self, settings: &Settings) -> f64 {
+    fn size_factor(&self, settings: &Settings) -> f64 {
         (f64::from(self.nodes) / f64::from(settings.frame_nodes)).max(1.0)
     }
 
     /// Time between frames of this process.
-    fn pace(&self, settings: &Settings) -> Duration {
-        let every = settings.frame_every.mul_f64(self.many(settings));
-        if self.reads { every.min(READER_EVERY.max(settings.frame_every)) } else { every }
+    fn frame_interval(&self, settings: &Settings) -> Duration {
+        let every = settings.frame_every.mul_f64(self.size_factor(settings));
+        if self.is_reader { every.min(READER_EVERY.max(settings.frame_every)) } else { every }
     }
 
     /// Time since the hub last replied.
@@ -166,17 +166,17 @@
     }
 
     /// As the hub: number and size of full snapshots sent, by reason.
-    pub(crate) const fn told_whole(&self) -> &BTreeMap<Reason, Told> {
+    pub(crate) const fn full_snapshots(&self) -> &BTreeMap<Reason, Count> {
         &self.snapshots.told
     }
 
     /// Number of entry VMs known to this one as the hub, itself included.
-    pub(crate) fn known(&self) -> u32 {
+    pub(crate) fn entry_vm_count(&self) -> u32 {
         (self.peers.len() + self.inherited.len()) as u32 + 1
     }
 
     /// A frame number that this process hasn't used yet.
-    pub(crate) const fn next_number(&mut self) -> u64 {
+    pub(crate) const fn next_frame_number(&mut self) -> u64 {
         self.number += 1;
         self.number
     }
@@ -188,57 +188,57 @@
 }
 
 /// Sends the next frame.
-pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let wait = pace(state);
+pub(crate) fn frame_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    let wait = own_frame_interval(state);
     state.timers.set(now + wait.mul_f64(0.9 + 0.2 * state.rng.f64()), Timer::Frame);
     peers::expire(state, now);
-    path::judge(state, now, out);
+    path::update_cut_off(state, now, out);
     if state.needs_keys() {
-        proof::check(state, now, out);
+        proof::log_change(state, now, out);
     }
     send(state, now, out);
     follow(state, now, out);
 }
 
 /// Whether this process has the data that it needs to serve requests.
-pub(crate) fn knows(state: &State) -> bool {
-    state.listed.is_known() && state.config.is_some()
+pub(crate) fn can_serve(state: &State) -> bool {
+    state.engines_revision.is_known() && state.config.is_some()
 }
 
 /// Factor by which this entry VM's intervals are longer in a large fleet; 1 in a small one.
-pub(crate) fn many(state: &State) -> f64 {
-    state.hub.many(&state.settings)
+pub(crate) fn size_factor(state: &State) -> f64 {
+    state.hub.size_factor(&state.settings)
 }
 
 /// Time between frames of this process.
-pub(crate) fn pace(state: &State) -> Duration {
-    state.hub.pace(&state.settings)
+pub(crate) fn own_frame_interval(state: &State) -> Duration {
+    state.hub.frame_interval(&state.settings)
 }
 
 /// Time between frames. It grows with the number of entry VMs, since the hub replies to all of them.
-pub(crate) fn every(state: &State) -> Duration {
-    state.settings.frame_every.mul_f64(many(state))
+pub(crate) fn frame_interval(state: &State) -> Duration {
+    state.settings.frame_every.mul_f64(size_factor(state))
 }
 
 /// Mean time for which requests sent by other entry VMs are unknown here: the time since the hub's last reply, plus
 /// half of the interval between frames.
-pub(crate) fn lateness(state: &State, now: Time) -> Duration {
-    let told = if state.lease.holds(now).is_some() { Duration::ZERO } else { state.hub.age(now) };
-    told.saturating_add(every(state) / 2).min(LATENESS_MAX)
+pub(crate) fn load_staleness(state: &State, now: Time) -> Duration {
+    let told = if state.lease.held_term(now).is_some() { Duration::ZERO } else { state.hub.age(now) };
+    told.saturating_add(frame_interval(state) / 2).min(LATENESS_MAX)
 }
 
 /// Sends a frame now, unless one is waiting for its reply.
 pub(crate) fn send(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    if state.lease.holds(now).is_some() {
+    if state.lease.held_term(now).is_some() {
         state.hub.leads = true;
         state.hub.answered = Some(now);
-        state.hub.nodes = state.hub.known();
-        let term = state.view().term;
+        state.hub.nodes = state.hub.entry_vm_count();
+        let term = state.residency_version().term;
         let list = peers::counted(state);
-        state.members.lead(now, term, &state.me.vm, list);
-        state.hub.reads = state.members.is_reader(&state.me.vm);
-        quota::renew_own(state, now);
-        budget::tell_own(state, now);
+        state.members.update_as_hub(now, term, &state.me.vm, list);
+        state.hub.is_reader = state.members.is_reader(&state.me.vm);
+        quota::allot_own(state, now);
+        budget::count_own(state, now);
         return;
     }
     let Some(row) = state.lease.hub() else {
@@ -248,8 +248,8 @@
         return;
     }
     let address = row.address;
-    let (limits, limits_until) = state.intakes.untold(now);
-    let (departures, departures_until) = state.departures.untold();
+    let (limits, limits_until) = state.rate_limits.unreported(now);
+    let (departures, departures_until) = state.departures.unreported();
     let frame = Box::new(Frame { departures, limits, ..compose(state, now) });
     state.hub.asking = Some(Asking {
         number: frame.number,
@@ -263,7 +263,7 @@
 }
 
 /// Informs the hub that a request has started to wait: now, or as soon as the hub has replied to the frame under way.
-pub(crate) fn tell_wait(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn report_waiting(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     match &mut state.hub.asking {
         Some(asking) => asking.unsaid = true,
         None => send(state, now, out),
@@ -271,7 +271,7 @@
 }
 
 /// Stops waiting for the reply to the frame under way, since its receiver is no longer the hub.
-pub(crate) fn forget_asking(state: &mut State) {
+pub(crate) fn abandon_frame(state: &mut State) {
     let asked = state.hub.asking.take();
     tell_again(state, asked);
 }
@@ -284,41 +284,41 @@
 }
 
 fn compose(state: &mut State, now: Time) -> Frame {
-    let loads = state.engines.iter().filter(|(_, engine)| engine.own != Load::default());
-    let loads = loads.map(|(id, engine)| EngineLoad { engine: id.clone(), load: engine.own }).collect();
+    let loads = state.engines.iter().filter(|(_, engine)| engine.own_load != Load::default());
+    let loads = loads.map(|(id, engine)| EngineLoad { engine: id.clone(), load: engine.own_load }).collect();
     Frame {
-        number: state.hub.next_number(),
+        number: state.hub.next_frame_number(),
         vm: state.me.vm.clone(),
         zone: state.me.zone.clone(),
         address: Some(state.me.address),
         weak: state.settings.weak,
         stopping: state.stopping,
-        members: state.members.version(),
-        config: version(state),
+        members_version: state.members.version(),
+        config: config_version(state),
         era: state.era.number(),
-        listed: state.listed,
-        view: state.hub.view,
-        engines: state.engine_ids,
+        engines_revision: state.engines_revision,
+        residency_version: state.hub.residency_version,
+        engines_digest: state.engines_digest,
         loads,
         demand: state.demand.take(),
         absent: std::mem::take(&mut state.hub.absent),
         suspects: suspects(state, now),
-        evacuations_known: state.evacuations.digest(),
-        evacuations: state.evacuations.words_for_hub(),
+        evacuations_digest: state.evacuations.digest(),
+        evacuations: state.evacuations.unreported(),
         departures: Vec::new(),
-        departures_known: state.departures.known_there(),
+        departures_version: state.departures.hub_position(),
         limits: Vec::new(),
-        limits_known: state.intakes.known(),
-        reading: reading::gather(state, now),
-        digest: state.crashes.digest(now),
-        crashing: state.crashes.entries_for_hub(now),
+        limits_version: state.rate_limits.hub_position(),
+        store_reading: reading::gather(state, now),
+        crash_digest: state.crashes.digest(now),
+        crash_entries: state.crashes.verdicts_for_hub(now),
         quota: state.quota.report(now),
-        asked: budget::tell(state, now),
+        request_counts: budget::take_unreported(state, now),
     }
 }
 
 /// Version of the configuration in force; 0 for none.
-pub(crate) fn version(state: &State) -> u64 {
+pub(crate) fn config_version(state: &State) -> u64 {
     state.config.as_ref().map_or(0, |config| config.version)
 }
 
@@ -326,95 +326,101 @@
 fn suspects(state: &State, now: Time) -> Vec<Name> {
     // An engine that other entry VMs reach gives them no reason to probe it.
     let suspected =
-        state.engines.values().filter(|engine| engine.health.suspected(now) && !engine.path.is_relayed());
+        state.engines.values().filter(|engine| engine.health.is_suspected(now) && !engine.path.is_relayed());
     suspected.map(|engine| engine.entry.id.clone()).collect()
 }
 
 /// Processes the frame of another entry VM.
-pub(crate) fn heard(state: &mut State, now: Time, frame: Frame, out: &mut Vec<Effect>) {
-    era::heard(state, now, frame.era, out);
+pub(crate) fn frame_received(state: &mut State, now: Time, frame: Frame, out: &mut Vec<Effect>) {
+    era::observe(state, now, frame.era, out);
     for refused in &frame.absent {
-        ledger::doubt(state, now, refused);
+        ledger::recheck_after_refusal(state, now, refused);
     }
     for demand in &frame.demand {
-        state.appetite.arrived(demand);
+        state.fleet_demand.add_arrivals(demand);
     }
     for id in &frame.suspects {
-        trust::look(state, now, id, out);
+        suspicion::check_if_used(state, now, id, out);
     }
     reading::heard(state, now, &frame, out);
-    evacuation::told(state, now, &frame.evacuations, out);
-    departure::told(state, now, &frame.departures, Road::Frame, out);
-    departure::tell(state, now, out);
-    intake::told_by_frame(state, now, &frame.limits, out);
-    crash::told(state, now, News::of(frame.crashing.clone()), out);
-    rollout::heard(state, now, &frame, out);
-    budget::told(state, now, &frame.asked);
-    state.appetite.touch(now, &frame.demand);
+    evacuation::receive(state, now, &frame.evacuations, out);
+    departure::receive(state, now, &frame.departures, Source::Frame, out);
+    departure::notify(state, now, out);
+    rate_limit::frame_reports_received(state, now, &frame.limits, out);
+    crash::report_received(state, now, Report::of(frame.crash_entries.clone()), out);
+    rollout::record_version(state, now, &frame, out);
+    budget::request_counts_received(state, now, &frame.request_counts);
+    state.fleet_demand.mark_used(now, &frame.demand);
     // Looks at this frame only. Looking at everything that other entry VMs wait for would make the time per frame
     // grow with the square of their number.
-    let wanted = adapter::waited_for(&frame.demand);
+    let wanted = adapter::waiting_targets(&frame.demand);
     peers::replace(state, now, frame);
-    adapter::wanted(state, now, &wanted, out);
+    adapter::place_targets(state, now, &wanted, out);
 }
 
 /// The hub's reply to the last frame of an entry VM.
 pub(crate) fn reply(state: &mut State, now: Time, asker: &Frame) -> Reply {
-    let config = rollout::inline(state, asker);
+    let config = rollout::inline_update(state, asker);
     let quota = quota::allot(state, now, &asker.vm, asker.number, &asker.quota);
-    let loads::Told { named, placed } = loads::tell(state, &asker.loads, asker.engines);
-    let whole = state.needs_all_rows(asker.listed);
-    let packed = if whole { snapshot::rows(state, now, asker.listed) } else { None };
+    let loads::Told { named, placed } = loads::tell(state, &asker.loads, asker.engines_digest);
+    let whole = state.needs_full_table(asker.engines_revision);
+    let packed = if whole { snapshot::rows(state, now, asker.engines_revision) } else { None };
     let (rows, listed, rows_packed) = match packed {
         // Departed engines are reported as of now, because the asker's next frame may be seconds away.
-        Some((listed, packed)) => (state.departed_after(now, listed), listed, packed),
-        None => (state.rows_for(now, asker.listed), state.listed, Bytes::new()),
+        Some((listed, packed)) => (state.departed_rows_after(now, listed), listed, packed),
+        None => (state.missing_rows(now, asker.engines_revision), state.engines_revision, Bytes::new()),
     };
-    let holds = state.lease.holds(now).is_some();
-    let view = state.view();
-    let since = if asker.view.term == view.term { asker.view.version } else { 0 };
-    let packed = if holds && since == 0 { snapshot::residencies(state, now, asker.view) } else { None };
+    let holds = state.lease.held_term(now).is_some();
+    let view = state.residency_version();
+    let since = if asker.residency_version.term == view.term { asker.residency_version.version } else { 0 };
+    let packed =
+        if holds && since == 0 { snapshot::residencies(state, now, asker.residency_version) } else { None };
     let (residencies, told_view, residencies_packed) = match packed {
         Some((view, packed)) => (Vec::new(), view, packed),
         None if holds => (state.ledger.changed_after(since), view, Bytes::new()),
         None => (Vec::new(), view, Bytes::new()),
     };
-    let (limits, limits_version) = state.intakes.changed_since(now, view.term, asker.limits_known);
-    let (departures, departures_version) = state.departures.changed_since(view.term, asker.departures_known);
-    let outdated = asker.members != state.members.version();
+    let (limits, limits_version) = state.rate_limits.changed_since(now, view.term, asker.limits_version);
+    let (departures, departures_version) =
+        state.departures.changed_since(view.term, asker.departures_version);
+    let outdated = asker.members_version != state.members.version();
     Reply {
         number: asker.number,
         leads: holds,
         era: state.era.number(),
-        store_age: now.since(state.store_heard),
-        read_age: reading::age(state, now),
+        store_age: now.since(state.store_answered_at),
+        reader_age: reading::age(state, now),
         // A process that is no hub, or has just become one, may have an empty list.
         members: (holds && outdated && !state.members.list().is_empty())
             .then(|| state.members.list().to_vec()),
         membership: holds.then(|| state.members.membership(now, &asker.vm, outdated)),
-        nodes: state.hub.known(),
-        loads: named,
-        engines: asker.engines,
-        placed,
-        view: told_view,
+        nodes: state.hub.entry_vm_count(),
+        loads_by_name: named,
+        engines_digest: asker.engines_digest,
+        loads_by_position: placed,
+        residency_version: told_view,
         residencies,
         residencies_packed,
         config,
-        declared: Declared { config: version(state), store: state.declared, age: state.proof.age(now) },
+        declaration: Declaration {
+            config: config_version(state),
+            store: state.config_revision,
+            age: state.proof.age(now),
+        },
         rows,
         rows_packed,
-        listed_age: state.freshness.age(now),
-        listed,
+        engines_age: state.freshness.age(now),
+        engines_revision: listed,
         whole,
         suspects: suspects(state, now),
-        evacuations_known: state.evacuations.digest(),
-        evacuations: state.evacuations.words_beyond(asker.evacuations_known),
+        evacuations_digest: state.evacuations.digest(),
+        evacuations: state.evacuations.all_unless(asker.evacuations_digest),
         departures,
         departures_version,
         limits,
         limits_version,
-        digest: state.crashes.digest(now),
-        crashing: state.crashes.entries_beyond(asker.digest, now),
+        crash_digest: state.crashes.digest(now),
+        crash_entries: state.crashes.verdicts_unless_equal(asker.crash_digest, now),
         quota,
         builds: holds.then(|| state.history.report(now)).flatten(),
     }
--- a/fleet/src/frame/follow.rs
+++ b/fleet/src/frame/follow.rs
@@ -4,9 +4,9 @@
 
 use boragecove_core::time::Time;
 
-use super::{knows, many, version};
+use super::{can_serve, config_version, size_factor};
 use crate::bound::Bound;
-use crate::effect::{Effect, Follow, Patience};
+use crate::effect::{Effect, Follow, Poll};
 use crate::proof;
 use crate::settings::Settings;
 use crate::state::State;
@@ -32,25 +32,25 @@
 /// all: the rate of calls to the store is limited, and it would grow with the number of entry VMs.
 pub(crate) fn follow(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let follows = pause(state, now);
-    if follows != state.follows {
-        state.follows = follows;
-        let Settings { departure, config, .. } = state.settings;
-        let config_wait = proof::patience(&state.settings, config.wait());
+    if follows != state.follow_interval {
+        state.follow_interval = follows;
+        let Settings { departure_bound: departure, config_bound: config, .. } = state.settings;
+        let config_wait = proof::poll_timeout(&state.settings, config.long_poll_timeout());
         let longest = alone_pause_max(&state.settings);
-        let leads = state.lease.holds(now).is_some();
+        let leads = state.lease.held_term(now).is_some();
         let readers = if leads { 0 } else { state.hub.nodes };
         let rare = follows.is_some_and(|pause| pause > longest);
         let drawn = if rare { state.rng.f64() } else { 0.0 };
         let how = |pause: Duration| Follow {
             delay: pause.mul_f64(drawn),
-            failed: if rare { pause } else { Duration::ZERO },
-            listed: state.listed,
-            declared: state.declared,
-            config: version(state),
-            spread: Duration::from_secs_f64(f64::from(readers) / WHOLE_READS_PER_S),
-            engines: Patience { wait: departure.wait(), overdue: departure.overdue() },
-            operator: Patience { wait: config_wait, overdue: config.overdue() },
-            retry_max: strictest(&state.settings).pause(),
+            retry_min: if rare { pause } else { Duration::ZERO },
+            engines_version: state.engines_revision,
+            operator_version: state.config_revision,
+            config: config_version(state),
+            reload_spread: Duration::from_secs_f64(f64::from(readers) / WHOLE_READS_PER_S),
+            engines: Poll { wait: departure.long_poll_timeout(), overdue: departure.response_grace() },
+            operator: Poll { wait: config_wait, overdue: config.response_grace() },
+            retry_max: strictest(&state.settings).poll_interval_max(),
             pause,
         };
         out.push(Effect::Follow(follows.map(how)));
@@ -61,35 +61,35 @@
 /// until it has to ask again.
 pub(super) fn read_lasts(settings: &Settings) -> Duration {
     let bound = strictest(settings);
-    bound.wait() + bound.overdue() + alone_pause_max(settings)
+    bound.long_poll_timeout() + bound.response_grace() + alone_pause_max(settings)
 }
 
 /// The longest pause between calls of an entry VM that doesn't rely on the hub.
 fn alone_pause_max(settings: &Settings) -> Duration {
-    strictest(settings).pause().min(ALONE_PAUSE_MAX)
+    strictest(settings).poll_interval_max().min(ALONE_PAUSE_MAX)
 }
 
 /// The shorter of the two bounds, since both tables are followed at the same intervals.
 fn strictest(settings: &Settings) -> Bound {
-    Bound(settings.departure.0.min(settings.config.0))
+    Bound(settings.departure_bound.0.min(settings.config_bound.0))
 }
 
 /// The pause between calls for the store's changes; `None` if this process makes none. Both pauses grow: with the
 /// number of engines, which change more often, and with the number of entry VMs that ask.
 fn pause(state: &State, now: Time) -> Option<Duration> {
     let settings = &state.settings;
-    if state.lease.holds(now).is_some() {
-        let engines = state.engines.len() as f64 / f64::from(settings.follow_engines);
-        return Some(settings.follow_as_hub.mul_f64(engines.max(1.0)).min(HUB_PAUSE_MAX));
+    if state.lease.held_term(now).is_some() {
+        let engines = state.engines.len() as f64 / f64::from(settings.hub_poll_engines);
+        return Some(settings.hub_poll_interval.mul_f64(engines.max(1.0)).min(HUB_PAUSE_MAX));
     }
-    let known = knows(state);
+    let known = can_serve(state);
     let told = known
-        && state.hub.speaks_for_store(now, settings)
-        && !(state.needs_keys() && proof::is_doubtful(state, now));
+        && state.hub.is_current(now, settings)
+        && !(state.needs_keys() && proof::is_expiring(state, now));
     let asking = !known && now.since(state.started) < start_wait(state);
-    let pause = settings.follow_alone.mul_f64(many(state)).min(alone_pause_max(settings));
+    let pause = settings.standalone_poll_interval.mul_f64(size_factor(state)).min(alone_pause_max(settings));
     // An entry VM that can serve leaves the reading to those that read for all.
-    let needs = !known || state.hub.reads || (state.needs_keys() && proof::is_doubtful(state, now));
+    let needs = !known || state.hub.is_reader || (state.needs_keys() && proof::is_expiring(state, now));
     let rare = Duration::from_secs_f64(f64::from(state.hub.nodes) / ALONE_CALLS_PER_S);
     (!told && !asking).then(|| if needs { pause } else { pause.max(rare) })
 }
--- a/fleet/src/frame/hold.rs
+++ b/fleet/src/frame/hold.rs
@@ -10,18 +10,18 @@
 use crate::state::State;
 
 /// Whether an adapter that callers of this frame wait for is being loaded, and no engine has it ready yet.
-pub(crate) fn awaits(state: &State, now: Time, frame: &Frame) -> bool {
-    if state.lease.orders(now).is_none() {
+pub(crate) fn awaits_adapter(state: &State, now: Time, frame: &Frame) -> bool {
+    if state.lease.ordering_term(now).is_none() {
         return false;
     }
     wanted(frame).any(|target| {
         let serves = |engine| serves(state, now, engine, target);
-        adapter::is_on_its_way(state, now, target) && !state.engines.keys().any(serves)
+        adapter::is_placed_or_loading(state, now, target) && !state.engines.keys().any(serves)
     })
 }
 
 /// Whether an engine can now serve something that callers of this frame wait for.
-pub(crate) fn meets(state: &State, now: Time, engine: &Name, frame: &Frame) -> bool {
+pub(crate) fn serves_waiting(state: &State, now: Time, engine: &Name, frame: &Frame) -> bool {
     wanted(frame).any(|target| serves(state, now, engine, target))
 }
 
--- a/fleet/src/frame/loads.rs
+++ b/fleet/src/frame/loads.rs
@@ -19,7 +19,7 @@
 const NUMBERS: usize = 3;
 
 /// Hash of one engine id. The digest of all ids is the sum of these hashes, so that it doesn't depend on their order.
-pub(crate) fn digest_of(engine: &Name) -> u64 {
+pub(crate) fn engine_id_digest(engine: &Name) -> u64 {
     xxh3_64(engine.as_bytes())
 }
 
@@ -38,7 +38,7 @@
     let beside = |engine: &Name, load: Load| load.minus(own.get(engine).copied().unwrap_or_default());
     let loads = state.engines.iter().map(|(id, engine)| (id, beside(id, engine.load())));
     let mut told = Told::default();
-    if engines != state.engine_ids {
+    if engines != state.engines_digest {
         let loads = loads.filter(|(_, load)| *load != Load::default());
         told.named = loads.map(|(engine, load)| EngineLoad { engine: engine.clone(), load }).collect();
         return told;
@@ -59,16 +59,16 @@
 /// Applies loads by position among the engines with this digest. An engine that isn't listed has no load from others.
 /// Loads known before are kept if the set of engines known here differs.
 pub(super) fn take_placed(state: &mut State, engines: u64, placed: &[u32]) {
-    if engines != state.engine_ids {
+    if engines != state.engines_digest {
         return;
     }
     let mut loads = placed.chunks_exact(NUMBERS).map(|numbers| (numbers[0], load(numbers)));
     let mut next = loads.next();
     for engine in state.engines.values_mut() {
-        engine.others = Load::default();
+        engine.others_load = Load::default();
         match &mut next {
             Some((0, load)) => {
-                engine.others = *load;
+                engine.others_load = *load;
                 next = loads.next();
             }
             Some((without, _)) => *without -= 1,
@@ -80,11 +80,11 @@
 /// Applies loads by engine name.
 pub(super) fn take_named(state: &mut State, named: Vec<EngineLoad>) {
     for engine in state.engines.values_mut() {
-        engine.others = Load::default();
+        engine.others_load = Load::default();
     }
     for EngineLoad { engine, load } in named {
         if let Some(engine) = state.engines.get_mut(&engine) {
-            engine.others = load;
+            engine.others_load = load;
         }
     }
 }
--- a/fleet/src/frame/message.rs
+++ b/fleet/src/frame/message.rs
@@ -12,12 +12,12 @@
 use crate::demand::Demand;
 use crate::engine::{Incarnation, Load, Residency, Row};
 use crate::evacuation;
-use crate::intake;
 use crate::members::Member;
 use crate::notice::Start;
 use crate::ownership::Membership;
 use crate::pin;
 use crate::quota;
+use crate::rate_limit;
 use crate::revision::Revision;
 use crate::update::Packed;
 
@@ -37,17 +37,17 @@
     /// Whether it is stopping and is not to be sent queries.
     pub stopping: bool,
     /// Version of its list of entry VMs.
-    pub members: u64,
+    pub members_version: u64,
     /// Version of its configuration; 0 for none.
     pub config: u64,
     /// The store's era known to it.
     pub era: u64,
     /// The revision of its engine table.
-    pub listed: Revision,
+    pub engines_revision: Revision,
     /// Version of its residencies.
-    pub view: View,
+    pub residency_version: Position,
     /// Digest of the ids of the engines that it knows.
-    pub engines: u64,
+    pub engines_digest: u64,
     /// Its own load on each engine.
     pub loads: Vec<EngineLoad>,
     /// What its callers requested.
@@ -57,28 +57,28 @@
     /// Engines that it could not reach, or that have gone silent.
     pub suspects: Vec<Name>,
     /// Digest of the evacuations known to it.
-    pub evacuations_known: u64,
+    pub evacuations_digest: u64,
     /// All evacuations known to it, if the hub's digest was another.
-    pub evacuations: Vec<evacuation::Word>,
+    pub evacuations: Vec<evacuation::Status>,
     /// Engine starts that have announced to it that they leave, as far as they weren't reported to the hub yet.
     pub departures: Vec<Start>,
     /// Version of the departures that it has from the hub.
-    pub departures_known: View,
+    pub departures_version: Position,
     /// Limits announced by engines that weren't reported to the hub yet.
-    pub limits: Vec<intake::Advert>,
+    pub limits: Vec<rate_limit::Report>,
     /// Version of the limits that it has from the hub.
-    pub limits_known: View,
+    pub limits_version: Position,
     /// What it has read from the store itself and the hub doesn't have.
-    pub reading: Reading,
+    pub store_reading: Reading,
     /// Digest of its confirmed facts on requests that crash engines.
-    pub digest: u64,
+    pub crash_digest: u64,
     /// All of these facts, if the hub's digest was another.
-    pub crashing: Vec<crash::Entry>,
+    pub crash_entries: Vec<crash::Verdict>,
     /// The shares of workspaces' limits that it holds.
     pub quota: quota::Report,
     /// Number of requests since the last frame, by service.
     #[serde(default)]
-    pub asked: Vec<budget::Asked>,
+    pub request_counts: Vec<budget::Count>,
 }
 
 /// Data that an entry VM has read from the store itself, for a hub that the store rejects.
@@ -96,7 +96,7 @@
 
 /// Version of the residencies that the leader distributes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct View {
+pub struct Position {
     /// Term of the lease under which it was set.
     pub term: u64,
     /// Number that grows with each change within a term.
@@ -135,7 +135,7 @@
     /// Time since the store last answered the hub.
     pub store_age: Duration,
     /// Time since the store last answered an entry VM that reads it for the hub; none if none does.
-    pub read_age: Option<Duration>,
+    pub reader_age: Option<Duration>,
     /// All entry VMs, if the asker's list differs.
     pub members: Option<Vec<Member>>,
     /// The asker's membership in that list, if the sender holds the lease.
@@ -143,15 +143,15 @@
     /// Number of entry VMs counted by the hub, itself included.
     pub nodes: u32,
     /// Loads from all other entry VMs, by engine name, if the asker's set of engines differs from the hub's.
-    pub loads: Vec<EngineLoad>,
+    pub loads_by_name: Vec<EngineLoad>,
     /// The asker's digest of engine ids.
-    pub engines: u64,
+    pub engines_digest: u64,
     /// Loads from all other entry VMs, by the position of each engine in the order of ids. Each engine with any load
     /// has three numbers: the count of engines without load since the one before, its requests, and the time to read
     /// their prompts in ms, rounded up.
-    pub placed: Vec<u32>,
+    pub loads_by_position: Vec<u32>,
     /// Version of the hub's residencies.
-    pub view: View,
+    pub residency_version: Position,
     /// Residencies that have changed since the asker's version.
     pub residencies: Vec<Resident>,
     /// The residencies of all engines, packed, as of a short time ago.
@@ -159,36 +159,36 @@
     /// Update from the asker's configuration to a newer one, if it is delivered by replies.
     pub config: Option<Packed>,
     /// The hub's configuration version, and how recent it is.
-    pub declared: Declared,
+    pub declaration: Declaration,
     /// Rows of the engine table newer than the asker's. Beside packed rows: those of engines that have left or are
     /// leaving since.
     pub rows: Vec<Row>,
     /// All rows of the engine table, packed, as of a short time ago.
     pub rows_packed: Bytes,
     /// The revision of the hub's engine table.
-    pub listed: Revision,
+    pub engines_revision: Revision,
     /// Time since the hub's engine table contained all that the store had taken; none if unknown.
-    pub listed_age: Option<Duration>,
+    pub engines_age: Option<Duration>,
     /// Whether the rows are the complete table, because the hub may not know each removal since the asker's revision.
     pub whole: bool,
     /// Engines that the hub could not reach.
     pub suspects: Vec<Name>,
     /// Digest of the evacuations known to the hub.
-    pub evacuations_known: u64,
+    pub evacuations_digest: u64,
     /// All evacuations known to the hub, if the asker's digest is another.
-    pub evacuations: Vec<evacuation::Word>,
+    pub evacuations: Vec<evacuation::Status>,
     /// Engine starts that have announced that they leave, as far as the asker doesn't have them yet.
     pub departures: Vec<Start>,
     /// Version of the hub's departures.
     pub departures_version: u64,
     /// Limits announced by engines, as far as the asker doesn't have them yet.
-    pub limits: Vec<intake::Advert>,
+    pub limits: Vec<rate_limit::Report>,
     /// Version of the hub's limits.
     pub limits_version: u64,
     /// Digest of the hub's confirmed facts on requests that crash engines.
-    pub digest: u64,
+    pub crash_digest: u64,
     /// All of these facts, if the asker's digest is another.
-    pub crashing: Vec<crash::Entry>,
+    pub crash_entries: Vec<crash::Verdict>,
     /// The shares of workspaces' limits that the asker may hold from now on; none if the sender can't allot any.
     pub quota: Option<Vec<quota::Allotment>>,
     /// The builds known to the hub to have served requests.
@@ -198,7 +198,7 @@
 
 /// A configuration version, and the revision and time up to which it is known to be the newest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Declared {
+pub struct Declaration {
     /// The configuration's version; 0 for none.
     pub config: u64,
     /// The store's revision up to which no newer one was written; 0 if unknown.
--- a/fleet/src/frame/peers.rs
+++ b/fleet/src/frame/peers.rs
@@ -4,7 +4,7 @@
 
 use boragecove_core::time::Time;
 
-use super::{EngineLoad, FRAMES_MISSED, Frame, Peer, every};
+use super::{EngineLoad, FRAMES_MISSED, Frame, Peer, frame_interval};
 use crate::engine::Load;
 use crate::members::Member;
 use crate::state::{Identity, State};
@@ -17,12 +17,12 @@
     let before = state.hub.peers.get(&frame.vm).map(|peer| peer.frame.loads.clone()).unwrap_or_default();
     for EngineLoad { engine, load } in before {
         if let Some(engine) = state.engines.get_mut(&engine) {
-            engine.others = engine.others.minus(load);
+            engine.others_load = engine.others_load.minus(load);
         }
     }
     for EngineLoad { engine, load } in &frame.loads {
         if let Some(engine) = state.engines.get_mut(engine) {
-            engine.others = engine.others.plus(*load);
+            engine.others_load = engine.others_load.plus(*load);
         }
     }
     state.hub.inherited.remove(&frame.vm);
@@ -31,13 +31,13 @@
 
 /// How long an entry VM that sends no frames still counts.
 fn silence_max(state: &State) -> Duration {
-    PEER_SILENCE.max(every(state).mul_f64(FRAMES_MISSED))
+    PEER_SILENCE.max(frame_interval(state).mul_f64(FRAMES_MISSED))
 }
 
 /// Takes over the member list of the previous hub, as this process has become the hub. The entry VMs in it count
 /// until they send frames of their own: their number determines the frame interval and the repeats allowed to each,
 /// and the owners of schedules don't change.
-pub(crate) fn inherit(state: &mut State, now: Time) {
+pub(crate) fn inherit_members(state: &mut State, now: Time) {
     let others = state.members.list().iter().filter(|member| member.vm != state.me.vm);
     state.hub.inherited = others.map(|member| (member.vm.clone(), member.clone())).collect();
     state.hub.inherited_until = now + silence_max(state);
@@ -60,19 +60,19 @@
 /// Recomputes the sums of the other entry VMs' loads.
 fn recount(state: &mut State) {
     for engine in state.engines.values_mut() {
-        engine.others = Load::default();
+        engine.others_load = Load::default();
     }
     for peer in state.hub.peers.values() {
         for EngineLoad { engine, load } in &peer.frame.loads {
             if let Some(engine) = state.engines.get_mut(engine) {
-                engine.others = engine.others.plus(*load);
+                engine.others_load = engine.others_load.plus(*load);
             }
         }
     }
 }
 
 /// The entry VMs that the hub can reach: those whose frames arrive, and those inherited from the previous hub.
-pub(crate) fn reached(state: &State) -> Vec<Member> {
+pub(crate) fn reachable_members(state: &State) -> Vec<Member> {
     let heard = state.hub.peers.values().filter_map(|peer| member(&peer.frame));
     heard.chain(state.hub.inherited.values().cloned()).collect()
 }
--- a/fleet/src/frame/reading.rs
+++ b/fleet/src/frame/reading.rs
@@ -11,26 +11,26 @@
 
 use super::follow::read_lasts;
 use super::message::{Frame, Reading};
-use super::{send, version};
-use crate::departure::{self, Road};
+use super::{config_version, send};
+use crate::departure::{self, Source};
 use crate::effect::Effect;
-use crate::entries;
 use crate::event::Listing;
 use crate::rollout;
 use crate::state::State;
+use crate::tables;
 
 /// What this process has read and the hub doesn't have, judged by the hub's last reply.
 pub(super) fn gather(state: &mut State, now: Time) -> Reading {
-    if state.follows.is_none() || state.lease.holds(now).is_some() {
+    if state.follow_interval.is_none() || state.lease.held_term(now).is_some() {
         return Reading::default();
     }
-    let (config, listed) = state.hub.known_there;
+    let (config, listed) = state.hub.reported_versions;
     let newest = state.config.clone().filter(|newest| config > 0 && newest.version > config);
     // An update that can't be packed is logged when it is pushed.
     let update = newest.and_then(|newest| state.updates.prepare(config, &newest).ok().cloned());
-    let behind = listed.is_known() && state.newest_row > listed && !state.needs_all_rows(listed);
+    let behind = listed.is_known() && state.newest_row > listed && !state.needs_full_table(listed);
     Reading {
-        store_age: state.read_at.map(|at| now.since(at)),
+        store_age: state.table_read_at.map(|at| now.since(at)),
         config: update,
         rows: if behind { state.rows_after(now, listed) } else { Vec::new() },
         rows_after: listed,
@@ -39,22 +39,23 @@
 
 /// As the hub: applies what an entry VM has read.
 pub(super) fn heard(state: &mut State, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
-    let Reading { store_age, config, rows, rows_after } = &frame.reading;
+    let Reading { store_age, config, rows, rows_after } = &frame.store_reading;
     if let Some(age) = store_age {
         state.hub.read_at = state.hub.read_at.max(Some(now - *age));
     }
     if let Some(update) = config {
-        rollout::take(state, now, update.clone(), "reader", out);
+        rollout::receive(state, now, update.clone(), "reader", out);
     }
     if rows.is_empty() {
         return;
     }
-    if state.listed >= *rows_after && frame.listed > state.listed {
-        let listing = Listing { rows: rows.clone(), version: frame.listed, whole: false, as_of: None };
-        entries::listed(state, now, listing, Road::Frame, out);
+    if state.engines_revision >= *rows_after && frame.engines_revision > state.engines_revision {
+        let listing =
+            Listing { rows: rows.clone(), version: frame.engines_revision, whole: false, as_of: None };
+        tables::apply_listing(state, now, listing, Source::Frame, out);
     } else {
-        entries::told(state, now, rows.clone(), Road::Frame, out);
-        departure::tell(state, now, out);
+        tables::receive_rows(state, now, rows.clone(), Source::Frame, out);
+        departure::notify(state, now, out);
     }
 }
 
@@ -66,24 +67,24 @@
 }
 
 /// Sends a frame at once if this process has read something that the hub may not have.
-pub(crate) fn tell_hub(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let (config, listed) = state.hub.known_there;
-    let newer = config < version(state) || listed < state.listed;
+pub(crate) fn report_reading(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    let (config, listed) = state.hub.reported_versions;
+    let newer = config < config_version(state) || listed < state.engines_revision;
     if reads_for_others(state, now) && newer {
         send(state, now, out);
     }
 }
 
 /// Whether this process pushes what it reads to its availability zone, because there is no hub or it doesn't answer.
-pub(crate) fn speaks_for_zone(state: &State, now: Time) -> bool {
-    reads_for_others(state, now) && !is_answered(state, now)
+pub(crate) fn pushes_to_zone(state: &State, now: Time) -> bool {
+    reads_for_others(state, now) && !hub_responds(state, now)
 }
 
 /// Whether the hub answers this process.
-pub(crate) fn is_answered(state: &State, now: Time) -> bool {
-    !state.hub.unanswered && state.hub.alive(now, &state.settings)
+pub(crate) fn hub_responds(state: &State, now: Time) -> bool {
+    !state.hub.unanswered && state.hub.is_alive(now, &state.settings)
 }
 
 fn reads_for_others(state: &State, now: Time) -> bool {
-    state.hub.reads && state.follows.is_some() && state.lease.holds(now).is_none()
+    state.hub.is_reader && state.follow_interval.is_some() && state.lease.held_term(now).is_none()
 }
--- a/fleet/src/frame/snapshot.rs
+++ b/fleet/src/frame/snapshot.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use serde::Serialize;
 
-use super::message::View;
+use super::message::Position;
 use crate::pack;
 use crate::revision::Revision;
 use crate::state::State;
@@ -40,9 +40,9 @@
     /// Rows, to an entry VM that may lack removals.
     RowsGap,
     /// Residencies, to an entry VM without any leader's data.
-    HeldAtStart,
+    ResidenciesAtStart,
     /// Residencies, to an entry VM with the data of another leader.
-    HeldTerm,
+    ResidenciesNewTerm,
 }
 
 impl Reason {
@@ -52,15 +52,15 @@
         match self {
             Self::RowsAtStart => "rows_at_start",
             Self::RowsGap => "rows_gap",
-            Self::HeldAtStart => "held_at_start",
-            Self::HeldTerm => "held_term",
+            Self::ResidenciesAtStart => "held_at_start",
+            Self::ResidenciesNewTerm => "held_term",
         }
     }
 }
 
 /// Number and size of the snapshots sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct Count {
     /// Replies that contained a snapshot.
     pub answers: u64,
     /// Bytes of these snapshots.
@@ -71,8 +71,8 @@
 #[derive(Debug, Default)]
 pub(crate) struct Snapshots {
     rows: Option<Snapshot<Revision>>,
-    residencies: Option<Snapshot<View>>,
-    pub(crate) told: BTreeMap<Reason, Told>,
+    residencies: Option<Snapshot<Position>>,
+    pub(crate) told: BTreeMap<Reason, Count>,
 }
 
 impl Snapshots {
@@ -110,8 +110,10 @@
 
 /// All rows of the engine table and their revision, for an entry VM that has the table up to `known`.
 pub(super) fn rows(state: &mut State, now: Time, known: Revision) -> Option<(Revision, Bytes)> {
-    let mut kept = state.hub.snapshots.rows.take().filter(|kept| kept.version.era == state.listed.era);
-    let told = Snapshot::of(&mut kept, now, state.listed, || state.rows_after(now, Revision::default()));
+    let mut kept =
+        state.hub.snapshots.rows.take().filter(|kept| kept.version.era == state.engines_revision.era);
+    let told =
+        Snapshot::of(&mut kept, now, state.engines_revision, || state.rows_after(now, Revision::default()));
     state.hub.snapshots.rows = kept;
     let reason = if known.is_known() { Reason::RowsGap } else { Reason::RowsAtStart };
     if let Some((_, bytes)) = &told {
@@ -121,12 +123,12 @@
 }
 
 /// The residencies of all engines and their version, for an entry VM with those of another term or none.
-pub(super) fn residencies(state: &mut State, now: Time, known: View) -> Option<(View, Bytes)> {
-    let view = state.view();
+pub(super) fn residencies(state: &mut State, now: Time, known: Position) -> Option<(Position, Bytes)> {
+    let view = state.residency_version();
     let mut kept = state.hub.snapshots.residencies.take().filter(|kept| kept.version.term == view.term);
     let told = Snapshot::of(&mut kept, now, view, || state.ledger.changed_after(0));
     state.hub.snapshots.residencies = kept;
-    let reason = if known.term == 0 { Reason::HeldAtStart } else { Reason::HeldTerm };
+    let reason = if known.term == 0 { Reason::ResidenciesAtStart } else { Reason::ResidenciesNewTerm };
     if let Some((_, bytes)) = &told {
         state.hub.snapshots.count(reason, bytes.len());
     }
--- a/fleet/src/freshness.rs
+++ b/fleet/src/freshness.rs
@@ -40,7 +40,7 @@
 
 /// A confirmation that the view of the engines' table is complete up to some time.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Word {
+pub(crate) struct Confirmation {
     /// When the query was sent.
     pub(crate) asked: Time,
     /// Age of the answering process's own view, which it has from others; zero for the store.
@@ -56,17 +56,17 @@
     }
 
     /// Number of stalls of the process.
-    pub(crate) const fn standstills(&self) -> u64 {
+    pub(crate) const fn stalls(&self) -> u64 {
         self.standstills
     }
 
     /// When the process last resumed after a stall. Messages that arrived during the stall may not have been read yet.
-    pub(crate) const fn awake_since(&self) -> Time {
+    pub(crate) const fn resumed_at(&self) -> Time {
         self.awake_since
     }
 
     /// Whether requests are held back until a refresh has ended.
-    pub(crate) const fn in_doubt(&self) -> bool {
+    pub(crate) const fn awaits_refresh(&self) -> bool {
         self.doubt.is_some()
     }
 
@@ -77,35 +77,35 @@
 }
 
 /// Takes over a confirmation, and ends a pending refresh if it is recent enough.
-pub(crate) fn renew(state: &mut State, now: Time, word: Word, out: &mut Vec<Effect>) {
-    let Word { asked, age, source } = word;
+pub(crate) fn renew(state: &mut State, now: Time, word: Confirmation, out: &mut Vec<Effect>) {
+    let Confirmation { asked, age, source } = word;
     let before = state.freshness.at;
     state.freshness.at = before.max(Some(asked - age));
     if state.freshness.at > before {
-        let settling = pin::settling(state);
-        state.history.confirmed(asked - age, before, settling);
+        let settling = pin::settling_time(state);
+        state.history.confirm(asked - age, before, settling);
     }
     let newer = state.freshness.doubt.is_some_and(|since| asked >= since);
-    if newer && age <= state.settings.departure.word() {
+    if newer && age <= state.settings.departure_bound.relayed_age_max() {
         go_on(state, now, source, out);
     }
 }
 
 /// Whether the process is just resuming from a stall that [`woke_late`] has not handled yet, and its view is too old to route by.
-pub(crate) fn is_waking(state: &State, now: Time) -> bool {
-    let bound = state.settings.departure;
-    state.timers.late(now) >= bound.standstill() && is_old(state, now)
+pub(crate) fn is_resuming(state: &State, now: Time) -> bool {
+    let bound = state.settings.departure_bound;
+    state.timers.late(now) >= bound.stall_threshold() && is_old(state, now)
 }
 
 /// Whether the view of the engines' table is older than it gets in normal operation.
 fn is_old(state: &State, now: Time) -> bool {
-    state.freshness.age(now).is_some_and(|age| age > state.settings.departure.word())
+    state.freshness.age(now).is_some_and(|age| age > state.settings.departure_bound.relayed_age_max())
 }
 
 /// Handles a wake-up of the process that came `late` after the time that it was scheduled for.
 pub(crate) fn woke_late(state: &mut State, now: Time, late: Duration, out: &mut Vec<Effect>) {
-    let bound = state.settings.departure;
-    if late < bound.standstill() {
+    let bound = state.settings.departure_bound;
+    if late < bound.stall_threshold() {
         return;
     }
     state.freshness.standstills += 1;
@@ -120,8 +120,8 @@
         return;
     }
     state.freshness.doubt = Some(now);
-    state.timers.set(now + bound.pause(), Timer::Doubt(now));
-    flow::withdraw_all(state, now, out);
+    state.timers.set(now + bound.poll_interval_max(), Timer::RefreshTimeout(now));
+    flow::cancel_all_reservations(state, now, out);
     if leads_itself(state) {
         ask_store(state, out);
     } else {
@@ -136,7 +136,7 @@
 }
 
 fn ask_store(state: &State, out: &mut Vec<Effect>) {
-    let (after, limit) = (state.listed, state.settings.departure.pause());
+    let (after, limit) = (state.engines_revision, state.settings.departure_bound.poll_interval_max());
     out.push(Effect::Refresh { after, limit });
 }
 
@@ -157,8 +157,8 @@
 }
 
 /// Ends a pending refresh without success: the store returned nothing newer.
-pub(crate) fn unread(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    if state.freshness.in_doubt() {
+pub(crate) fn refresh_failed(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    if state.freshness.awaits_refresh() {
         go_on(state, now, "nobody", out);
     }
 }
@@ -182,6 +182,6 @@
         listed_age_ms: state.freshness.age(now).map(ms),
         held: held.len(),
     }));
-    flow::release(state, now, &held, out);
-    flow::stir_later(state);
+    flow::dispatch_held(state, now, &held, out);
+    flow::request_rescan(state);
 }
--- a/fleet/src/book.rs
+++ b/fleet/src/holdings.rs
@@ -19,19 +19,19 @@
 
 /// Inventory of one engine.
 #[derive(Debug, Default)]
-pub(crate) struct Book {
+pub(crate) struct Holdings {
     /// Incarnation of the engine that the inventory describes.
     pub(crate) incarnation: Incarnation,
     /// Number of orders that the engine has accepted; none while it is not known.
     pub(crate) sequence: Option<u64>,
-    pub(crate) copies: Vec<Kept>,
+    pub(crate) copies: Vec<ModelCopy>,
     pub(crate) pending: Option<Pending>,
     pub(crate) queue: VecDeque<Order>,
     pub(crate) check_at: Option<Time>,
     /// Time of the earliest timer that is set for this inventory.
     pub(crate) wakes_at: Option<Time>,
-    pub(crate) reporting: bool,
-    pub(crate) changed: u64,
+    pub(crate) report_pending: bool,
+    pub(crate) changed_version: u64,
 }
 
 /// The order under way.
@@ -50,7 +50,7 @@
 /// and may carry out a load that was meant for its earlier incarnation once it has accepted the same number of
 /// orders.
 #[derive(Clone, Debug)]
-pub(crate) struct Late {
+pub(crate) struct Unanswered {
     pub(crate) order: Order,
     /// Number of orders that the engine must have accepted before this one.
     sequence: u64,
@@ -60,14 +60,14 @@
     pub(crate) until: Time,
 }
 
-impl Late {
+impl Unanswered {
     pub(crate) fn new(now: Time, order: Order, sequence: u64, incarnation: Incarnation) -> Self {
         Self { order, sequence, incarnation, until: now + LATE_MAX }
     }
 
     /// Whether the engine could carry out this load as well after `order`, and would then exceed its memory or
     /// its number of adapters.
-    pub(crate) fn overfills(&self, book: &Book, order: &Order, pool: &Pool) -> bool {
+    pub(crate) fn overfills(&self, book: &Holdings, order: &Order, pool: &Pool) -> bool {
         let follows = book.sequence.is_some_and(|sequence| sequence + 1 == self.sequence);
         if self.incarnation == book.incarnation || !follows {
             return false;
@@ -81,22 +81,22 @@
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Kept {
+pub(crate) struct ModelCopy {
     pub(crate) model: Name,
     pub(crate) phase: Phase,
     /// Time at which it became ready; the zero time if that was not observed.
     pub(crate) since: Time,
-    pub(crate) adapters: Vec<Fetched>,
+    pub(crate) adapters: Vec<AdapterCopy>,
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Fetched {
+pub(crate) struct AdapterCopy {
     pub(crate) name: Name,
     /// Time at which it counts as loaded; none once it does.
     pub(crate) ready_at: Option<Time>,
 }
 
-impl Book {
+impl Holdings {
     pub(crate) fn new(entry: &Entry, fresh: bool, now: Time) -> Self {
         let sequence = fresh.then_some(0);
         let check_at = sequence.is_none().then_some(now);
@@ -113,24 +113,27 @@
 
     /// Whether the inventory is valid. A new leader fills it from the engine's entry, which omits adapters that
     /// were loaded since; it is not valid until the engine has sent a report.
-    pub(crate) fn known(&self) -> bool {
-        self.sequence.is_some() || self.changed > 0
+    pub(crate) fn is_known(&self) -> bool {
+        self.sequence.is_some() || self.changed_version > 0
     }
 
     /// Whether another order may be decided on: none is queued or under way, and no model is being loaded or
     /// dropped.
     pub(crate) fn idle(&self) -> bool {
-        self.sequence.is_some() && self.pending.is_none() && self.queue.is_empty() && !self.moving()
+        self.sequence.is_some()
+            && self.pending.is_none()
+            && self.queue.is_empty()
+            && !self.is_switching_models()
     }
 
     /// Whether a model is being loaded or dropped.
-    pub(crate) fn moving(&self) -> bool {
+    pub(crate) fn is_switching_models(&self) -> bool {
         self.copies.iter().any(|copy| copy.phase != Phase::Ready)
     }
 
     /// Times at which loading adapters become ready and at which the engine is to be asked for a report, in no
     /// order.
-    pub(crate) fn due(&self) -> impl Iterator<Item = Time> {
+    pub(crate) fn due_times(&self) -> impl Iterator<Item = Time> {
         let ready = self.copies.iter().flat_map(|copy| &copy.adapters).filter_map(|held| held.ready_at);
         ready.chain(self.check_at)
     }
@@ -141,9 +144,9 @@
     }
 
     /// Whether an adapter is loaded, loading or to be loaded by a queued order.
-    pub(crate) fn expects(&self, model: &Name, adapter: &Name) -> bool {
+    pub(crate) fn expects_adapter(&self, model: &Name, adapter: &Name) -> bool {
         let loads = |order: &Order| matches!(order, Order::LoadAdapter { model: of, adapter: name } if of == model && name == adapter);
-        self.kept(model).is_some_and(|copy| copy.adapters.iter().any(|held| held.name == *adapter))
+        self.copy_of(model).is_some_and(|copy| copy.adapters.iter().any(|held| held.name == *adapter))
             || self.decided().any(loads)
     }
 
@@ -153,8 +156,12 @@
     }
 
     /// Models whose copies became ready less than `age` of the model ago.
-    pub(crate) fn younger(&self, now: Time, age: impl Fn(&Name) -> Duration) -> impl Iterator<Item = &Name> {
-        let young = move |copy: &&Kept| now.since(copy.since) < age(&copy.model);
+    pub(crate) fn ready_for_less_than(
+        &self,
+        now: Time,
+        age: impl Fn(&Name) -> Duration,
+    ) -> impl Iterator<Item = &Name> {
+        let young = move |copy: &&ModelCopy| now.since(copy.since) < age(&copy.model);
         self.copies.iter().filter(young).map(|copy| &copy.model)
     }
 
@@ -187,7 +194,7 @@
     }
 
     /// Whether an order to unload the adapter is queued or under way.
-    pub(crate) fn drops(&self, model: &Name, adapter: &Name) -> bool {
+    pub(crate) fn drops_adapter(&self, model: &Name, adapter: &Name) -> bool {
         self.decided().any(|order| {
             matches!(order, Order::UnloadAdapter { model: of, adapter: name } if of == model && name == adapter)
         })
@@ -195,25 +202,25 @@
 
     /// Whether `orders` more adapter orders can be queued: an engine refuses them while it loads or drops a
     /// model.
-    pub(crate) fn takes_adapters(&self, orders: usize) -> bool {
+    pub(crate) fn accepts_adapter_orders(&self, orders: usize) -> bool {
         let models = |order: &Order| matches!(order, Order::Load { .. } | Order::Unload { .. });
         self.sequence.is_some()
-            && !self.moving()
+            && !self.is_switching_models()
             && self.queue.len() + orders <= QUEUE_MAX
             && !self.queue.iter().any(models)
             && !self.pending.as_ref().is_some_and(|pending| models(&pending.order))
     }
 
-    pub(crate) fn kept(&self, model: &Name) -> Option<&Kept> {
+    pub(crate) fn copy_of(&self, model: &Name) -> Option<&ModelCopy> {
         self.copies.iter().find(|copy| copy.model == *model)
     }
 
-    pub(crate) fn kept_mut(&mut self, model: &Name) -> Option<&mut Kept> {
+    pub(crate) fn copy_of_mut(&mut self, model: &Name) -> Option<&mut ModelCopy> {
         self.copies.iter_mut().find(|copy| copy.model == *model)
     }
 
     pub(crate) fn residency(&self) -> Residency {
-        let copy = |kept: &Kept| Copy {
+        let copy = |kept: &ModelCopy| Copy {
             model: kept.model.clone(),
             phase: kept.phase,
             adapters: kept
@@ -228,9 +235,9 @@
 
     /// Replaces the copies by those that the engine has reported.
     pub(crate) fn adopt(&mut self, held: &[Held]) {
-        let fetched = |name: &Name| Fetched { name: name.clone(), ready_at: None };
-        let since = |model: &Name| self.kept(model).map_or(Time::default(), |copy| copy.since);
-        let kept = |held: &Held| Kept {
+        let fetched = |name: &Name| AdapterCopy { name: name.clone(), ready_at: None };
+        let since = |model: &Name| self.copy_of(model).map_or(Time::default(), |copy| copy.since);
+        let kept = |held: &Held| ModelCopy {
             model: held.model.clone(),
             phase: Phase::Ready,
             since: since(&held.model),
@@ -241,7 +248,7 @@
 
     /// Memory in use by all copies and adapters, in MB.
     pub(crate) fn memory_mb(&self, pool: &Pool) -> f64 {
-        let size = |copy: &Kept| {
+        let size = |copy: &ModelCopy| {
             let model = pool.model(&copy.model);
             // A model that the configuration no longer lists still takes memory; the whole memory of the engine
             // is assumed.
@@ -257,24 +264,24 @@
         let free = pool.memory_mb - self.memory_mb(pool);
         match order {
             Order::Load { model } => {
-                !self.moving()
-                    && self.kept(model).is_none()
+                !self.is_switching_models()
+                    && self.copy_of(model).is_none()
                     && pool.model(model).is_some_and(|model| model.memory_mb <= free)
             }
-            Order::Unload { model } => !self.moving() && self.kept(model).is_some(),
+            Order::Unload { model } => !self.is_switching_models() && self.copy_of(model).is_some(),
             Order::LoadAdapter { model, .. } => {
-                let ready = self.kept(model).is_some_and(|copy| copy.phase == Phase::Ready);
+                let ready = self.copy_of(model).is_some_and(|copy| copy.phase == Phase::Ready);
                 let held: usize = self.copies.iter().map(|copy| copy.adapters.len()).sum();
                 ready
-                    && !self.moving()
+                    && !self.is_switching_models()
                     && held < pool.adapters_max as usize
                     && self.fetching() < FETCHES_MAX
                     && pool.model(model).is_some_and(|model| model.adapter_mb <= free)
             }
             Order::UnloadAdapter { model, adapter } => {
-                !self.moving()
+                !self.is_switching_models()
                     && self
-                        .kept(model)
+                        .copy_of(model)
                         .is_some_and(|copy| copy.adapters.iter().any(|held| held.name == *adapter))
             }
         }
@@ -282,13 +289,13 @@
 
     /// Returns the next order that can be sent now. Orders that have become pointless are removed; an order
     /// that only has to wait for the engine's current operation blocks those behind it.
-    pub(crate) fn next(&mut self, pool: &Pool, late: &[Late]) -> Option<Order> {
+    pub(crate) fn next_order(&mut self, pool: &Pool, late: &[Unanswered]) -> Option<Order> {
         while let Some(next) = self.queue.front() {
             if self.permits(next, pool) && !late.iter().any(|late| late.overfills(self, next, pool)) {
                 return Some(next.clone());
             }
             let fetches = matches!(next, Order::LoadAdapter { .. }) && self.fetching() >= FETCHES_MAX;
-            if self.moving() || fetches {
+            if self.is_switching_models() || fetches {
                 return None;
             }
             self.queue.pop_front();
@@ -303,21 +310,27 @@
     }
 
     /// Adds an adapter that the engine already holds, regardless of which order loaded it.
-    pub(crate) fn holds(&mut self, model: &Name, adapter: &Name) {
-        if let Some(copy) = self.kept_mut(model)
+    pub(crate) fn add_adapter(&mut self, model: &Name, adapter: &Name) {
+        if let Some(copy) = self.copy_of_mut(model)
             && !copy.adapters.iter().any(|held| held.name == *adapter)
         {
-            copy.adapters.push(Fetched { name: adapter.clone(), ready_at: None });
+            copy.adapters.push(AdapterCopy { name: adapter.clone(), ready_at: None });
         }
     }
 
     /// Applies an order that the engine has accepted. `expected` and `adapter_ready` are the expected load
     /// times of a model and of an adapter.
-    pub(crate) fn accepted(&mut self, now: Time, order: &Order, expected: Duration, adapter_ready: Duration) {
+    pub(crate) fn apply_accepted(
+        &mut self,
+        now: Time,
+        order: &Order,
+        expected: Duration,
+        adapter_ready: Duration,
+    ) {
         self.sequence = self.sequence.map(|sequence| sequence + 1);
         match order {
             Order::Load { model } => {
-                self.copies.push(Kept {
+                self.copies.push(ModelCopy {
                     model: model.clone(),
                     phase: Phase::Loading,
                     since: Time::default(),
@@ -326,19 +339,19 @@
                 self.check_at = Some(now + expected + REPORT_LAG);
             }
             Order::Unload { model } => {
-                if let Some(copy) = self.kept_mut(model) {
+                if let Some(copy) = self.copy_of_mut(model) {
                     copy.phase = Phase::Closing;
                 }
                 self.check_at = Some(now + REPORT_LAG);
             }
             Order::LoadAdapter { model, adapter } => {
                 let ready_at = Some(now + adapter_ready);
-                if let Some(copy) = self.kept_mut(model) {
-                    copy.adapters.push(Fetched { name: adapter.clone(), ready_at });
+                if let Some(copy) = self.copy_of_mut(model) {
+                    copy.adapters.push(AdapterCopy { name: adapter.clone(), ready_at });
                 }
             }
             Order::UnloadAdapter { model, adapter } => {
-                if let Some(copy) = self.kept_mut(model) {
+                if let Some(copy) = self.copy_of_mut(model) {
                     copy.adapters.retain(|held| held.name != *adapter);
                 }
             }
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -34,7 +34,7 @@
 use crate::timer::Timer;
 pub use holding::Lease;
 use holding::{Held, Sample};
-pub use row::{Answer, Call, Former, Outcome, Row, Seen, era_of, first_term};
+pub use row::{Answer, Call, Outcome, Predecessor, Row, Versioned, era_of, first_term};
 
 /// Minimum difference between the start times of two processes, in ms, for the later one to count as restarted
 /// since: all entry VMs of a deployment may start within a second.
@@ -54,8 +54,8 @@
     let wait = if state.lease.held.is_some() {
         state.settings.lease_renew
     } else {
-        let paces = frame::pace(state).div_duration_f64(state.settings.frame_every);
-        state.settings.lease_look.mul_f64(paces)
+        let paces = frame::own_frame_interval(state).div_duration_f64(state.settings.frame_every);
+        state.settings.lease_check.mul_f64(paces)
     };
     let jitter = wait.mul_f64(0.2 * state.rng.f64());
     schedule(state, now + wait - jitter);
@@ -72,7 +72,7 @@
         call(state, now, Call::Write { expected: held.version, row }, out);
         return;
     }
-    let led = state.lease.held.is_none() && state.hub.alive(now, &state.settings) && state.hub.leads;
+    let led = state.lease.held.is_none() && state.hub.is_alive(now, &state.settings) && state.hub.leads;
     if !state.stopping && !led {
         call(state, now, Call::Read, out);
     }
@@ -80,7 +80,7 @@
 
 /// Called when the store was restored from an older copy: it has no row of this era yet, and no earlier write
 /// of this process counts. The holder of the lease takes the new era's row at once.
-pub(crate) fn era_risen(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn era_advanced(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.lease.era = state.era.number();
     state.lease.tried = None;
     state.lease.clock = None;
@@ -99,9 +99,9 @@
 
 /// Reads the lease if this process has no configuration or no list of entries yet, to send its first frame to
 /// the holder.
-pub(crate) fn look(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn find_hub(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let held = state.lease.held.is_some() || state.lease.pending.is_some();
-    if !held && !state.stopping && !frame::knows(state) {
+    if !held && !state.stopping && !frame::can_serve(state) {
         call(state, now, Call::Read, out);
     }
 }
@@ -126,22 +126,22 @@
 
 /// Prepares the state that the row is about to record.
 fn propose(state: &mut State, now: Time) {
-    quota::propose(state, now);
-    budget::propose(state);
+    quota::fill_row(state, now);
+    budget::fill_row(state);
 }
 
-fn own_row(state: &State, now: Time, term: u64, former: Option<Former>, released: bool) -> Row {
+fn own_row(state: &State, now: Time, term: u64, former: Option<Predecessor>, released: bool) -> Row {
     // A process that releases the lease sends no more orders.
     let over = if released { now } else { now + state.settings.lease_length };
     let until_ms = state.lease.clock.map_or(u64::MAX, |clock| clock.at_most(over));
     let started_ms = started_ms(state);
     let (holder, address) = (state.me.vm.clone(), state.me.address);
-    let kept = state.lease.clock.map(|clock| state.crashes.kept(now, clock.at_most(now)));
+    let kept = state.lease.clock.map(|clock| state.crashes.stored_quarantines(now, clock.at_most(now)));
     let quarantine = kept.unwrap_or_default();
     let clock = state.lease.clock;
     let ms_of = |time| clock.map_or(u64::MAX, |clock| clock.at_most(time));
     let outstanding = Box::new(quota::outstanding(state, now, ms_of));
-    let repeats = budget::spent(state, now);
+    let repeats = budget::row_counts(state, now);
     let builds = state.history.report(now).map(Box::new);
     let settled = state.era.is_settled(now, &state.settings);
     let engines = state.engines.len() as u32;
@@ -181,7 +181,7 @@
         return;
     }
     if let Some(store_ms) = answer.store_ms {
-        state.store_heard = now;
+        state.store_answered_at = now;
         state.lease.clock = Some(Sample { store_ms, asked: sent, answered: now });
     }
     match (answer.outcome, asked) {
@@ -190,7 +190,7 @@
         }
         (Outcome::Written(version), Call::Write { row, .. }) => {
             let version = Revision::new(state.lease.era, version);
-            written(state, now, sent, Seen { version, row }, answer.store_ms.unwrap_or_default(), out);
+            written(state, now, sent, Versioned { version, row }, answer.store_ms.unwrap_or_default(), out);
         }
         // If the answer to a write was lost, the next read shows whether the write was done.
         (Outcome::Unknown, Call::Write { .. }) => call(state, now, Call::Read, out),
@@ -205,20 +205,20 @@
     let Some(era) = answer.era else {
         return unknown;
     };
-    era::heard(state, now, era, out);
+    era::observe(state, now, era, out);
     let written_before = matches!(asked, Call::Write { expected, .. } if expected.era != state.lease.era);
-    if era::is_past(state, era) || written_before { unknown } else { answer }
+    if era::is_outdated(state, era) || written_before { unknown } else { answer }
 }
 
-fn read(state: &mut State, now: Time, seen: Option<Seen>, store_ms: u64, out: &mut Vec<Effect>) {
+fn read(state: &mut State, now: Time, seen: Option<Versioned>, store_ms: u64, out: &mut Vec<Effect>) {
     let seen = match seen {
         Some(seen) if seen.version.era == state.lease.era => seen,
         past => return vacant(state, now, past.as_ref(), store_ms, out),
     };
     if seen.row.settled {
-        state.era.settle(now);
+        state.era.mark_old(now);
     }
-    crash::recall(state, now, &seen.row.quarantine, store_ms, out);
+    crash::restore_quarantine(state, now, &seen.row.quarantine, store_ms, out);
     inherit_builds(state, now, &seen.row, store_ms);
     let mine = seen.row.holder == state.me.vm;
     if let Some((sent, row)) = state.lease.tried.clone()
@@ -232,7 +232,7 @@
     if let Some(held) = &mut state.lease.held {
         if mine && seen.row.term == held.term {
             held.version = seen.version;
-            quota::named(state, &seen.row.outstanding.holders);
+            quota::row_holders_read(state, &seen.row.outstanding.holders);
         } else {
             lost(state, out);
         }
@@ -244,7 +244,7 @@
     if state.stopping {
         return;
     }
-    if !mine && !frame::knows(state) {
+    if !mine && !frame::can_serve(state) {
         frame::send(state, now, out);
     }
     let over = store_ms > seen.row.until_ms.saturating_add(ms(state.settings.lease_margin));
@@ -267,15 +267,15 @@
     };
     let length = if row.released { 0 } else { ms(state.settings.lease_length) };
     let age = Duration::from_millis(store_ms.saturating_sub(row.until_ms.saturating_sub(length)));
-    let settling = pin::settling(state);
+    let settling = pin::settling_time(state);
     state.history.inherit(now, report, age, settling);
 }
 
 /// Handles a missing row of the current era. The copy that the store was restored from may have a row of an
 /// earlier era.
-fn vacant(state: &mut State, now: Time, past: Option<&Seen>, store_ms: u64, out: &mut Vec<Effect>) {
+fn vacant(state: &mut State, now: Time, past: Option<&Versioned>, store_ms: u64, out: &mut Vec<Effect>) {
     if let Some(past) = past {
-        crash::recall(state, now, &past.row.quarantine, store_ms, out);
+        crash::restore_quarantine(state, now, &past.row.quarantine, store_ms, out);
     }
     let expected = Revision::new(state.lease.era, 0);
     let term = first_term(expected.era);
@@ -293,7 +293,7 @@
     }
     if expected.era == 0 {
         budget::inherit_nothing(state);
-        state.history.is_first();
+        state.history.mark_complete();
         propose(state, now);
         let row = own_row(state, now, term, None, false);
         call(state, now, Call::Write { expected, row }, out);
@@ -307,7 +307,7 @@
         return;
     }
     let until_ms = state.lease.clock.map_or(store_ms, |clock| clock.before(over));
-    let former = Former { holder: Name::default(), until_ms };
+    let former = Predecessor { holder: Name::default(), until_ms };
     quota::inherit_unknown(state, store_ms);
     budget::inherit(state, None, false);
     propose(state, now);
@@ -346,7 +346,7 @@
 }
 
 /// Handles a write of this process that the store has done.
-fn written(state: &mut State, now: Time, sent: Time, new: Seen, store_ms: u64, out: &mut Vec<Effect>) {
+fn written(state: &mut State, now: Time, sent: Time, new: Versioned, store_ms: u64, out: &mut Vec<Effect>) {
     let term = new.row.term;
     let version = new.version;
     let former = new.row.former.clone();
@@ -364,16 +364,16 @@
     {
         held.version = version;
         held.until = until;
-        quota::named(state, &named);
-        budget::written(state);
+        quota::row_holders_read(state, &named);
+        budget::row_written(state);
         return;
     }
     if let Some(held) = state.lease.held.as_mut().filter(|held| held.version.era < version.era) {
         // The same process held the lease when the store was lost, and no other has since.
         *held = Held { version, term, until, ..held.clone() };
-        quota::named(state, &named);
-        budget::written(state);
-        note(state, "kept", state.lease.orders_in(now).map_or(0, ms), out);
+        quota::row_holders_read(state, &named);
+        budget::row_written(state);
+        note(state, "kept", state.lease.orders_allowed_in(now).map_or(0, ms), out);
         return;
     }
     let orders_from = now + gap(state, former.as_ref(), store_ms);
@@ -382,17 +382,17 @@
     state.ledger.begin(term == 1);
     // With hundreds of entry VMs, reads are seconds apart, and the lease would expire before the next one.
     schedule(state, now + state.settings.lease_renew);
-    frame::inherit(state, now);
+    frame::inherit_members(state, now);
     // The previous lease had expired before this one could be taken.
     let clock = state.lease.clock;
     quota::begin(state, now, &named, sent, |ms| clock.map_or(now + LEASE, |clock| clock.no_earlier(ms)));
     budget::begin(state, now);
-    push::announce(state, out);
+    push::announce_hub(state, out);
     frame::follow(state, now, out);
 }
 
 /// Time for which this process still has to wait after another machine's last possible order.
-fn gap(state: &State, former: Option<&Former>, store_ms: u64) -> Duration {
+fn gap(state: &State, former: Option<&Predecessor>, store_ms: u64) -> Duration {
     match former {
         Some(former) if former.holder != state.me.vm => {
             let over = Duration::from_millis(store_ms.saturating_sub(former.until_ms));
@@ -404,18 +404,18 @@
 
 /// Handles the lease row that another entry VM has passed on. The new hub is to get a frame soon, but not from
 /// all entry VMs at once.
-pub(crate) fn told(state: &mut State, now: Time, hub: Row, out: &mut Vec<Effect>) {
-    era::heard(state, now, era_of(hub.term), out);
+pub(crate) fn hub_announced(state: &mut State, now: Time, hub: Row, out: &mut Vec<Effect>) {
+    era::observe(state, now, era_of(hub.term), out);
     let known = state.lease.hub().map_or(0, |row| row.term);
     if hub.term <= known || state.lease.held.is_some() {
         return;
     }
     let version = Revision::new(era_of(hub.term), 0);
-    state.lease.seen = Some(Seen { version, row: hub });
+    state.lease.seen = Some(Versioned { version, row: hub });
     note(state, "told", 0, out);
-    frame::forget_asking(state);
+    frame::abandon_frame(state);
     let wait = Duration::from_secs_f64(f64::from(state.hub.nodes) / GREETINGS_PER_S * state.rng.f64());
-    state.timers.set(now + wait, Timer::Greet);
+    state.timers.set(now + wait, Timer::FrameToNewHub);
 }
 
 fn lost(state: &mut State, out: &mut Vec<Effect>) {
--- a/fleet/src/lease/holding.rs
+++ b/fleet/src/lease/holding.rs
@@ -5,14 +5,14 @@
 use boragecove_core::time::Time;
 use boragecove_core::timer::Handle;
 
-use super::row::{Call, Former, Row, Seen};
+use super::row::{Call, Predecessor, Row, Versioned};
 use crate::record::ms;
 use crate::revision::Revision;
 
 /// State of the lease as last seen by this process.
 #[derive(Debug, Default)]
 pub struct Lease {
-    pub(super) seen: Option<Seen>,
+    pub(super) seen: Option<Versioned>,
     pub(super) held: Option<Held>,
     /// The call to the store under way, with the time at which it was sent.
     pub(super) pending: Option<(Time, Call)>,
@@ -67,19 +67,19 @@
     pub(super) until: Time,
     pub(super) orders_from: Time,
     /// The other machine that may have sent the last orders before this lease.
-    pub(super) former: Option<Former>,
+    pub(super) former: Option<Predecessor>,
 }
 
 impl Lease {
     /// The term, which fences orders, while this process holds the lease.
     #[must_use]
-    pub fn holds(&self, now: Time) -> Option<u64> {
+    pub fn held_term(&self, now: Time) -> Option<u64> {
         self.held.as_ref().filter(|held| now < held.until).map(|held| held.term)
     }
 
     /// The term, which fences orders, while this process may send orders.
     #[must_use]
-    pub fn orders(&self, now: Time) -> Option<u64> {
+    pub fn ordering_term(&self, now: Time) -> Option<u64> {
         let held = self.held.as_ref().filter(|held| now < held.until && now >= held.orders_from);
         // Until the new era's row is written, another process may have been given this term.
         held.filter(|held| held.version.era == self.era).map(|held| held.term)
@@ -87,7 +87,7 @@
 
     /// Time until this process may send orders, if it holds the lease.
     #[must_use]
-    pub fn orders_in(&self, now: Time) -> Option<Duration> {
+    pub fn orders_allowed_in(&self, now: Time) -> Option<Duration> {
         self.held.as_ref().filter(|held| now < held.until).map(|held| held.orders_from.since(now))
     }
 
--- a/fleet/src/lease/row.rs
+++ b/fleet/src/lease/row.rs
@@ -6,8 +6,8 @@
 use boragecove_core::name::Name;
 use serde::{Deserialize, Serialize};
 
-use crate::budget::Spent;
-use crate::crash::Kept;
+use crate::budget::Counts;
+use crate::crash::Quarantine;
 use crate::pin::Report;
 use crate::quota::Outstanding;
 use crate::record::ms;
@@ -37,17 +37,17 @@
     pub released: bool,
     /// The machine that may have sent the last orders before the holder; none if no machine did.
     #[serde(default)]
-    pub former: Option<Former>,
+    pub former: Option<Predecessor>,
     /// Requests that crash engines. A process that has just started learns them from here.
     #[serde(default)]
-    pub quarantine: Vec<Kept>,
+    pub quarantine: Vec<Quarantine>,
     /// Shares of workspaces' limits that may be in use; the next holder of the lease does not hand them out
     /// again.
     #[serde(default)]
     pub outstanding: Box<Outstanding>,
     /// Repeats of requests that may have been granted; none if the number is not known.
     #[serde(default)]
-    pub repeats: Option<Box<Spent>>,
+    pub repeats: Option<Box<Counts>>,
     /// Builds that have served requests; none while the holder does not know them.
     #[serde(default)]
     pub builds: Option<Box<Report>>,
@@ -55,7 +55,7 @@
 
 /// A machine that may have sent orders before the holder of the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Former {
+pub struct Predecessor {
     /// Name of the machine; empty if it may be any machine.
     pub holder: Name,
     /// Latest time at which it may have sent orders, by the store's clock, in ms.
@@ -67,7 +67,7 @@
     /// unless its lease expires before it may send its first order or that moment has not come yet; then it is
     /// the holder's predecessor. Several holders may follow each other within seconds, and the gap between the
     /// orders of two machines must not begin anew with each.
-    pub(super) fn orderer(&self, gap: Duration, store_ms: u64) -> Option<Former> {
+    pub(super) fn orderer(&self, gap: Duration, store_ms: u64) -> Option<Predecessor> {
         let began_ms = match &self.former {
             Some(former) if former.holder != self.holder => former.until_ms + ms(gap),
             Some(_) | None => 0,
@@ -75,7 +75,7 @@
         if self.until_ms.min(store_ms) < began_ms {
             return self.former.clone();
         }
-        Some(Former { holder: self.holder.clone(), until_ms: self.until_ms })
+        Some(Predecessor { holder: self.holder.clone(), until_ms: self.until_ms })
     }
 }
 
@@ -97,7 +97,7 @@
 
 /// A row with its version in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct Versioned {
     /// Era of the row, and its version in the store.
     pub version: Revision,
     /// Content of the row.
@@ -133,11 +133,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Content of the row; none if it does not exist.
-    Read(Option<Seen>),
+    Read(Option<Versioned>),
     /// The row was written; its new version.
     Written(u64),
     /// The row was not written because its version differs; its content, or none if it does not exist.
-    Conflict(Option<Seen>),
+    Conflict(Option<Versioned>),
     /// The call may or may not have been carried out.
     Unknown,
 }
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -13,13 +13,13 @@
 use boragecove_core::time::Time;
 use boragecove_core::timer::Timers;
 
-pub(crate) use orders::{drive, order, ordered};
+pub(crate) use orders::{enqueue, order_answered, send_next};
 
-use crate::book::{Book, Fetched, Late, REPORT_LAG};
 use crate::effect::Effect;
 use crate::engine::{Cached, Engine, Incarnation, Phase};
 use crate::flow;
 use crate::frame::{Absent, Resident};
+use crate::holdings::{AdapterCopy, Holdings, REPORT_LAG, Unanswered};
 use crate::order::{Order, Report};
 use crate::record::{Record, ms};
 use crate::settings::Settings;
@@ -34,9 +34,9 @@
 /// Inventories of all engines.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    books: BTreeMap<Name, Book>,
+    books: BTreeMap<Name, Holdings>,
     /// Load orders that were not answered, by engine.
-    late: BTreeMap<Name, Vec<Late>>,
+    late: BTreeMap<Name, Vec<Unanswered>>,
     /// Version number, incremented with each change of an inventory.
     version: u64,
     /// Times at which loads from the weight store were ordered within the rate window.
@@ -60,14 +60,14 @@
     }
 
     /// Remembers an order that was not answered, if it is a load.
-    fn note_late(&mut self, engine: &Name, late: Late) {
+    fn note_late(&mut self, engine: &Name, late: Unanswered) {
         if matches!(late.order, Order::Load { .. } | Order::LoadAdapter { .. }) {
             self.late.entry(engine.clone()).or_default().push(late);
         }
     }
 
     /// Load orders that an engine did not answer and may still carry out.
-    fn late_at(&mut self, now: Time, engine: &Name) -> &[Late] {
+    fn late_at(&mut self, now: Time, engine: &Name) -> &[Unanswered] {
         let Some(late) = self.late.get_mut(engine) else {
             return &[];
         };
@@ -75,18 +75,18 @@
         late
     }
 
-    pub(crate) fn book(&self, engine: &str) -> Option<&Book> {
+    pub(crate) fn inventory(&self, engine: &str) -> Option<&Holdings> {
         self.books.get(engine)
     }
 
     /// Inventories of the engines that hold a model, in any phase.
-    pub(crate) fn holding(&self, model: &Name) -> impl Iterator<Item = (&Name, &Book)> {
-        self.books.iter().filter(move |(_, book)| book.kept(model).is_some())
+    pub(crate) fn holding(&self, model: &Name) -> impl Iterator<Item = (&Name, &Holdings)> {
+        self.books.iter().filter(move |(_, book)| book.copy_of(model).is_some())
     }
 
     /// Residencies of the engines whose inventories have changed since `version`.
     pub(crate) fn changed_after(&self, version: u64) -> Vec<Resident> {
-        let changed = self.books.iter().filter(|(_, book)| book.changed > version && book.known());
+        let changed = self.books.iter().filter(|(_, book)| book.changed_version > version && book.is_known());
         changed
             .map(|(engine, book)| Resident {
                 engine: engine.clone(),
@@ -97,24 +97,24 @@
     }
 
     /// Number of loads from the weight store that may begin now.
-    pub(crate) fn cold_left(&mut self, now: Time, rate: f64, settings: &Settings) -> usize {
+    pub(crate) fn cold_loads_left(&mut self, now: Time, rate: f64, settings: &Settings) -> usize {
         while self.cold.front().is_some_and(|at| now.since(*at) > settings.load_window) {
             self.cold.pop_front();
         }
-        let allowed = rate.mul_add(settings.load_window.as_secs_f64(), settings.load_extra) as usize;
+        let allowed = rate.mul_add(settings.load_window.as_secs_f64(), settings.load_burst) as usize;
         allowed.saturating_sub(self.cold.len())
     }
 }
 
 /// Asks an engine for a report after it has refused a request of an entry VM because, contrary to its
 /// inventory, the model or adapter is absent.
-pub(crate) fn doubt(state: &mut State, now: Time, refused: &Absent) {
+pub(crate) fn recheck_after_refusal(state: &mut State, now: Time, refused: &Absent) {
     let Some(book) = state.ledger.books.get_mut(&refused.engine) else {
         return;
     };
     if book.residency().serves(&refused.model, refused.adapter.as_deref()) && book.check_at.is_none() {
         book.check_at = Some(now);
-        state.timers.set(now, Timer::Check(refused.engine.clone()));
+        state.timers.set(now, Timer::ResidencyCheck(refused.engine.clone()));
     }
 }
 
@@ -133,14 +133,14 @@
             continue;
         }
         let entry = &state.engines[&id].entry;
-        let book = Book::new(entry, state.ledger.fresh, now);
-        state.timers.set(now, Timer::Check(id.clone()));
+        let book = Holdings::new(entry, state.ledger.fresh, now);
+        state.timers.set(now, Timer::ResidencyCheck(id.clone()));
         state.ledger.books.insert(id, book);
     }
 }
 
 /// Marks the inventory as uncertain until the engine has sent a report.
-fn unsure(book: &mut Book, now: Time) {
+fn unsure(book: &mut Holdings, now: Time) {
     book.sequence = None;
     book.queue.clear();
     book.check_at = Some(now + REPORT_LAG);
@@ -152,34 +152,34 @@
     let Some(book) = ledger.books.get_mut(id) else {
         return;
     };
-    if let Some(next) = book.due().min() {
+    if let Some(next) = book.due_times().min() {
         wake_at(timers, now, id, book, next.max(now));
     }
 }
 
 /// Sets the timer of an inventory, unless one is set that fires no later.
-fn wake_at(timers: &mut Timers<Timer>, now: Time, id: &Name, book: &mut Book, at: Time) {
+fn wake_at(timers: &mut Timers<Timer>, now: Time, id: &Name, book: &mut Holdings, at: Time) {
     let set = book.wakes_at.filter(|set| *set > now);
     if set.is_none_or(|set| at < set) {
         book.wakes_at = Some(at);
-        timers.set(at, Timer::Check(id.clone()));
+        timers.set(at, Timer::ResidencyCheck(id.clone()));
     }
 }
 
 /// Marks adapters as ready whose load time is over, and asks the engine for a report if one is due.
 pub(crate) fn check(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
-    if state.lease.holds(now).is_none() {
+    if state.lease.held_term(now).is_none() {
         return;
     }
     let Some(engine) = state.engines.get(id) else {
         return;
     };
     let (address, incarnation) = (engine.entry.address, engine.entry.incarnation);
-    let pause = engine.health.pause(now);
+    let pause = engine.health.pause_left(now);
     let Some(book) = state.ledger.books.get_mut(id) else {
         return;
     };
-    let mut changed = book.changed == 0 && book.known();
+    let mut changed = book.changed_version == 0 && book.is_known();
     let pending = book.pending.as_ref().map(|pending| pending.order.clone());
     for copy in &mut book.copies {
         for held in &mut copy.adapters {
@@ -197,25 +197,25 @@
             }
         }
     }
-    if book.check_at.is_some_and(|at| at <= now) && !book.reporting && pause.is_none() {
+    if book.check_at.is_some_and(|at| at <= now) && !book.report_pending && pause.is_none() {
         book.check_at = None;
-        book.reporting = true;
+        book.report_pending = true;
         out.push(Effect::Report { engine: id.clone(), incarnation, address });
     }
     // An event that is due but cannot be handled now is taken up when the awaited answer comes or the engine's
     // pause ends.
-    let next = book.due().filter(|at| *at > now).min();
+    let next = book.due_times().filter(|at| *at > now).min();
     if let Some(next) = next {
         wake_at(&mut state.timers, now, id, book, next);
     }
     if changed {
         publish(state, id, out);
     }
-    drive(state, now, id, out);
+    send_next(state, now, id, out);
 }
 
 /// Handles an engine's report, or its failure to send one.
-pub(crate) fn reported(
+pub(crate) fn report_received(
     state: &mut State,
     now: Time,
     id: &Name,
@@ -226,7 +226,7 @@
     let Some(book) = state.ledger.books.get_mut(id) else {
         return;
     };
-    book.reporting = false;
+    book.report_pending = false;
     if let Some(report) = &report
         && report.incarnation > book.incarnation
     {
@@ -247,19 +247,19 @@
             book.sequence = Some(report.sequence);
             for (model, adapter) in report.fetching {
                 let ready_at = Some(now + adapter_ready);
-                if let Some(copy) = book.kept_mut(&model) {
-                    copy.adapters.push(Fetched { name: adapter, ready_at });
+                if let Some(copy) = book.copy_of_mut(&model) {
+                    copy.adapters.push(AdapterCopy { name: adapter, ready_at });
                 }
             }
         }
         _ => book.check_at = Some(now + LOOK_AGAIN),
     }
-    let is_known = book.known();
+    let is_known = book.is_known();
     wake_for(state, now, id);
     if is_known {
         publish(state, id, out);
     }
-    drive(state, now, id, out);
+    send_next(state, now, id, out);
 }
 
 /// Handles a new registration of an engine, whose entry shows that a model has been loaded or dropped.
@@ -292,7 +292,7 @@
     }
     if changed {
         publish(state, id, out);
-        drive(state, now, id, out);
+        send_next(state, now, id, out);
     }
 }
 
@@ -302,9 +302,9 @@
     let Some(book) = state.ledger.books.get_mut(id) else {
         return;
     };
-    let before = std::mem::replace(book, Book::restarted(incarnation, now));
+    let before = std::mem::replace(book, Holdings::restarted(incarnation, now));
     if let (Some(pending), Some(sequence)) = (before.pending, before.sequence) {
-        let late = Late::new(now, pending.order, sequence, before.incarnation);
+        let late = Unanswered::new(now, pending.order, sequence, before.incarnation);
         state.ledger.note_late(id, late);
     }
 }
@@ -316,18 +316,18 @@
     let Some(book) = state.ledger.books.get_mut(id) else {
         return;
     };
-    book.changed = version;
+    book.changed_version = version;
     let (incarnation, residency) = (book.incarnation, book.residency());
     if let Some(engine) = state.engines.get_mut(id) {
-        engine.learn(incarnation, residency);
+        engine.set_residency(incarnation, residency);
     }
-    out.push(Effect::Changed(id.clone()));
-    flow::stir_later(state);
+    out.push(Effect::HoldingsChanged(id.clone()));
+    flow::request_rescan(state);
 }
 
 /// Number of loads from the weight store that an engine carries out or that are queued for it.
-pub(crate) fn cold_running(state: &State, engine: &Engine) -> usize {
-    let Some(book) = state.ledger.book(&engine.entry.id) else {
+pub(crate) fn cold_loads_running(state: &State, engine: &Engine) -> usize {
+    let Some(book) = state.ledger.inventory(&engine.entry.id) else {
         return 0;
     };
     let Cached { memory, disk } = &engine.entry.cached;
@@ -336,6 +336,6 @@
 }
 
 /// Number of the remaining loads that may be used for models that already have a copy.
-pub(crate) const fn beyond_reserve(cold_left: usize) -> usize {
+pub(crate) const fn cold_loads_beyond_reserve(cold_left: usize) -> usize {
     cold_left.saturating_sub(COLD_RESERVE)
 }
--- a/fleet/src/ledger/orders.rs
+++ b/fleet/src/ledger/orders.rs
@@ -6,9 +6,9 @@
 use boragecove_core::time::Time;
 
 use super::{publish, unsure, wake_for};
-use crate::book::{Late, Pending, REPORT_LAG};
 use crate::effect::{Dispatch, Effect};
 use crate::engine::{Incarnation, Phase};
+use crate::holdings::{Pending, REPORT_LAG, Unanswered};
 use crate::order::{Order, Receipt};
 use crate::record::Record;
 use crate::state::State;
@@ -18,7 +18,7 @@
 const RESENDS: u32 = 2;
 
 /// Queues orders for an engine; they are sent one after the other.
-pub(crate) fn order(
+pub(crate) fn enqueue(
     state: &mut State,
     now: Time,
     engine: &Name,
@@ -28,20 +28,20 @@
     if let Some(book) = state.ledger.books.get_mut(engine) {
         book.queue.extend(orders);
     }
-    drive(state, now, engine, out);
+    send_next(state, now, engine, out);
 }
 
 /// Sends the next queued order to an engine, if that is possible now.
-pub(crate) fn drive(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
-    let Some(term) = state.lease.orders(now) else {
+pub(crate) fn send_next(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
+    let Some(term) = state.lease.ordering_term(now) else {
         return;
     };
     let Some(engine) = state.engines.get(id) else {
         return;
     };
     let (service, address) = (engine.entry.service.clone(), engine.entry.address);
-    let leaving = engine.leaves();
-    if engine.health.pause(now).is_some() {
+    let leaving = engine.is_leaving();
+    if engine.health.pause_left(now).is_some() {
         return;
     }
     // The configuration is shared instead of copied: a pool lists each model and adapter, and this function
@@ -50,7 +50,7 @@
     let Some(pool) = config.as_ref().and_then(|config| config.pool(&service)) else {
         return;
     };
-    let cold_left = state.ledger.cold_left(now, pool.loads_per_s, &state.settings);
+    let cold_left = state.ledger.cold_loads_left(now, pool.loads_per_s, &state.settings);
     let cached = &state.engines[id].entry.cached;
     let late = state.ledger.late_at(now, id).to_vec();
     let Some(book) = state.ledger.books.get_mut(id) else {
@@ -62,7 +62,7 @@
     let (Some(sequence), None) = (book.sequence, &book.pending) else {
         return;
     };
-    let Some(next) = book.next(pool, &late) else {
+    let Some(next) = book.next_order(pool, &late) else {
         return;
     };
     let incarnation = book.incarnation;
@@ -87,12 +87,12 @@
         sequence,
     }));
     if let Order::Unload { model } = &next
-        && let Some(copy) = book.kept_mut(model)
+        && let Some(copy) = book.copy_of_mut(model)
     {
         copy.phase = Phase::Closing;
     }
     if let Order::UnloadAdapter { model, adapter } = &next
-        && let Some(copy) = book.kept_mut(model)
+        && let Some(copy) = book.copy_of_mut(model)
     {
         // No entry VM may use the adapter any more; it occupies its place until the engine's next report.
         for held in copy.adapters.iter_mut().filter(|held| held.name == *adapter) {
@@ -111,7 +111,7 @@
 }
 
 /// Handles an engine's answer to an order. Without an answer the engine may still have received the order.
-pub(crate) fn ordered(
+pub(crate) fn order_answered(
     state: &mut State,
     now: Time,
     id: &Name,
@@ -134,7 +134,7 @@
     };
     let label = match receipt {
         Some(Receipt::Accepted) => "accepted",
-        Some(Receipt::Holds) => "holds",
+        Some(Receipt::Completed) => "holds",
         Some(Receipt::Conflict) => "conflict",
         Some(Receipt::Refused) => "refused",
         None => "unanswered",
@@ -148,7 +148,7 @@
     }));
     if receipt.is_none() {
         // The order may be carried out long after the one that is sent in its place.
-        state.ledger.note_late(id, Late::new(now, order.clone(), sequence, incarnation));
+        state.ledger.note_late(id, Unanswered::new(now, order.clone(), sequence, incarnation));
     }
     let Some(book) = state.ledger.books.get_mut(id) else {
         return;
@@ -158,12 +158,12 @@
         Some(Receipt::Accepted) if matches!(order, Order::UnloadAdapter { .. }) => unsure(book, now),
         Some(Receipt::Accepted) => {
             let expected = order.duration(pool, &cached);
-            book.accepted(now, &order, expected, adapter_ready);
+            book.apply_accepted(now, &order, expected, adapter_ready);
         }
-        Some(Receipt::Holds) => match &order {
+        Some(Receipt::Completed) => match &order {
             // The unload takes effect at once, and the engine counts it as accepted.
-            Order::UnloadAdapter { .. } => book.accepted(now, &order, Duration::ZERO, adapter_ready),
-            Order::LoadAdapter { model, adapter } => book.holds(model, adapter),
+            Order::UnloadAdapter { .. } => book.apply_accepted(now, &order, Duration::ZERO, adapter_ready),
+            Order::LoadAdapter { model, adapter } => book.add_adapter(model, adapter),
             Order::Load { .. } | Order::Unload { .. } => unsure(book, now),
         },
         None if resent < RESENDS => {
@@ -175,13 +175,13 @@
     }
     wake_for(state, now, id);
     publish(state, id, out);
-    drive(state, now, id, out);
+    send_next(state, now, id, out);
 }
 
 /// Sends the unanswered order again.
 fn resend(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
-    let engine = state.engines.get(id).filter(|engine| engine.health.pause(now).is_none());
-    let (Some(term), Some(engine)) = (state.lease.orders(now), engine) else {
+    let engine = state.engines.get(id).filter(|engine| engine.health.pause_left(now).is_none());
+    let (Some(term), Some(engine)) = (state.lease.ordering_term(now), engine) else {
         if let Some(book) = state.ledger.books.get_mut(id) {
             book.pending = None;
             unsure(book, now);
--- a/fleet/src/members.rs
+++ b/fleet/src/members.rs
@@ -114,8 +114,8 @@
     }
 
     /// As the leader of this term: replaces the list.
-    pub(crate) fn lead(&mut self, now: Time, term: u64, vm: &Name, list: Vec<Member>) {
-        if list != self.list || !self.roster.is_of(term) {
+    pub(crate) fn update_as_hub(&mut self, now: Time, term: u64, vm: &Name, list: Vec<Member>) {
+        if list != self.list || !self.roster.is_for_term(term) {
             self.roster.update(now, term, &self.list, &list);
             self.replace(now, list);
         }
@@ -139,16 +139,16 @@
         if self.sole_owner(what, zone).is_none_or(|owner| owner.vm != *vm) {
             return Claim::None;
         }
-        let all = self.list.iter().chain(self.ownership.former(now));
+        let all = self.list.iter().chain(self.ownership.recently_removed(now));
         let first = first(all, what, zone).is_some_and(|owner| owner.vm == *vm);
         if first && self.ownership.is_settled(now) { Claim::Sole } else { Claim::Uncertain }
     }
 
     /// Whether an entry VM is the owner of something by the current list and by all recent ones, whoever made them: a
     /// new leader's list may lack most entry VMs for a while.
-    pub(crate) fn is_owner_by_lists(&self, vm: &Name, what: &Name, zone: &Name, now: Time) -> bool {
+    pub(crate) fn is_owner_by_recent_lists(&self, vm: &Name, what: &Name, zone: &Name, now: Time) -> bool {
         let dropped = self.dropped.iter().filter(|(_, until)| *until > now).map(|(member, _)| member);
-        let all = self.list.iter().chain(dropped).chain(self.ownership.former(now));
+        let all = self.list.iter().chain(dropped).chain(self.ownership.recently_removed(now));
         first(all, what, zone).is_some_and(|owner| owner.vm == *vm)
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// Sends no queries to an entry VM until then.
-    pub fn suspect(&mut self, vm: &Name, until: Time) {
+    pub fn mark_silent(&mut self, vm: &Name, until: Time) {
         self.silent.retain(|(name, _)| name != vm);
         self.silent.push((vm.clone(), until));
     }
@@ -181,7 +181,7 @@
     }
 
     /// The entry VMs that keep the origin of a stream. Includes those that don't answer.
-    pub(crate) fn keepers(&self, stream: Stream) -> Vec<&Member> {
+    pub(crate) fn stream_replicas(&self, stream: Stream) -> Vec<&Member> {
         let what = Name::from(stream.to_string());
         let first = |zone: &Vec<Member>| {
             let mut ranked: Vec<usize> = (0..zone.len()).collect();
@@ -196,18 +196,18 @@
     /// Whether no queries are sent to an entry VM now.
     #[must_use]
     pub fn is_silent(&self, vm: &Name, now: Time) -> bool {
-        self.silence(vm, now).is_some()
+        self.silent_for(vm, now).is_some()
     }
 
     /// Whether there is any entry VM to which no queries are sent now.
     #[must_use]
-    pub fn is_any_silent(&self, now: Time) -> bool {
+    pub fn any_silent(&self, now: Time) -> bool {
         self.silent.iter().any(|(_, until)| *until > now)
     }
 
     /// How long no queries will be sent to an entry VM; `None` if they are sent.
     #[must_use]
-    pub fn silence(&self, vm: &Name, now: Time) -> Option<Duration> {
+    pub fn silent_for(&self, vm: &Name, now: Time) -> Option<Duration> {
         let silent = self.silent.iter().find(|(name, until)| name == vm && *until > now);
         silent.map(|(_, until)| until.since(now))
     }
@@ -217,7 +217,7 @@
     /// that zone too: then one of another zone is preferred, which has hardly lost the same connections, before any
     /// other.
     #[must_use]
-    pub fn prober(&self, what: &Name, zone: &Name, near: bool, asked: &[Name]) -> Option<&Member> {
+    pub fn pick_prober(&self, what: &Name, zone: &Name, near: bool, asked: &[Name]) -> Option<&Member> {
         let new = |member: &Member| !asked.contains(&member.vm);
         let there = || self.first(what, zone, |member| member.zone == *zone && new(member));
         if !near {
@@ -230,7 +230,7 @@
     /// of preference: those that aren't known to be cut off, those of zones of which none was asked, those of the
     /// asker's zone, then of the engine's, then any. Different askers get different ones.
     #[must_use]
-    pub(crate) fn relay(
+    pub(crate) fn pick_relay(
         &self,
         engine: &Name,
         me: &Identity,
--- a/fleet/src/notice.rs
+++ b/fleet/src/notice.rs
@@ -7,12 +7,12 @@
 use boragecove_core::time::Time;
 use serde::{Deserialize, Serialize};
 
-use crate::departure::{self, Road};
+use crate::departure::{self, Source};
 use crate::effect::Effect;
 use crate::engine::Incarnation;
 use crate::flow;
 use crate::frame;
-use crate::intake::{self, Intake};
+use crate::rate_limit::{self, Rate};
 use crate::record::Record;
 use crate::request::Id;
 use crate::state::State;
@@ -30,30 +30,30 @@
     /// If the engine rejected the request: how long it wants no requests from this process.
     pub pause: Option<Duration>,
     /// The reported rate limit.
-    pub intake: Intake,
+    pub rate_limit: Rate,
     /// The reported rejection limit. An engine that has one is called brittle.
-    pub brittle: Bearing,
+    pub rejection_limit: Tolerance,
 }
 
 /// How many requests per second an engine can reject without crashing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Bearing {
+pub enum Tolerance {
     /// No limit reported.
     #[default]
-    Sound,
+    Unlimited,
     /// More rejections than this in one second crash the engine; finite and not negative.
-    Brittle(f64),
+    PerSecond(f64),
     /// The reported value is not a valid number. It neither sets nor clears a limit.
-    Unreadable,
+    Invalid,
 }
 
 /// The caller's request that an answer belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asked {
+pub struct AnsweredRequest {
     /// The request's number.
     pub request: Id,
     /// When it was sent.
-    pub at: Time,
+    pub sent_at: Time,
 }
 
 /// One start of an engine.
@@ -67,12 +67,12 @@
 
 /// Handles the notice of an engine's answer. `asked` is the caller's request that it answered; `None` for
 /// an answer to a request of this process.
-pub(crate) fn noticed(
+pub(crate) fn notice_received(
     state: &mut State,
     now: Time,
     from: &Start,
     notice: Notice,
-    asked: Option<Asked>,
+    asked: Option<AnsweredRequest>,
     out: &mut Vec<Effect>,
 ) {
     let listed = state.engines.get(&from.engine);
@@ -81,26 +81,26 @@
         return;
     }
     if notice.leaving {
-        departure::said(state, now, from, Road::Answer, out);
+        departure::mark_leaving(state, now, from, Source::Answer, out);
         tell_departure(state, now, out);
     }
     if let Some(pause) = notice.pause {
         keep_pause(state, now, &from.engine, pause.min(PAUSE_MAX), out);
     }
-    intake::noticed(state, now, from, notice.intake, asked, out);
-    intake::noticed_brittle(state, now, from, notice.brittle, asked, out);
+    rate_limit::rate_limit_received(state, now, from, notice.rate_limit, asked, out);
+    rate_limit::noticed_brittle(state, now, from, notice.rejection_limit, asked, out);
 }
 
 /// Reports departures to the other entry VMs, through the hub, or directly where no hub answers.
 fn tell_departure(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    departure::tell(state, now, out);
-    if state.lease.holds(now).is_some() || !state.departures.is_any_untold() {
+    departure::notify(state, now, out);
+    if state.lease.held_term(now).is_some() || !state.departures.has_unreported() {
         return;
     }
-    if state.hub.leads && frame::is_answered(state, now) {
+    if state.hub.leads && frame::hub_responds(state, now) {
         frame::send(state, now, out);
     } else {
-        departure::tell_without_hub(state, out);
+        departure::notify_without_hub(state, out);
     }
 }
 
@@ -114,6 +114,6 @@
     let (service, version) = (known.entry.service.clone(), known.version.version);
     out.push(Effect::Record(Record::Engine { engine: engine.clone(), service, state: "paused", version }));
     // Orders and health checks that become due in the meantime are sent at the end of the pause.
-    state.timers.set(until.unwrap_or(now), Timer::Check(engine.clone()));
-    flow::withdraw(state, now, engine, out);
+    state.timers.set(until.unwrap_or(now), Timer::ResidencyCheck(engine.clone()));
+    flow::cancel_reservations(state, now, engine, out);
 }
--- a/fleet/src/order.rs
+++ b/fleet/src/order.rs
@@ -75,7 +75,7 @@
     /// The order is being carried out.
     Accepted,
     /// The order was carried out at once, or its result was already in place.
-    Holds,
+    Completed,
     /// Another order is under way, or the engine has accepted others.
     Conflict,
     /// The order will never be carried out: it was meant for another incarnation of the engine, or it is
--- a/fleet/src/outcome.rs
+++ b/fleet/src/outcome.rs
@@ -6,24 +6,24 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
-use crate::budget::{self, Obtained, Repeat};
+use crate::budget::{self, Obtained, Retry};
 use crate::config::Kind;
 use crate::crash::{self, Lost};
 use crate::effect::Effect;
 use crate::engine::{Engine, Load};
 use crate::flow::{self, Stage};
 use crate::frame::Absent;
-use crate::intake;
 use crate::ledger;
 use crate::path;
 use crate::pin;
 use crate::proof;
+use crate::rate_limit;
 use crate::record::{Record, ms};
-use crate::request::{Cause, End, Events, Id, Step};
+use crate::request::{Cause, End, Id, Step, Timing};
 use crate::settings::Mechanism;
 use crate::state::State;
+use crate::suspicion;
 use crate::timer::Timer;
-use crate::trust;
 
 /// Refusals by engines after which a request may still be sent to another one. They do not count as attempts of the route, because
 /// a refusal proves that the request has not run.
@@ -45,11 +45,11 @@
     };
     // If the engine's row names another build by now, the request was sent by an outdated row, or the engine has restarted since.
     let build = build.filter(|build| engine.is_none_or(|engine| engine.entry.build.as_ref() == Some(build)));
-    let begins = !flow.pin.binds();
-    flow.pin.wrote(build);
+    let begins = !flow.pin.is_restricted();
+    flow.pin.events_from(build);
     flow.may_have_run = true;
     if begins {
-        pin::begun(state, now, id, out);
+        pin::stream_began(state, now, id, out);
     }
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
@@ -61,7 +61,7 @@
         return;
     };
     let first = !std::mem::replace(begun, true);
-    let first_at = *flow.first_at.get_or_insert(now);
+    let first_at = *flow.first_event_at.get_or_insert(now);
     if first {
         out.push(Effect::Record(Record::Began {
             request: id.0,
@@ -72,20 +72,22 @@
         if let Some(prompt) = prompt {
             // The time of a crowded or limited engine does not show how fast others read.
             let slowed =
-                |engine: &Engine| engine.is_crowded() || state.intakes.limit_of(engine, now).is_some();
-            if !state.engines.get(engine).is_some_and(slowed) && state.settings.uses(Mechanism::LearntSpeed) {
-                state.speed.learn(&flow.service, &prompt.model, prompt.tokens, now.since(*at));
+                |engine: &Engine| engine.is_crowded() || state.rate_limits.limit_of(engine, now).is_some();
+            if !state.engines.get(engine).is_some_and(slowed)
+                && state.settings.is_enabled(Mechanism::MeasuredSpeed)
+            {
+                state.speed.learn_prefill(&flow.service, &prompt.model, prompt.tokens, now.since(*at));
             }
         }
     }
     let (engine, at, relayed) = (engine.clone(), *at, relay.is_some());
     if first {
-        crash::began(state, now, id);
+        crash::answer_began(state, now, id);
     }
-    crash::writes(state, now, id, first_at, out);
-    trust::answered(state, now, &engine, relayed, at, out);
+    crash::answer_continued(state, now, id, first_at, out);
+    suspicion::attempt_responded(state, now, &engine, relayed, at, out);
     if let Some(known) = state.engines.get_mut(&engine).filter(|_| first) {
-        known.own = known.own.minus(Load { open: 0, reading_us });
+        known.own_load = known.own_load.minus(Load { open: 0, reading_us });
     }
 }
 
@@ -95,7 +97,7 @@
     /// The attempt's number.
     pub(crate) attempt: u32,
     pub(crate) end: End,
-    pub(crate) events: Events,
+    pub(crate) events: Timing,
 }
 
 /// A failed attempt, after which the request may be sent once more.
@@ -121,8 +123,8 @@
         Stage::Sent { relay, .. } => relay.clone(),
         Stage::Waiting | Stage::Tracing { .. } | Stage::Charging(_) | Stage::Scheduling { .. } => None,
     };
-    let (request, first_at) = (flow.fingerprint, flow.first_at.take());
-    let Some((engine, at)) = flow::leave(state, id) else {
+    let (request, first_at) = (flow.fingerprint, flow.first_event_at.take());
+    let Some((engine, at)) = flow::detach(state, id) else {
         return;
     };
     let Some(flow) = state.flows.get_mut(&id) else {
@@ -135,7 +137,7 @@
         end: end.label(),
         not_run: end.proves_not_run(),
         after_ms: ms(now.since(at)),
-        pause_ms: ms(events.pause),
+        pause_ms: ms(events.longest_pause),
     }));
     if end.proves_not_run() {
         flow.used -= 1;
@@ -149,10 +151,10 @@
     let service = flow.service.clone();
     let call_target = flow.prompt.is_none().then_some(flow.route.target);
     let suspect = end == End::Lost && crash::is_suspect(now, first_at);
-    let doubted =
-        suspect && (!begun && state.crashes.is_suspected(request) || state.crashes.suspects(&flow.parts));
+    let doubted = suspect
+        && (!begun && state.crashes.is_suspected(request) || state.crashes.has_suspected_part(&flow.parts));
     if suspect {
-        crash::lost(state, now, id, Lost { engine: &engine, sent: at, begun }, out);
+        crash::connection_lost(state, now, id, Lost { engine: &engine, sent: at, begun }, out);
     }
     judge(state, now, id, Judged { engine: &engine, end, relay, at }, out);
     if let Some(target) = call_target {
@@ -161,17 +163,17 @@
     match end {
         End::Done => {
             if events.unframed {
-                crash::closed(state, now, id, Lost { engine: &engine, sent: at, begun }, first_at);
+                crash::connection_closed(state, now, id, Lost { engine: &engine, sent: at, begun }, first_at);
             } else {
-                crash::answered(state, now, request, out);
-                crash::is_sound(state, now, id, first_at.unwrap_or(now), out);
+                crash::request_succeeded(state, now, request, out);
+                crash::mark_sound(state, now, id, first_at.unwrap_or(now), out);
             }
-            state.paced(&service, took);
-            if let Some(gap) = events.gap {
+            state.record_run(&service, took);
+            if let Some(gap) = events.mean_gap {
                 state.speed.learn_event(&service, gap);
             }
-            flow::close(state, id);
-            out.push(Effect::Step { request: id, step: Step::Pass });
+            flow::remove(state, id);
+            out.push(Effect::Step { request: id, step: Step::Forward });
         }
         End::Failed | End::Unsent | End::Withheld | End::Refused(_) | End::Lost | End::Broken => {
             again(state, now, id, engine, Failure { end, doubted }, out);
@@ -190,9 +192,9 @@
     target: Duration,
 ) {
     if end == End::Done {
-        state.speed.learn_run(service, took);
+        state.speed.learn_call(service, took);
     }
-    let run = state.speed.run(service);
+    let run = state.speed.call_time(service);
     let Some(engine) = state.engines.get_mut(engine) else {
         return;
     };
@@ -225,28 +227,28 @@
         return;
     };
     match end {
-        End::Done => trust::answered(state, now, engine, relay.is_some(), at, out),
-        End::Failed => known.health.heard = now,
-        End::Lost | End::Broken => known.health.fail(now, &settings),
+        End::Done => suspicion::attempt_responded(state, now, engine, relay.is_some(), at, out),
+        End::Failed => known.health.last_heard = now,
+        End::Lost | End::Broken => known.health.record_failure(now, &settings),
         End::Refused(Cause::Busy) => {
-            known.health.heard = now;
-            known.health.fail(now, &settings);
-            intake::rejected(state, now, engine, out);
+            known.health.last_heard = now;
+            known.health.record_failure(now, &settings);
+            rate_limit::rejection_received(state, now, engine, out);
         }
         End::Withheld => {}
         End::Unsent => match relay {
             Some(relay) => path::relay_failed(state, now, engine, &relay, out),
-            None => trust::unreached(state, now, engine, out),
+            None => suspicion::unreachable(state, now, engine, out),
         },
         End::Refused(Cause::Absent) => {
-            known.health.heard = now;
+            known.health.last_heard = now;
             if let Some(prompt) = prompt {
-                let until = now + settings.absence;
+                let until = now + settings.absence_ttl;
                 known.absent.retain(|(_, _, until)| *until > now);
                 known.absent.push((prompt.model.clone(), prompt.adapter.clone(), until));
                 let refused = Absent { engine: engine.clone(), model: prompt.model, adapter: prompt.adapter };
-                if state.lease.holds(now).is_some() {
-                    ledger::doubt(state, now, &refused);
+                if state.lease.held_term(now).is_some() {
+                    ledger::recheck_after_refusal(state, now, &refused);
                 } else {
                     state.hub.absent.push(refused);
                 }
@@ -265,55 +267,55 @@
     };
     let repeatable = flow.route.kind.repeatable() || !flow.may_have_run;
     let within = flow.used < flow.route.attempts && flow.refusals <= REFUSALS_MAX;
-    let in_time = now + state.settings.reserve < flow.deadline;
+    let in_time = now + state.settings.answer_reserve < flow.deadline;
     // An engine that lacks the model may load it: it is not excluded here, but for a limited time by `Engine::absent`.
     match end {
         End::Refused(Cause::Absent) | End::Withheld => {}
         // Another entry VM may reach the engine and relay the request, and if that one fails, yet another may.
-        End::Unsent if flow.unsent.iter().filter(|of| **of == engine).count() < UNSENT_MAX => {
-            flow.unsent.push(engine);
+        End::Unsent if flow.connect_failures.iter().filter(|of| **of == engine).count() < UNSENT_MAX => {
+            flow.connect_failures.push(engine);
         }
-        _ => flow.avoid.push(engine),
+        _ => flow.excluded.push(engine),
     }
-    flow.ended = Some(end);
+    flow.last_end = Some(end);
     // If nothing was sent, no engine has spent work on it, and its permit is still unused.
-    flow.repeat = match end {
-        End::Unsent | End::Withheld => flow.repeat.withdrawn(),
+    flow.retry = match end {
+        End::Unsent | End::Withheld => flow.retry.withdrawn(),
         End::Done | End::Failed | End::Lost | End::Broken | End::Refused(_) => {
-            flow.ahead.take().map_or(Repeat::Needed, Repeat::Permitted)
+            flow.early_permit.take().map_or(Retry::Needed, Retry::Permitted)
         }
     };
     if !(repeatable && !doubted && within && in_time) {
-        return not_repeated(state, now, id, out);
+        return end_without_retry(state, now, id, out);
     }
     *state.retries.entry(end.label()).or_default() += 1;
     flow::dispatch(state, now, id, true, out);
 }
 
 /// Ends a request that is not sent once more, with the result of its last attempt.
-pub(crate) fn not_repeated(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
+pub(crate) fn end_without_retry(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
     let has_key = flow.workspace.is_some();
-    let code = match flow.ended {
+    let code = match flow.last_end {
         Some(End::Failed) => {
-            flow::close(state, id);
-            out.push(Effect::Step { request: id, step: Step::Pass });
+            flow::remove(state, id);
+            out.push(Effect::Step { request: id, step: Step::Forward });
             return;
         }
         Some(End::Refused(_)) => Code::BackendRefused,
         Some(End::Unsent) => Code::RetriesSpent,
-        Some(End::Withheld) if has_key && !proof::holds(state, now) => Code::KeyUnproven,
+        Some(End::Withheld) if has_key && !proof::is_valid(state, now) => Code::KeyUnproven,
         Some(End::Withheld) => Code::DeadlineUnreachable,
         Some(End::Done | End::Lost | End::Broken) | None => Code::BackendFailed,
     };
-    flow::give_up(state, now, id, code, Some(budget::pause(&state.settings)), out);
+    flow::give_up(state, now, id, code, Some(budget::pause_max(&state.settings)), out);
 }
 
 /// Checks whether the engine of an attempt is silent. Silence alone ends no attempt: the request moves to another engine only if
 /// it may run again, a permit is granted, and the engine cannot be reached or does not answer an idempotent request.
-pub(crate) fn silence(state: &mut State, now: Time, id: Id, number: u32, out: &mut Vec<Effect>) {
+pub(crate) fn check_silence(state: &mut State, now: Time, id: Id, number: u32, out: &mut Vec<Effect>) {
     let settings = state.settings.clone();
     let Some(flow) = state.flows.get(&id) else {
         return;
@@ -328,9 +330,9 @@
         return;
     };
     // What the engine sent while this process was stalled is read only after this event.
-    let awake_since = state.freshness.awake_since();
-    let last = known.health.heard.max(at).max(awake_since);
-    let silent = now.since(last) >= settings.silence;
+    let awake_since = state.freshness.resumed_at();
+    let last = known.health.last_heard.max(at).max(awake_since);
+    let silent = now.since(last) >= settings.engine_silence;
     // An engine that its relay still reaches may just be slow.
     let relayed = relay.as_ref().is_some_and(|relay| known.path.is_relayed_by(relay));
     let dead = silent && known.path.is_lost() && !relayed;
@@ -338,17 +340,17 @@
         && flow.route.kind == Kind::Idempotent
         && now.since(at.max(awake_since)) >= flow.deadline.since(flow.arrived) / HANG_PART;
     if silent && relayed {
-        path::doubt_relay(state, &engine, out);
-    } else if silent && !known.health.suspected(now) {
-        trust::silent(state, now, &engine, out);
+        path::recheck_relay(state, &engine, out);
+    } else if silent && !known.health.is_suspected(now) {
+        suspicion::silent(state, now, &engine, out);
     }
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
     let movable = flow.route.kind.repeatable() && flow.used < flow.route.attempts;
-    if (dead || hangs) && movable && budget::ahead(state, now, id, out) == Obtained::Yes {
-        ended(state, now, id, Ended { attempt: number, end: End::Broken, events: Events::default() }, out);
+    if (dead || hangs) && movable && budget::obtain_early(state, now, id, out) == Obtained::Yes {
+        ended(state, now, id, Ended { attempt: number, end: End::Broken, events: Timing::default() }, out);
         return;
     }
-    state.timers.set(now + settings.silence / 2, Timer::Silence(id, number));
+    state.timers.set(now + settings.engine_silence / 2, Timer::Silence(id, number));
 }
--- a/fleet/src/ownership.rs
+++ b/fleet/src/ownership.rs
@@ -2,7 +2,7 @@
 //!
 //! Each entry VM finds the owner by hashing over the leader's list, and lists differ for a while whenever one
 //! changes. A task that must not have two owners at a time is therefore protected by time as well. The leader's reply
-//! to a frame is valid for [`HOLD`] from when the frame was sent, and a new owner begins only [`HOLD`] after the
+//! to a frame is valid for [`MEMBERSHIP_TTL`] from when the frame was sent, and a new owner begins only [`MEMBERSHIP_TTL`] after the
 //! change that made it the owner. By then the former owner has received the change, or has received nothing and
 //! stopped. This needs no write to the store and no handover: while the list doesn't change, an owner owns new tasks
 //! at once.
@@ -18,15 +18,15 @@
 use crate::members::Member;
 
 /// How long a membership is valid: more than two frame intervals in a fleet of hundreds of entry VMs.
-pub const HOLD: Duration = Duration::from_secs(4);
+pub const MEMBERSHIP_TTL: Duration = Duration::from_secs(4);
 
 /// Membership of an entry VM in the leader's list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Membership {
     /// Time for which it has been in the list without a break, under this leader.
-    pub listed: Duration,
-    /// Entry VMs that were in the list within [`HOLD`] and are not now. Empty unless the list is sent too.
-    pub former: Vec<Member>,
+    pub listed_for: Duration,
+    /// Entry VMs that were in the list within [`MEMBERSHIP_TTL`] and are not now. Empty unless the list is sent too.
+    pub recently_removed: Vec<Member>,
 }
 
 /// The leader's record of membership times.
@@ -42,7 +42,7 @@
 
 impl Roster {
     /// Whether the record belongs to this term.
-    pub(crate) const fn is_of(&self, term: u64) -> bool {
+    pub(crate) const fn is_for_term(&self, term: u64) -> bool {
         self.term == term
     }
 
@@ -59,7 +59,7 @@
             self.former.remove(&member.vm);
         }
         for member in before.iter().filter(|member| !self.listed.contains_key(&member.vm)) {
-            self.former.entry(member.vm.clone()).or_insert_with(|| (member.clone(), now + HOLD));
+            self.former.entry(member.vm.clone()).or_insert_with(|| (member.clone(), now + MEMBERSHIP_TTL));
         }
     }
 
@@ -67,7 +67,10 @@
     pub(crate) fn membership(&self, now: Time, vm: &Name, with_list: bool) -> Membership {
         let listed = self.listed.get(vm).map_or(Duration::ZERO, |since| now.since(*since));
         let former = self.former.values().filter(|(_, until)| with_list && *until > now);
-        Membership { listed, former: former.map(|(member, _)| member.clone()).collect() }
+        Membership {
+            listed_for: listed,
+            recently_removed: former.map(|(member, _)| member.clone()).collect(),
+        }
     }
 }
 
@@ -86,23 +89,23 @@
     /// Renews the membership: a leader answered a frame sent at `sent`.
     pub(crate) fn renew(&mut self, now: Time, sent: Time, membership: Membership) {
         self.confirmed = self.confirmed.max(Some(sent));
-        self.since = now - membership.listed;
+        self.since = now - membership.listed_for;
         self.former.retain(|(_, until)| *until > now);
-        for member in membership.former {
+        for member in membership.recently_removed {
             if self.former.iter().all(|(known, _)| known.vm != member.vm) {
-                self.former.push((member, now + HOLD));
+                self.former.push((member, now + MEMBERSHIP_TTL));
             }
         }
     }
 
     /// Whether the membership is valid, and has lasted long enough for any former owner to have stopped.
     pub(crate) fn is_settled(&self, now: Time) -> bool {
-        let confirmed = self.confirmed.is_some_and(|sent| now.since(sent) < HOLD);
-        confirmed && now.since(self.since) >= HOLD
+        let confirmed = self.confirmed.is_some_and(|sent| now.since(sent) < MEMBERSHIP_TTL);
+        confirmed && now.since(self.since) >= MEMBERSHIP_TTL
     }
 
     /// Members removed from the list recently, which may not know this yet.
-    pub(crate) fn former(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
+    pub(crate) fn recently_removed(&self, now: Time) -> impl Iterator<Item = &Member> + Clone {
         self.former.iter().filter(move |(_, until)| *until > now).map(|(member, _)| member)
     }
 }
--- a/fleet/src/pack.rs
+++ b/fleet/src/pack.rs
@@ -1,4 +1,4 @@
-//! Packing of large data for the transfer between entry VMs: MessagePack, compressed with DEFLATE.
+//! Packing of large data for the transfer between entry VMs: `MessagePack`, compressed with DEFLATE.
 
 use std::io::{self, Read as _, Write as _};
 
--- a/fleet/src/path.rs
+++ b/fleet/src/path.rs
@@ -11,7 +11,7 @@
 //! engine it makes no statements to other entry VMs, because what it sees may be its own loss of
 //! connectivity.
 
-mod pass;
+mod relay;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -23,15 +23,15 @@
 
 use crate::crash;
 use crate::effect::Effect;
-use crate::engine::{Engine, Reach};
+use crate::engine::{Engine, Port};
 use crate::flow;
 use crate::record::Record;
 use crate::settings::Mechanism;
 use crate::state::State;
+use crate::suspicion;
 use crate::timer::Timer;
-use crate::trust;
-pub use pass::{Denial, Look};
-pub(crate) use pass::{is_passing, look, pass, passed};
+pub use relay::{Denial, Probe};
+pub(crate) use relay::{accept, is_relaying, probe, relayed_request_ended};
 
 /// Number of other entry VMs asked in turn whether they reach an engine, until the engine is tried from
 /// here again.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Path {
     /// Since when no connection could be opened from here; `None` if connections can be opened.
-    pub(crate) lost: Option<Time>,
+    pub(crate) lost_since: Option<Time>,
     /// The entry VM that relays requests in the meantime.
     relay: Option<Relay>,
     /// Since when the port accepts connections from here again.
@@ -67,7 +67,7 @@
     /// Whether an answer from one of them is pending.
     asking: bool,
     /// When anything last arrived from the engine without a relay.
-    pub(crate) heard: Option<Time>,
+    pub(crate) heard_at: Option<Time>,
 }
 
 /// An entry VM that relays requests.
@@ -91,11 +91,11 @@
     /// Entry VMs that recently reached engines which are not reachable from here, latest last.
     relays: Vec<Relay>,
     /// Requests currently relayed for other entry VMs.
-    pub(crate) passing: u32,
+    pub(crate) relaying: u32,
     /// Requests sent through a relay.
-    pub(crate) sent: u64,
+    pub(crate) sent_by_relay: u64,
     /// Requests relayed for other entry VMs.
-    pub(crate) passed: u64,
+    pub(crate) relayed: u64,
     /// Requests of other entry VMs that were not relayed, by reason.
     pub(crate) denied: BTreeMap<&'static str, u64>,
 }
@@ -126,7 +126,7 @@
     /// Whether no connection can be opened from here.
     #[must_use]
     pub const fn is_lost(&self) -> bool {
-        self.lost.is_some()
+        self.lost_since.is_some()
     }
 }
 
@@ -137,8 +137,8 @@
         return path.relay.as_ref();
     }
     let since = state.paths.cut_off?;
-    let denied = path.lost.is_some() && !path.asked.is_empty();
-    if denied || path.heard.is_some_and(|at| at >= since) || state.paths.relays.is_empty() {
+    let denied = path.lost_since.is_some() && !path.asked.is_empty();
+    if denied || path.heard_at.is_some_and(|at| at >= since) || state.paths.relays.is_empty() {
         return None;
     }
     // This process is cut off, and no entry VM has reported that it does not reach the engine.
@@ -149,17 +149,17 @@
 /// Whether a request can reach the engine now, directly or through a relay. `unsent`: connecting directly
 /// has already failed for this request.
 pub(crate) fn is_reachable(state: &State, now: Time, engine: &Engine, unsent: bool) -> bool {
-    !(unsent || engine.health.suspected(now)) || relay_of(state, engine).is_some()
+    !(unsent || engine.health.is_suspected(now)) || relay_of(state, engine).is_some()
 }
 
 /// Handles a failure to connect to an engine: other entry VMs are asked whether they reach it.
-pub(crate) fn lost(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn connect_failed(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
     let path = &mut known.path;
     path.open = None;
-    path.lost.get_or_insert(now);
+    path.lost_since.get_or_insert(now);
     if !path.asking {
         path.asked.clear();
     }
@@ -168,19 +168,20 @@
 
 /// Asks the next entry VM whether it reaches the engine, unless a relay is known or a question is pending.
 fn ask(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    if !state.settings.uses(Mechanism::Relays) {
+    if !state.settings.is_enabled(Mechanism::Relays) {
         return;
     }
     let Some(known) = state.engines.get(engine) else {
         return;
     };
     let path = &known.path;
-    if path.relay.is_some() || path.asking || path.asked.len() >= ASKED_MAX || known.leaves() {
+    if path.relay.is_some() || path.asking || path.asked.len() >= ASKED_MAX || known.is_leaving() {
         return;
     }
     state.paths.blind.retain(|(_, until)| *until > now);
     let blind = |vm: &Name| state.paths.blind.iter().any(|(name, _)| name == vm);
-    let Some(next) = state.members.relay(engine, &state.me, &known.entry.zone, &path.asked, blind) else {
+    let Some(next) = state.members.pick_relay(engine, &state.me, &known.entry.zone, &path.asked, blind)
+    else {
         return;
     };
     let (vm, address) = (next.vm.clone(), next.address);
@@ -217,12 +218,12 @@
 }
 
 /// Handles another entry VM's finding on an engine's port; `None` if it did not answer or cannot tell.
-pub(crate) fn seen(
+pub(crate) fn probe_answered(
     state: &mut State,
     now: Time,
     engine: &Name,
     by: Relay,
-    reach: Option<Reach>,
+    reach: Option<Port>,
     out: &mut Vec<Effect>,
 ) {
     crash::path_seen(state, now, engine, reach, out);
@@ -230,10 +231,10 @@
         return;
     };
     known.path.asking = false;
-    if known.path.lost.is_none() {
+    if known.path.lost_since.is_none() {
         return;
     }
-    if reach != Some(Reach::Open) {
+    if reach != Some(Port::Open) {
         if known.path.relay.as_ref() == Some(&by) {
             return relay_failed(state, now, engine, &by.vm, out);
         }
@@ -247,17 +248,17 @@
     state.paths.blind.retain(|(vm, _)| *vm != by.vm);
     state.paths.note_relay(by);
     note(state, now, engine, "relayed", out);
-    flow::stir_later(state);
+    flow::request_rescan(state);
     if state.engines.values().filter(|engine| engine.path.is_relayed()).count() == 1 {
         // Other engines may have become unreachable at the same time.
-        trust::look_at_used(state, now, out);
+        suspicion::probe_used(state, now, out);
     }
-    judge(state, now, out);
+    update_cut_off(state, now, out);
 }
 
 /// Asks a relay whether it still reaches the engine, after nothing has arrived for a relayed request for
 /// some time.
-pub(crate) fn doubt_relay(state: &mut State, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn recheck_relay(state: &mut State, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
@@ -277,7 +278,7 @@
     };
     if known.path.relay.is_none() {
         // The request was relayed only because this process is cut off; the engine was not tried directly.
-        return trust::unreached(state, now, engine, out);
+        return suspicion::unreachable(state, now, engine, out);
     }
     if !known.path.is_relayed_by(relay) {
         return;
@@ -289,7 +290,7 @@
 
 /// Handles a successful connection to the engine's port. Returns whether the engine can be used directly
 /// from now on. A relayed engine must first accept connections for `SETTLED`.
-pub(crate) fn opened(state: &mut State, now: Time, engine: &Name) -> bool {
+pub(crate) fn port_opened(state: &mut State, now: Time, engine: &Name) -> bool {
     let Some(known) = state.engines.get_mut(engine) else {
         return false;
     };
@@ -309,31 +310,37 @@
 /// Records data from an engine. Returns whether it shows that the engine can be reached directly. A
 /// response to a request that was sent before connections began to fail does not show that new connections
 /// succeed.
-pub(crate) fn heard(state: &mut State, now: Time, engine: &Name, relayed: bool, sent: Option<Time>) -> bool {
+pub(crate) fn contacted(
+    state: &mut State,
+    now: Time,
+    engine: &Name,
+    relayed: bool,
+    sent: Option<Time>,
+) -> bool {
     let Some(known) = state.engines.get_mut(engine) else {
         return false;
     };
-    known.health.heard = now;
+    known.health.last_heard = now;
     if relayed {
         return false;
     }
-    known.path.heard = Some(now);
-    let earlier = known.path.lost.zip(sent).is_some_and(|(lost, sent)| sent <= lost);
+    known.path.heard_at = Some(now);
+    let earlier = known.path.lost_since.zip(sent).is_some_and(|(lost, sent)| sent <= lost);
     !(known.path.relay.is_some() && earlier)
 }
 
 /// Uses an engine directly again.
-pub(crate) fn regained(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn use_directly(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
     let before = std::mem::take(&mut known.path);
-    known.path.heard = Some(now);
+    known.path.heard_at = Some(now);
     if before.relay.is_some() {
         note(state, now, engine, "regained", out);
     }
-    if before.lost.is_some() {
-        judge(state, now, out);
+    if before.lost_since.is_some() {
+        update_cut_off(state, now, out);
     }
 }
 
@@ -343,10 +350,11 @@
 }
 
 /// Recomputes whether this process is cut off.
-pub(crate) fn judge(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn update_cut_off(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let relayed = state.engines.values().filter(|engine| engine.path.relay.is_some()).count();
     let direct = |engine: &&Engine| {
-        engine.path.lost.is_none() && engine.path.heard.is_some_and(|at| now.since(at) < HEARD_WITHIN)
+        engine.path.lost_since.is_none()
+            && engine.path.heard_at.is_some_and(|at| now.since(at) < HEARD_WITHIN)
     };
     let direct = state.engines.values().filter(direct).count();
     let cut_off = relayed > direct;
@@ -356,11 +364,11 @@
     state.paths.cut_off = cut_off.then_some(now);
     let label = if cut_off { "cut_off" } else { "joined" };
     out.push(Effect::Record(Record::Reach { state: label, relayed, direct }));
-    flow::stir_later(state);
+    flow::request_rescan(state);
 }
 
 fn note(state: &mut State, now: Time, engine: &Name, label: &'static str, out: &mut Vec<Effect>) {
-    if !state.suspicions.take(now, out) {
+    if !state.suspicions.allow(now, out) {
         return;
     }
     let relay = state.engines.get(engine).and_then(|known| known.path.relay.as_ref());
--- a/fleet/src/path/pass.rs
+++ b/fleet/src/path/relay.rs
@@ -41,13 +41,13 @@
 }
 
 /// Accepts a request of another entry VM to be relayed to this start of an engine, which runs `build`
-/// according to that entry VM. Returns the engine's address. [`crate::event::Event::Relayed`] must follow
+/// according to that entry VM. Returns the engine's address. [`crate::event::Event::RelayEnded`] must follow
 /// when the request has ended.
 ///
 /// # Errors
 ///
 /// Returns the reason if the request is not relayed; nothing has been sent then.
-pub(crate) fn pass(
+pub(crate) fn accept(
     state: &mut State,
     now: Time,
     engine: &Name,
@@ -57,8 +57,8 @@
     let allowed = allow(state, now, engine, incarnation, build);
     match allowed {
         Ok(_) => {
-            state.paths.passing += 1;
-            state.paths.passed += 1;
+            state.paths.relaying += 1;
+            state.paths.relayed += 1;
         }
         Err(denial) => *state.paths.denied.entry(denial.label()).or_default() += 1,
     }
@@ -74,7 +74,7 @@
 ) -> Result<SocketAddr, Denial> {
     // After a suspension, the process may read waiting requests before it has noticed that it was
     // suspended.
-    if state.stopping || state.freshness.in_doubt() || freshness::is_waking(state, now) {
+    if state.stopping || state.freshness.awaits_refresh() || freshness::is_resuming(state, now) {
         return Err(Denial::Unready);
     }
     let known = state.engines.get(engine).filter(|known| known.entry.incarnation == incarnation);
@@ -82,28 +82,28 @@
     // that only this build can continue.
     let known = known.filter(|known| known.entry.build.as_ref() == build);
     let known = known.filter(|known| known.takes_work()).ok_or(Denial::Unknown)?;
-    if known.path.relay.is_some() || known.health.suspected(now) {
+    if known.path.relay.is_some() || known.health.is_suspected(now) {
         return Err(Denial::Unreached);
     }
-    if state.paths.passing >= PASSING_MAX {
+    if state.paths.relaying >= PASSING_MAX {
         return Err(Denial::Full);
     }
     Ok(known.entry.address)
 }
 
 /// A relayed request has ended.
-pub(crate) const fn passed(state: &mut State) {
-    state.paths.passing = state.paths.passing.saturating_sub(1);
+pub(crate) const fn relayed_request_ended(state: &mut State) {
+    state.paths.relaying = state.paths.relaying.saturating_sub(1);
 }
 
 /// Whether requests of other entry VMs are being relayed.
-pub(crate) const fn is_passing(state: &State) -> bool {
-    state.paths.passing > 0
+pub(crate) const fn is_relaying(state: &State) -> bool {
+    state.paths.relaying > 0
 }
 
 /// Ports to connect to in order to tell another entry VM whether an engine is reachable from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Look {
+pub struct Probe {
     /// The engine's port.
     pub address: SocketAddr,
     /// The port of another engine. If that one does not answer either, no statement is possible: this entry
@@ -112,16 +112,16 @@
 }
 
 /// Ports to probe for another entry VM; `None` if this entry VM cannot tell.
-pub(crate) fn look(state: &State, now: Time, engine: &Name) -> Option<Look> {
+pub(crate) fn probe(state: &State, now: Time, engine: &Name) -> Option<Probe> {
     let known = state.engines.get(engine)?;
     if known.path.relay.is_some() {
         // The engine is relayed, so a probe from here says nothing about the engine itself.
         return None;
     }
     let trusted =
-        |other: &&Engine| other.entry.id != *engine && !other.leaves() && !other.health.suspected(now);
-    let latest = state.engines.values().filter(trusted).max_by_key(|other| other.path.heard);
-    let any = || state.engines.values().find(|other| other.entry.id != *engine && !other.leaves());
+        |other: &&Engine| other.entry.id != *engine && !other.is_leaving() && !other.health.is_suspected(now);
+    let latest = state.engines.values().filter(trusted).max_by_key(|other| other.path.heard_at);
+    let any = || state.engines.values().find(|other| other.entry.id != *engine && !other.is_leaving());
     let control = latest.or_else(any).map(|other| other.entry.address);
-    Some(Look { address: known.entry.address, control })
+    Some(Probe { address: known.entry.address, control })
 }
--- a/fleet/src/pin.rs
+++ b/fleet/src/pin.rs
@@ -9,8 +9,8 @@
 //! is refused at once.
 
 mod history;
-mod keepers;
-mod kept;
+mod origins;
+mod replicas;
 mod trace;
 
 use std::collections::BTreeMap;
@@ -21,13 +21,13 @@
 
 use crate::flow::Flow;
 use crate::state::State;
-pub(crate) use history::{History, fresh, settling};
+pub(crate) use history::{History, settling_time, staleness_max};
 pub use history::{Report, Seen};
-pub use keepers::Note;
-pub(crate) use keepers::{begun, build_came, due, keep, tell_all};
-use kept::Kept;
-pub use kept::Origin;
-pub(crate) use trace::{identify, traced};
+pub use origins::Origin;
+use origins::Origins;
+pub use replicas::Announcement;
+pub(crate) use replicas::{announce_all, announce_due, build_appeared, store, stream_began};
+pub(crate) use trace::{origin_answered, resolve_origin};
 
 /// Shortest time for which the origin of a stream is stored. A stream may last for several attempts of its client, each of which may
 /// take its route's timeout.
@@ -36,13 +36,13 @@
 /// The stream origins stored by this process, and statistics.
 #[derive(Debug, Default)]
 pub(crate) struct Pins {
-    pub(crate) kept: Kept,
+    pub(crate) origins: Origins,
     /// Number of decisions on resumed streams, by the source of the origin.
     pub(crate) decided: BTreeMap<&'static str, u64>,
     /// Messages sent to replicas.
     pub(crate) messages: u64,
     /// Stream origins in these messages.
-    pub(crate) told: u64,
+    pub(crate) streams_announced: u64,
 }
 
 /// The builds whose engines may write a request's next events.
@@ -69,12 +69,12 @@
     }
 
     /// Whether some builds may not continue.
-    pub(crate) const fn binds(&self) -> bool {
+    pub(crate) const fn is_restricted(&self) -> bool {
         !matches!(self, Self::Free)
     }
 
     /// Records that events of a build were forwarded to the caller.
-    pub fn wrote(&mut self, build: Option<&Name>) {
+    pub fn events_from(&mut self, build: Option<&Name>) {
         *self = match (&*self, build) {
             (Self::Free, Some(build)) => Self::Build(build.clone()),
             (Self::Build(pinned), Some(build)) if pinned == build => return,
@@ -93,13 +93,13 @@
 /// The only build of a service that can have begun a stream; none if there are several, or if that is not certain.
 fn only_build<'a>(state: &'a State, now: Time, service: &Name) -> Option<&'a Name> {
     let age = state.freshness.age(now)?;
-    if age > fresh(state) {
+    if age > staleness_max(state) {
         return None;
     }
-    state.history.only(now, service, life(state))
+    state.history.only_build(now, service, life(state))
 }
 
 /// Whether a request begins a stream that its client may resume at another entry VM.
-pub(crate) fn begins(flow: &Flow) -> bool {
+pub(crate) fn begins_resumable(flow: &Flow) -> bool {
     flow.route.kind.resumable() && flow.pin == Pin::Free
 }
--- a/fleet/src/pin/history.rs
+++ b/fleet/src/pin/history.rs
@@ -16,14 +16,14 @@
 use crate::state::State;
 
 /// The largest age of the known state of the engines' table at which it is certain which builds serve.
-pub(crate) fn fresh(state: &State) -> Duration {
-    state.settings.departure.word() + frame::pace(state) * 2
+pub(crate) fn staleness_max(state: &State) -> Duration {
+    state.settings.departure_bound.relayed_age_max() + frame::own_frame_interval(state) * 2
 }
 
 /// How long a build must have been known before it gets resumable streams. This is twice [`fresh`], because that bound differs between entry
 /// VMs that count different numbers of members.
-pub(crate) fn settling(state: &State) -> Duration {
-    fresh(state) * 2
+pub(crate) fn settling_time(state: &State) -> Duration {
+    staleness_max(state) * 2
 }
 
 /// The builds of all services, with the times at which they served.
@@ -129,7 +129,7 @@
     }
 
     /// Records that the table is known as it was at `at`. `before` is the time up to which it was known until now.
-    pub(crate) fn confirmed(&mut self, at: Time, before: Option<Time>, settling: Duration) {
+    pub(crate) fn confirm(&mut self, at: Time, before: Option<Time>, settling: Duration) {
         // A build that came and went within a shorter gap has got no resumable streams.
         let gap = before.is_some_and(|before| at.since(before) >= settling);
         self.until = at;
@@ -142,7 +142,7 @@
     }
 
     /// Marks the history as complete from the beginning, since nothing served before this process started.
-    pub(crate) const fn is_first(&mut self) {
+    pub(crate) const fn mark_complete(&mut self) {
         self.known = Some(Known::Ever);
     }
 
@@ -165,7 +165,7 @@
     }
 
     /// The only build of a service that has served within `life`, if the history of that time is complete.
-    pub(crate) fn only(&self, now: Time, service: &Name, life: Duration) -> Option<&Name> {
+    pub(crate) fn only_build(&self, now: Time, service: &Name, life: Duration) -> Option<&Name> {
         let known = match self.known? {
             Known::Ever => true,
             Known::From(from) => now.since(from) >= life,
--- a/fleet/src/pin/kept.rs
+++ b/fleet/src/pin/origins.rs
@@ -24,13 +24,13 @@
 /// The origins of streams in two generations. The older one is dropped as a whole, so that the origins received longest ago are
 /// forgotten first.
 #[derive(Debug, Default)]
-pub(crate) struct Kept {
+pub(crate) struct Origins {
     young: FxHashMap<Stream, Origin>,
     old: FxHashMap<Stream, Origin>,
     began: Time,
 }
 
-impl Kept {
+impl Origins {
     /// Stores a stream's origin for at least `life`, unless too many streams are stored meanwhile.
     pub(crate) fn insert(&mut self, now: Time, stream: Stream, mut origin: Origin, life: Duration) {
         if now.since(self.began) >= life || self.young.len() >= GENERATION_MAX {
--- a/fleet/src/pin/keepers.rs
+++ b/fleet/src/pin/replicas.rs
@@ -23,7 +23,7 @@
 
 /// Streams of one origin, as sent to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Note {
+pub struct Announcement {
     /// Their origin.
     pub origin: Origin,
     /// The streams.
@@ -31,17 +31,17 @@
 }
 
 /// Stores and replicates the origin of a stream whose first events were forwarded to its client.
-pub(crate) fn begun(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
+pub(crate) fn stream_began(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some((stream, origin)) = state.flows.get(&id).and_then(origin_of) else {
         return;
     };
     let life = life(state);
-    state.pins.kept.insert(now, stream, origin.clone(), life);
+    state.pins.origins.insert(now, stream, origin.clone(), life);
     if only_build(state, now, &origin.service).is_some() {
         return;
     }
-    for address in keepers(state, stream) {
-        tell(state, address, vec![Note { origin: origin.clone(), streams: vec![stream] }], out);
+    for address in replicas(state, stream) {
+        tell(state, address, vec![Announcement { origin: origin.clone(), streams: vec![stream] }], out);
     }
 }
 
@@ -57,47 +57,47 @@
 }
 
 /// The addresses of a stream's replicas other than this process.
-pub(super) fn keepers(state: &State, stream: Stream) -> Vec<SocketAddr> {
-    let keepers = state.members.keepers(stream).into_iter().filter(|member| member.vm != state.me.vm);
+pub(super) fn replicas(state: &State, stream: Stream) -> Vec<SocketAddr> {
+    let keepers = state.members.stream_replicas(stream).into_iter().filter(|member| member.vm != state.me.vm);
     keepers.map(|member| member.address).collect()
 }
 
-fn tell(state: &mut State, address: SocketAddr, notes: Vec<Note>, out: &mut Vec<Effect>) {
+fn tell(state: &mut State, address: SocketAddr, notes: Vec<Announcement>, out: &mut Vec<Effect>) {
     state.pins.messages += 1;
-    state.pins.told += notes.iter().map(|note| note.streams.len() as u64).sum::<u64>();
-    out.push(Effect::Note { address, notes });
+    state.pins.streams_announced += notes.iter().map(|note| note.streams.len() as u64).sum::<u64>();
+    out.push(Effect::AnnounceOrigins { address, notes });
 }
 
 /// Sends the origins of open streams again, at a regular interval.
-pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    state.timers.set(now + TELL_EVERY.mul_f64(frame::many(state)), Timer::Pins);
+pub(crate) fn announce_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    state.timers.set(now + TELL_EVERY.mul_f64(frame::size_factor(state)), Timer::StreamReports);
     let life = life(state);
     state.history.prune(now, life);
-    tell_all(state, now, out);
+    announce_all(state, now, out);
 }
 
 /// Schedules sending the origins of open streams after a service got engines of a new build. Entry VMs spread this over some time.
-pub(crate) fn build_came(state: &mut State, now: Time) {
-    let within = TELL_SPREAD.mul_f64(frame::many(state) * state.rng.f64());
-    state.timers.set(now + within, Timer::TellPins);
+pub(crate) fn build_appeared(state: &mut State, now: Time) {
+    let within = TELL_SPREAD.mul_f64(frame::size_factor(state) * state.rng.f64());
+    state.timers.set(now + within, Timer::StreamReportsRetry);
 }
 
 /// Sends the origins of all open streams to their replicas.
-pub(crate) fn tell_all(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn announce_all(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let life = life(state);
     let streams: Vec<(Stream, Origin)> = state.flows.values().filter_map(origin_of).collect();
     let mut notes: BTreeMap<SocketAddr, BTreeMap<Origin, BTreeSet<Stream>>> = BTreeMap::new();
     for (stream, origin) in streams {
-        state.pins.kept.insert(now, stream, origin.clone(), life);
+        state.pins.origins.insert(now, stream, origin.clone(), life);
         if only_build(state, now, &origin.service).is_some() {
             continue;
         }
-        for address in keepers(state, stream) {
+        for address in replicas(state, stream) {
             notes.entry(address).or_default().entry(origin.clone()).or_default().insert(stream);
         }
     }
     for (address, origins) in notes {
-        let note = |(origin, streams): (Origin, BTreeSet<Stream>)| Note {
+        let note = |(origin, streams): (Origin, BTreeSet<Stream>)| Announcement {
             origin,
             streams: streams.into_iter().collect(),
         };
@@ -106,11 +106,11 @@
 }
 
 /// Stores stream origins that another entry VM sent.
-pub(crate) fn keep(state: &mut State, now: Time, notes: Vec<Note>) {
+pub(crate) fn store(state: &mut State, now: Time, notes: Vec<Announcement>) {
     let life = life(state);
-    for Note { origin, streams } in notes {
+    for Announcement { origin, streams } in notes {
         for stream in streams {
-            state.pins.kept.insert(now, stream, origin.clone(), life);
+            state.pins.origins.insert(now, stream, origin.clone(), life);
         }
     }
 }
--- a/fleet/src/pin/trace.rs
+++ b/fleet/src/pin/trace.rs
@@ -6,27 +6,27 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
-use super::keepers::keepers;
+use super::replicas::replicas;
 use super::{Origin, Pin, only_build};
 use crate::effect::Effect;
-use crate::flow::{self, COME_BACK, Stage};
+use crate::flow::{self, RETRY_AFTER, Stage};
 use crate::record::Record;
 use crate::request::Id;
 use crate::state::State;
 
 /// Whether it is known which engines may serve a request. If its client resumes a stream whose origin is not known here, the stream's replicas
 /// are asked, or the request is refused.
-pub(crate) fn identify(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> bool {
+pub(crate) fn resolve_origin(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> bool {
     let Some(flow) = state.flows.get(&id) else {
         return false;
     };
     if matches!(flow.stage, Stage::Tracing { .. }) {
         return false;
     }
-    let Some(resumption) = flow.resumes else {
+    let Some(resumption) = flow.resumption else {
         return true;
     };
-    if let Some(origin) = resumption.stream.and_then(|stream| state.pins.kept.get(stream)).cloned() {
+    if let Some(origin) = resumption.stream.and_then(|stream| state.pins.origins.get(stream)).cloned() {
         return settle(state, now, id, &origin, "kept", out);
     }
     if let [share] = &*flow.route.split
@@ -35,7 +35,7 @@
         let origin = Origin { service: share.service.clone(), build: Some(build.clone()) };
         return settle(state, now, id, &origin, "only", out);
     }
-    let asked = resumption.stream.map(|stream| (stream, keepers(state, stream)));
+    let asked = resumption.stream.map(|stream| (stream, replicas(state, stream)));
     let Some((stream, keepers)) = asked.filter(|(_, keepers)| !keepers.is_empty()) else {
         unknown(state, now, id, out);
         return false;
@@ -43,12 +43,18 @@
     if let Some(flow) = state.flows.get_mut(&id) {
         flow.stage = Stage::Tracing { left: keepers.len() };
     }
-    out.extend(keepers.into_iter().map(|address| Effect::Trace { address, request: id, stream }));
+    out.extend(keepers.into_iter().map(|address| Effect::QueryOrigin { address, request: id, stream }));
     false
 }
 
 /// Handles a replica's answer on the origin of the stream that a request resumes; none if it does not know it or did not answer.
-pub(crate) fn traced(state: &mut State, now: Time, id: Id, origin: Option<&Origin>, out: &mut Vec<Effect>) {
+pub(crate) fn origin_answered(
+    state: &mut State,
+    now: Time,
+    id: Id,
+    origin: Option<&Origin>,
+    out: &mut Vec<Effect>,
+) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
@@ -84,7 +90,7 @@
         unknown(state, now, id, out);
         return false;
     };
-    let resumption = flow.resumes.take();
+    let resumption = flow.resumption.take();
     flow.stream = resumption.and_then(|resumption| resumption.stream);
     flow.pin = Pin::Build(build.clone());
     let allowed = flow.route.split.iter().any(|share| share.service == origin.service);
@@ -100,10 +106,10 @@
 /// Refuses a request because the origin of the stream that it resumes is unknown.
 fn unknown(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     decided(state, id, "unknown", None, out);
-    flow::give_up(state, now, id, Code::OriginUnknown, Some(COME_BACK), out);
+    flow::give_up(state, now, id, Code::OriginUnknown, Some(RETRY_AFTER), out);
 }
 
 fn decided(state: &mut State, id: Id, by: &'static str, build: Option<Name>, out: &mut Vec<Effect>) {
     *state.pins.decided.entry(by).or_default() += 1;
-    out.push(Effect::Record(Record::Traced { request: id.0, by, build, kept: state.pins.kept.len() }));
+    out.push(Effect::Record(Record::Traced { request: id.0, by, build, kept: state.pins.origins.len() }));
 }
--- a/fleet/src/place.rs
+++ b/fleet/src/place.rs
@@ -1,7 +1,7 @@
 //! Computes which copies of models to load and drop for a given demand. The result depends on the input of the
 //! plan alone.
 
-mod worth;
+mod utility;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,11 +13,11 @@
 use crate::demand::Trend;
 use crate::engine::{Cached, Phase};
 use crate::ledger;
-use crate::record::{Placed, Record};
+use crate::record::{Placement, Record};
 use crate::settings::Mechanism;
 use crate::tally::Tally;
 
-use worth::Worths;
+use utility::Utility;
 
 /// Minimum ratio of the utility of a new copy to the utility of the copy that it replaces.
 const GAIN: f64 = 1.5;
@@ -40,54 +40,54 @@
 
 /// Input of a plan.
 #[derive(Clone, Debug)]
-pub struct View<'a> {
+pub struct Input<'a> {
     /// Configuration of the pool: sizes, load times and limits of its models and engines.
     pub pool: &'a Pool,
     /// Engines of the pool.
-    pub spots: Vec<Spot>,
+    pub engines: Vec<Candidate>,
     /// Smoothed demand by model.
     pub demand: BTreeMap<Name, Trend>,
     /// Number of loads from the weight store that may begin now.
-    pub cold_left: usize,
+    pub cold_loads_left: usize,
     /// Number of loads from the weight store under way.
-    pub cold_running: usize,
+    pub cold_loads_running: usize,
     /// Time for which demand has been observed.
-    pub watched: Duration,
+    pub observed_for: Duration,
     /// Time from one plan to the next.
-    pub every: Duration,
+    pub interval: Duration,
     /// Current time.
     pub now: Time,
     /// Mechanisms that are disabled.
-    pub without: &'a [Mechanism],
+    pub disabled: &'a [Mechanism],
 }
 
 /// State of an engine at the time of a plan.
 #[derive(Clone, Debug, Default)]
-pub struct Spot {
+pub struct Candidate {
     /// Id of the engine.
     pub engine: Name,
     /// Whether it serves requests and is expected to continue.
     pub usable: bool,
     /// Whether it has announced a limit of requests per second. Its copies serve few requests, and it gets no
     /// further copies.
-    pub limited: bool,
+    pub rate_limited: bool,
     /// Whether it can accept an order now.
     pub idle: bool,
     /// Copies at the engine, present or expected, with their phases.
     pub copies: Vec<(Name, Phase)>,
     /// Models whose copies have been ready for less than their minimum residence time.
-    pub young: Vec<Name>,
+    pub recently_loaded: Vec<Name>,
     /// Free memory, in MB.
     pub free_mb: f64,
     /// Weights that it can load without the weight store.
     pub cached: Cached,
     /// Number of requests under way at the engine.
-    pub open: u32,
+    pub open_requests: u32,
     /// Availability zone of the engine.
     pub zone: Name,
 }
 
-impl Spot {
+impl Candidate {
     /// Whether it holds a model or is expected to.
     fn holds(&self, model: &Name) -> bool {
         self.copies.iter().any(|(held, _)| held == model)
@@ -107,7 +107,7 @@
 
 /// Returns the changes to make now, the most useful first.
 #[must_use]
-pub fn moves(view: View<'_>) -> Vec<Move> {
+pub fn plan_moves(view: Input<'_>) -> Vec<Move> {
     let most = view.moves_max();
     let mut placer = Placer::new(view);
     let mut out = Vec::new();
@@ -124,9 +124,9 @@
 /// The input of a plan with counted copies; each decided change is applied to both.
 #[derive(Debug)]
 struct Placer<'a> {
-    view: View<'a>,
+    view: Input<'a>,
     tally: Tally,
-    worths: Worths,
+    worths: Utility,
     /// Whether the engines lack room for all models.
     short: bool,
 }
@@ -134,7 +134,7 @@
 /// An engine that can accept an order.
 #[derive(Debug)]
 struct Offer<'a> {
-    spot: &'a Spot,
+    spot: &'a Candidate,
     /// Copies that may be dropped there, by increasing utility.
     victims: Vec<Victim<'a>>,
 }
@@ -160,15 +160,15 @@
     }
 }
 
-impl View<'_> {
+impl Input<'_> {
     fn busy(&self, model: &Name) -> f64 {
-        self.demand.get(model).map_or(0.0, |trend| trend.busy)
+        self.demand.get(model).map_or(0.0, |trend| trend.concurrency)
     }
 
     /// Maximum number of changes in this plan: the number of loads that the weight store serves until the next
     /// plan.
     fn moves_max(&self) -> usize {
-        let served = self.pool.loads_per_s * self.every.as_secs_f64();
+        let served = self.pool.loads_per_s * self.interval.as_secs_f64();
         (served.ceil() as usize).max(MOVES)
     }
 
@@ -176,8 +176,8 @@
     /// an entry VM that has just begun to plan would mistake the busiest models for unused ones. Before the
     /// first request this does not matter.
     fn is_new_to_demand(&self) -> bool {
-        let watched = !self.watched.is_zero() && self.watched < UNUSED;
-        watched && !self.without.contains(&Mechanism::WatchedDrops)
+        let watched = !self.observed_for.is_zero() && self.observed_for < UNUSED;
+        watched && !self.disabled.contains(&Mechanism::ObservedDrops)
     }
 
     /// Whether another load from the weight store would finish within its declared time. The number of loads
@@ -186,50 +186,50 @@
     /// loads at once where two are served, the three copies of the busiest model were ready after 2 to 4.5 s
     /// instead of 1.2 s, as seen in a log with one record per second.
     fn cold_is_fast(&self, model: &Name) -> bool {
-        if self.without.contains(&Mechanism::BoundedLoads) {
+        if self.disabled.contains(&Mechanism::BoundedLoads) {
             return true;
         }
         let load_s = self.pool.model(model).map_or(0.0, |model| model.cold.as_secs_f64());
-        (self.cold_running as f64) < (self.pool.loads_per_s * load_s).max(1.0)
+        (self.cold_loads_running as f64) < (self.pool.loads_per_s * load_s).max(1.0)
     }
 
     /// Whether a model has had no request for a while although demand was observed.
     fn unused(&self, model: &Name) -> bool {
-        let asked = self.demand.get(model).and_then(|trend| trend.asked);
-        self.watched >= UNUSED && asked.is_none_or(|at| self.now.since(at) >= UNUSED)
+        let asked = self.demand.get(model).and_then(|trend| trend.last_requested);
+        self.observed_for >= UNUSED && asked.is_none_or(|at| self.now.since(at) >= UNUSED)
     }
 
     /// Log record of the placement.
     pub(crate) fn record(&self, service: &Name) -> Record {
-        let tally = Tally::of(&self.spots);
-        let placed = |model: &Model| Placed {
+        let tally = Tally::of(&self.engines);
+        let placed = |model: &Model| Placement {
             model: model.name.clone(),
             busy: (self.busy(&model.name) * 10.0).round() / 10.0,
             ready: tally.ready(&model.name),
             loading: tally.loading(&model.name),
             closing: tally.closing(&model.name),
         };
-        let mut models: Vec<Placed> = self.pool.models.iter().map(placed).collect();
+        let mut models: Vec<Placement> = self.pool.models.iter().map(placed).collect();
         models.sort_by(|a, b| b.busy.total_cmp(&a.busy));
         models.truncate(MODELS_LOGGED);
         Record::Placement {
             service: service.clone(),
             models,
-            cold_left: self.cold_left,
-            idle: self.spots.iter().filter(|spot| spot.idle).count(),
-            usable: self.spots.iter().filter(|spot| spot.usable).count(),
+            cold_left: self.cold_loads_left,
+            idle: self.engines.iter().filter(|spot| spot.idle).count(),
+            usable: self.engines.iter().filter(|spot| spot.usable).count(),
         }
     }
 }
 
 impl<'a> Placer<'a> {
-    fn new(view: View<'a>) -> Self {
-        let worths = Worths::of(&view);
+    fn new(view: Input<'a>) -> Self {
+        let worths = Utility::of(&view);
         let mean_mb = worths.mean_mb().max(1.0);
-        let places = |spot: &Spot| spot.copies.len() + (spot.free_mb / mean_mb).max(0.0) as usize;
-        let room: usize = view.spots.iter().filter(|spot| spot.usable).map(places).sum();
+        let places = |spot: &Candidate| spot.copies.len() + (spot.free_mb / mean_mb).max(0.0) as usize;
+        let room: usize = view.engines.iter().filter(|spot| spot.usable).map(places).sum();
         let short = view.pool.models.len() > room;
-        Self { tally: Tally::of(&view.spots), worths, short, view }
+        Self { tally: Tally::of(&view.engines), worths, short, view }
     }
 
     /// The change with the highest utility.
@@ -239,7 +239,7 @@
             let worth = if self.tally.expected(&model.name) == 0 {
                 self.worths.first(&model.name)
             } else {
-                self.worths.further(&model.name, self.tally.expected_free(&model.name))
+                self.worths.further(&model.name, self.tally.expected_unlimited(&model.name))
             };
             wanted.push((&model.name, worth));
         }
@@ -251,7 +251,7 @@
 
     /// Engines that can accept an order, each with the copies that may be dropped there.
     fn offers(&self) -> Vec<Offer<'_>> {
-        let spots = self.view.spots.iter().filter(|spot| spot.usable && spot.idle && !spot.limited);
+        let spots = self.view.engines.iter().filter(|spot| spot.usable && spot.idle && !spot.rate_limited);
         spots.map(|spot| Offer { spot, victims: self.victims(spot) }).collect()
     }
 
@@ -259,8 +259,11 @@
     fn place(&self, offers: &[Offer<'_>], model: &Name, worth: f64) -> Option<Move> {
         let memory_mb = self.worths.memory_mb(model);
         let missing = self.tally.expected(model) == 0;
-        let cold_left =
-            if missing { self.view.cold_left } else { ledger::beyond_reserve(self.view.cold_left) };
+        let cold_left = if missing {
+            self.view.cold_loads_left
+        } else {
+            ledger::cold_loads_beyond_reserve(self.view.cold_loads_left)
+        };
         let from_store = cold_left > 0 && self.view.cold_is_fast(model);
         let waited_for = self.view.demand.get(model).is_some_and(|trend| trend.waiting > 0);
         // If the engines lack room for all models, a model that nobody waits for does not replace another.
@@ -281,7 +284,7 @@
                 continue;
             }
             let beside = self.tally.in_zone(model, &spot.zone) as f64 * ZONE_COST;
-            let cost = lost + f64::from(spot.open) * OPEN_COST + source.cost() + beside;
+            let cost = lost + f64::from(spot.open_requests) * OPEN_COST + source.cost() + beside;
             if best.as_ref().is_none_or(|(least, ..)| cost < *least) {
                 best = Some((cost, offer, drop));
             }
@@ -294,16 +297,18 @@
     }
 
     /// The copies at an engine that may be dropped, by increasing utility.
-    fn victims<'b>(&self, spot: &'b Spot) -> Vec<Victim<'b>> {
+    fn victims<'b>(&self, spot: &'b Candidate) -> Vec<Victim<'b>> {
         let mut victims = Vec::with_capacity(spot.copies.len());
         for (model, phase) in &spot.copies {
             if *phase != Phase::Ready {
                 continue;
             }
             let (lost, only_overdue) = match self.tally.ready(model) {
-                2.. => (self.worths.further(model, self.tally.ready_free(model).saturating_sub(1)), false),
+                2.. => {
+                    (self.worths.further(model, self.tally.ready_unlimited(model).saturating_sub(1)), false)
+                }
                 _ if !self.worths.names(model) => (0.0, false),
-                _ if spot.young.contains(model) => continue,
+                _ if spot.recently_loaded.contains(model) => continue,
                 _ if self.short => (self.worths.last(model), false),
                 _ if self.worths.unused(model) => (self.worths.last(model), true),
                 _ => continue,
@@ -316,15 +321,15 @@
 
     /// The removal of an unused copy at an engine that lacks room for the largest model.
     fn spare(&self) -> Option<Move> {
-        if self.view.without.contains(&Mechanism::EarlyDrop) {
+        if self.view.disabled.contains(&Mechanism::EarlyDrop) {
             return None;
         }
         let largest_mb = self.worths.largest_mb;
         for spot in
-            self.view.spots.iter().filter(|spot| spot.usable && spot.idle && spot.free_mb < largest_mb)
+            self.view.engines.iter().filter(|spot| spot.usable && spot.idle && spot.free_mb < largest_mb)
         {
             let unused = spot.copies.iter().find(|(model, phase)| {
-                *phase == Phase::Ready && self.worths.unused(model) && self.tally.ready_free(model) >= 2
+                *phase == Phase::Ready && self.worths.unused(model) && self.tally.ready_unlimited(model) >= 2
             });
             if let Some((model, _)) = unused {
                 return Some(Move { engine: spot.engine.clone(), drop: Some(model.clone()), load: None });
@@ -336,7 +341,7 @@
     /// Applies a change to the input and the counts.
     fn carry(&mut self, step: &Move) {
         let Self { view, tally, .. } = self;
-        let Some(spot) = view.spots.iter_mut().find(|spot| spot.engine == step.engine) else {
+        let Some(spot) = view.engines.iter_mut().find(|spot| spot.engine == step.engine) else {
             return;
         };
         spot.idle = false;
@@ -350,8 +355,8 @@
         spot.copies.push((model.clone(), Phase::Loading));
         tally.add(model, Phase::Loading, &spot.zone);
         if source(spot, model) == Source::Store {
-            view.cold_left = view.cold_left.saturating_sub(1);
-            view.cold_running += 1;
+            view.cold_loads_left = view.cold_loads_left.saturating_sub(1);
+            view.cold_loads_running += 1;
         }
     }
 }
@@ -375,7 +380,7 @@
     }
 }
 
-fn source(spot: &Spot, model: &Name) -> Source {
+fn source(spot: &Candidate, model: &Name) -> Source {
     if spot.cached.memory.contains(model) {
         Source::Memory
     } else if spot.cached.disk.contains(model) {
--- a/fleet/src/place/worth.rs
+++ b/fleet/src/place/utility.rs
@@ -10,7 +10,7 @@
 use boragecove_core::name::Name;
 use rustc_hash::FxHashMap;
 
-use crate::place::View;
+use crate::place::Input;
 
 /// Maximum fraction of its time that an engine should spend on reading the prompts of one model: its streams
 /// stall meanwhile.
@@ -30,7 +30,7 @@
 
 /// Utility of the copies of each model of a pool.
 #[derive(Debug)]
-pub(crate) struct Worths {
+pub(crate) struct Utility {
     by_model: FxHashMap<Name, Model>,
     /// Slots per engine.
     slots: f64,
@@ -54,16 +54,17 @@
     unused: bool,
 }
 
-impl Worths {
+impl Utility {
     /// Computes the utilities of the models in the input of a plan.
-    pub(crate) fn of(view: &View<'_>) -> Self {
+    pub(crate) fn of(view: &Input<'_>) -> Self {
         let slots = f64::from(view.pool.slots.max(1));
         let model = |model: &crate::config::Model| {
             let trend = view.demand.get(&model.name).copied().unwrap_or_default();
-            let need = (trend.reading / READING_PER_COPY).max(trend.busy / (slots * SLOTS_PER_COPY));
+            let need =
+                (trend.reading_load / READING_PER_COPY).max(trend.concurrency / (slots * SLOTS_PER_COPY));
             let unused = view.unused(&model.name);
-            let starved = trend.starved;
-            let known = Model { memory_mb: model.memory_mb, busy: trend.busy, need, starved, unused };
+            let starved = trend.starved_for;
+            let known = Model { memory_mb: model.memory_mb, busy: trend.concurrency, need, starved, unused };
             (model.name.clone(), known)
         };
         let by_model: FxHashMap<Name, Model> = view.pool.models.iter().map(model).collect();
--- a/fleet/src/plan.rs
+++ b/fleet/src/plan.rs
@@ -16,7 +16,7 @@
 use crate::engine::Engine;
 use crate::ledger;
 use crate::order::Order;
-use crate::place::{Spot, View, moves};
+use crate::place::{Candidate, Input, plan_moves};
 use crate::settings::Mechanism;
 use crate::state::State;
 use crate::timer::Timer;
@@ -28,7 +28,7 @@
 /// Makes the next plan and sends the orders that follow from it.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.timers.set(now + state.settings.plan_every, Timer::Plan);
-    if state.lease.holds(now).is_none() {
+    if state.lease.held_term(now).is_none() {
         return;
     }
     ledger::sync(state, now);
@@ -38,7 +38,7 @@
     for id in &managed {
         ledger::check(state, now, id, out);
     }
-    if state.lease.orders(now).is_none() {
+    if state.lease.ordering_term(now).is_none() {
         return;
     }
     let Some(config) = state.config.clone() else {
@@ -49,8 +49,8 @@
             models(state, now, &service.name, pool, out);
         }
     }
-    adapter::all_wanted(state, now, out);
-    if state.settings.uses(Mechanism::AdapterRelief) {
+    adapter::place_all_waiting(state, now, out);
+    if state.settings.is_enabled(Mechanism::AdapterRelief) {
         adapter::relieve(state, now, out);
     }
 }
@@ -59,56 +59,59 @@
 fn take_in(state: &mut State, now: Time) {
     let own = state.demand.take();
     for demand in &own {
-        state.appetite.arrived(demand);
+        state.fleet_demand.add_arrivals(demand);
     }
-    let State { appetite, hub, .. } = state;
+    let State { fleet_demand: appetite, hub, .. } = state;
     appetite.update(now, hub.frames().flat_map(|frame| &frame.demand).chain(&own));
 }
 
 fn models(state: &mut State, now: Time, service: &Name, pool: &Pool, out: &mut Vec<Effect>) {
-    let cold_left = state.ledger.cold_left(now, pool.loads_per_s, &state.settings);
-    let cold_running = state.engines_of(service).map(|engine| ledger::cold_running(state, engine)).sum();
-    let spots: Vec<Spot> =
+    let cold_left = state.ledger.cold_loads_left(now, pool.loads_per_s, &state.settings);
+    let cold_running =
+        state.engines_of(service).map(|engine| ledger::cold_loads_running(state, engine)).sum();
+    let spots: Vec<Candidate> =
         state.engines_of(service).filter_map(|engine| spot(state, now, engine, pool)).collect();
     let demand =
-        pool.models.iter().map(|model| (model.name.clone(), state.appetite.trend(service, &model.name)));
-    let watched = state.appetite.watched(now);
-    let view = View {
+        pool.models.iter().map(|model| (model.name.clone(), state.fleet_demand.trend(service, &model.name)));
+    let watched = state.fleet_demand.observed_for(now);
+    let view = Input {
         pool,
-        spots,
+        engines: spots,
         demand: demand.collect(),
-        cold_left,
-        cold_running,
-        watched,
-        every: state.settings.plan_every,
+        cold_loads_left: cold_left,
+        cold_loads_running: cold_running,
+        observed_for: watched,
+        interval: state.settings.plan_every,
         now,
-        without: &state.settings.without,
+        disabled: &state.settings.disabled,
     };
-    if state.appetite.report_due(now) {
+    if state.fleet_demand.log_due(now) {
         out.push(Effect::Record(view.record(service)));
     }
-    for step in moves(view) {
+    for step in plan_moves(view) {
         let drop = step.drop.map(|model| Order::Unload { model });
         let load = step.load.map(|model| Order::Load { model });
-        ledger::order(state, now, &step.engine, drop.into_iter().chain(load), out);
+        ledger::enqueue(state, now, &step.engine, drop.into_iter().chain(load), out);
     }
 }
 
-fn spot(state: &State, now: Time, engine: &Engine, pool: &Pool) -> Option<Spot> {
-    let book = state.ledger.book(&engine.entry.id)?;
+fn spot(state: &State, now: Time, engine: &Engine, pool: &Pool) -> Option<Candidate> {
+    let book = state.ledger.inventory(&engine.entry.id)?;
     let age = |model: &Name| pool.model(model).map_or(Duration::ZERO, |model| model.cold * EARNED);
-    Some(Spot {
+    Some(Candidate {
         engine: engine.entry.id.clone(),
         usable: engine.takes_work()
             && engine.missing_until.is_none()
-            && (!engine.health.suspected(now) || engine.path.is_relayed() || engine.health.may_go_on(now)),
-        limited: state.intakes.limit_of(engine, now).is_some(),
-        idle: book.idle() && !engine.health.suspected(now),
+            && (!engine.health.is_suspected(now)
+                || engine.path.is_relayed()
+                || engine.health.may_resume(now)),
+        rate_limited: state.rate_limits.limit_of(engine, now).is_some(),
+        idle: book.idle() && !engine.health.is_suspected(now),
         copies: book.copies_expected().map(|(model, phase)| (model.clone(), phase)).collect(),
-        young: book.younger(now, age).cloned().collect(),
+        recently_loaded: book.ready_for_less_than(now, age).cloned().collect(),
         free_mb: pool.memory_mb - book.memory_mb(pool),
         cached: engine.entry.cached.clone(),
-        open: engine.load().open,
+        open_requests: engine.load().open,
         zone: engine.entry.zone.clone(),
     })
 }
--- a/fleet/src/proof.rs
+++ b/fleet/src/proof.rs
@@ -41,37 +41,37 @@
 const ANSWERS: u32 = 12;
 
 /// Until when keys may be accepted; none if no proof is required.
-pub(crate) fn until(state: &State) -> Option<Time> {
+pub(crate) fn valid_until(state: &State) -> Option<Time> {
     let bound = state.settings.revocation?.saturating_sub(MARGIN);
     Some(state.proof.at.map_or(Time::default(), |at| at + bound))
 }
 
 /// Whether keys may be accepted.
-pub(crate) fn holds(state: &State, now: Time) -> bool {
-    until(state).is_none_or(|until| now < until)
+pub(crate) fn is_valid(state: &State, now: Time) -> bool {
+    valid_until(state).is_none_or(|until| now < until)
 }
 
 /// Whether the proof is so old that this process has to read the store itself.
-pub(crate) fn is_doubtful(state: &State, now: Time) -> bool {
+pub(crate) fn is_expiring(state: &State, now: Time) -> bool {
     let bound = state.settings.revocation.map(|bound| bound.mul_f64(DOUBTFUL));
     bound.is_some_and(|bound| state.proof.age(now).is_none_or(|age| age >= bound))
 }
 
 /// How long the store may hold back its answer to a long poll for changes of the configuration. An answer proves nothing about the time
 /// after the poll was sent, so that long waits would use up the proof.
-pub(crate) fn patience(settings: &Settings, longest: Duration) -> Duration {
+pub(crate) fn poll_timeout(settings: &Settings, longest: Duration) -> Duration {
     settings.revocation.map_or(longest, |bound| longest.min(bound / ANSWERS))
 }
 
 /// Records that the current configuration was the newest at time `at`.
 pub(crate) fn renew(state: &mut State, now: Time, at: Time, out: &mut Vec<Effect>) {
     state.proof.at = state.proof.at.max(Some(at));
-    check(state, now, out);
+    log_change(state, now, out);
 }
 
 /// Logs whether the proof has expired or become valid again since the last call.
-pub(crate) fn check(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let lost = !holds(state, now);
+pub(crate) fn log_change(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    let lost = !is_valid(state, now);
     if std::mem::replace(&mut state.proof.lost, lost) == lost {
         return;
     }
--- a/fleet/src/push.rs
+++ b/fleet/src/push.rs
@@ -12,19 +12,19 @@
 use boragecove_core::time::Time;
 use serde::{Deserialize, Serialize};
 
-use crate::crash::{self, News};
-use crate::departure::{self, Audience, Road};
+use crate::crash::{self, Report};
+use crate::departure::{self, Audience, Source};
 use crate::effect::Effect;
 use crate::engine::Row;
-use crate::entries;
 use crate::evacuation;
 use crate::frame;
-use crate::intake;
 use crate::lease;
 use crate::members::Member;
 use crate::notice::Start;
+use crate::rate_limit;
 use crate::rollout;
 use crate::state::State;
+use crate::tables;
 use crate::update::Packed;
 
 /// Fan-out of an entry VM with a small link: two copies of a large update take it 0.2 s.
@@ -40,17 +40,17 @@
     /// A configuration update; none in the announcement of a new hub, among others.
     pub update: Option<Packed>,
     /// New findings about requests that crash engines.
-    pub crashes: crash::News,
+    pub crashes: crash::Report,
     /// Rows of the engines' table that show engines as leaving or gone.
-    pub departures: Vec<Row>,
+    pub departure_rows: Vec<Row>,
     /// Engines that announced themselves that they are leaving.
-    pub departed: Vec<Start>,
+    pub departing: Vec<Start>,
     /// Limits announced by engines that are the first of their service to report that overload makes them fail.
-    pub limits: Vec<intake::Advert>,
+    pub limits: Vec<rate_limit::Report>,
     /// Changes of the evacuation state of availability zones.
-    pub evacuations: Vec<evacuation::Word>,
+    pub evacuations: Vec<evacuation::Status>,
     /// Entry VMs that the receiver has to forward the message to.
-    pub onward: Vec<SocketAddr>,
+    pub forward_to: Vec<SocketAddr>,
 }
 
 /// A message to be sent to an entry VM.
@@ -61,17 +61,17 @@
     /// The message.
     pub message: Box<Message>,
     /// Whether this is the second attempt.
-    pub again: bool,
+    pub is_retry: bool,
 }
 
 /// Pushes a message to the others: the hub to all, and without a hub a process that reads the store on behalf of its availability zone to that
 /// zone. Returns the audience.
-pub(crate) fn tell(state: &State, now: Time, message: &Message, out: &mut Vec<Effect>) -> Audience {
-    if state.lease.holds(now).is_some() {
-        spread(state, message, frame::reached(state), out);
+pub(crate) fn notify(state: &State, now: Time, message: &Message, out: &mut Vec<Effect>) -> Audience {
+    if state.lease.held_term(now).is_some() {
+        spread(state, message, frame::reachable_members(state), out);
         return Audience::All;
     }
-    if frame::speaks_for_zone(state, now) {
+    if frame::pushes_to_zone(state, now) {
         let near = state.members.list().iter().filter(|member| member.zone == state.me.zone);
         let others = near.filter(|member| member.vm != state.me.vm);
         spread(state, message, others.cloned(), out);
@@ -82,32 +82,32 @@
 
 /// Announces this process as the new hub to the entry VMs that its predecessor listed. Otherwise they would find out only from the silence of
 /// the predecessor and a read of the store, which takes seconds with hundreds of entry VMs.
-pub(crate) fn announce(state: &State, out: &mut Vec<Effect>) {
+pub(crate) fn announce_hub(state: &State, out: &mut Vec<Effect>) {
     let hub = state.lease.hub().cloned();
-    let message = Message { hub, evacuations: state.evacuations.words(), ..Message::default() };
-    spread(state, &message, frame::reached(state), out);
+    let message = Message { hub, evacuations: state.evacuations.all(), ..Message::default() };
+    spread(state, &message, frame::reachable_members(state), out);
 }
 
 /// Pushes new findings about requests that crash engines to all known entry VMs. This needs no hub.
-pub(crate) fn tell_crashes(state: &State, crashes: News, out: &mut Vec<Effect>) {
-    tell_everybody(state, &Message { crashes, ..Message::default() }, out);
+pub(crate) fn notify_crashes(state: &State, crashes: Report, out: &mut Vec<Effect>) {
+    broadcast(state, &Message { crashes, ..Message::default() }, out);
 }
 
 /// Pushes a message to all known entry VMs, whether or not there is a hub.
-pub(crate) fn tell_everybody(state: &State, message: &Message, out: &mut Vec<Effect>) {
+pub(crate) fn broadcast(state: &State, message: &Message, out: &mut Vec<Effect>) {
     let others = state.members.list().iter().filter(|member| member.vm != state.me.vm);
     spread(state, message, others.cloned(), out);
 }
 
 /// Pushes changes of the evacuation state of availability zones.
-pub(crate) fn tell_evacuations(
+pub(crate) fn notify_evacuations(
     state: &State,
     now: Time,
-    evacuations: Vec<evacuation::Word>,
+    evacuations: Vec<evacuation::Status>,
     out: &mut Vec<Effect>,
 ) {
     let message = Message { evacuations, ..Message::default() };
-    tell(state, now, &message, out);
+    notify(state, now, &message, out);
 }
 
 /// Sends a message along one tree for each availability zone.
@@ -122,62 +122,62 @@
         by_zone.entry(member.zone).or_default().push(member.address);
     }
     for onward in by_zone.into_values() {
-        forward(state, &Message { onward, ..message.clone() }, out);
+        forward(state, &Message { forward_to: onward, ..message.clone() }, out);
     }
 }
 
 /// Splits the recipients into as many parts as the fan-out, and pushes to the first of each part, which forwards to the rest of it.
 pub(crate) fn forward(state: &State, message: &Message, out: &mut Vec<Effect>) {
     let fan_out = if state.settings.weak { FAN_OUT_SMALL } else { FAN_OUT };
-    let mut left = &*message.onward;
+    let mut left = &*message.forward_to;
     for parts in (1..=fan_out).rev() {
         let (part, rest) = left.split_at(left.len().div_ceil(parts));
         left = rest;
         if let Some((first, onward)) = part.split_first() {
-            let message = Message { onward: onward.to_vec(), ..message.clone() };
-            out.push(Effect::Push(Push { address: *first, message: Box::new(message), again: false }));
+            let message = Message { forward_to: onward.to_vec(), ..message.clone() };
+            out.push(Effect::Push(Push { address: *first, message: Box::new(message), is_retry: false }));
         }
     }
 }
 
 /// Handles a push from another entry VM, and forwards it.
-pub(crate) fn received(state: &mut State, now: Time, message: Message, out: &mut Vec<Effect>) {
+pub(crate) fn receive(state: &mut State, now: Time, message: Message, out: &mut Vec<Effect>) {
     forward(state, &message, out);
     if let Some(hub) = message.hub {
-        lease::told(state, now, hub, out);
+        lease::hub_announced(state, now, hub, out);
     }
-    crash::told(state, now, message.crashes, out);
-    entries::told(state, now, message.departures, Road::Push, out);
-    departure::told(state, now, &message.departed, Road::Push, out);
+    crash::report_received(state, now, message.crashes, out);
+    tables::receive_rows(state, now, message.departure_rows, Source::Push, out);
+    departure::receive(state, now, &message.departing, Source::Push, out);
     // The sender may have notified only its own availability zone, so that the hub notifies all.
-    if state.lease.holds(now).is_some() {
-        departure::tell(state, now, out);
+    if state.lease.held_term(now).is_some() {
+        departure::notify(state, now, out);
     } else {
-        departure::leave_to_others(state, out);
+        departure::drop_pending(state, out);
     }
     for limit in &message.limits {
-        intake::told(state, now, limit);
+        rate_limit::report_received(state, now, limit);
     }
-    evacuation::told(state, now, &message.evacuations, out);
+    evacuation::receive(state, now, &message.evacuations, out);
     if let Some(update) = message.update {
-        rollout::take(state, now, update, "push", out);
+        rollout::receive(state, now, update, "push", out);
     }
 }
 
 /// Handles a push that was not delivered. The rest of its part is pushed to directly. The recipient itself is tried once more, because only
 /// the connection may have been lost and its next frame may be seconds away.
-pub(crate) fn missed(state: &State, push: Push, out: &mut Vec<Effect>) {
-    let Push { address, mut message, again } = push;
+pub(crate) fn delivery_failed(state: &State, push: Push, out: &mut Vec<Effect>) {
+    let Push { address, mut message, is_retry: again } = push;
     forward(state, &message, out);
     if again {
         return;
     }
-    message.onward.clear();
+    message.forward_to.clear();
     // A large update follows when a frame shows that the recipient lacks the version.
     if message.update.as_ref().is_some_and(|update| update.bytes.len() > rollout::INLINE_MAX) {
         message.update = None;
     }
     if *message != Message::default() {
-        out.push(Effect::Push(Push { address, message, again: true }));
+        out.push(Effect::Push(Push { address, message, is_retry: true }));
     }
 }
--- a/fleet/src/quota.rs
+++ b/fleet/src/quota.rs
@@ -26,12 +26,14 @@
 use allocator::Allocator;
 pub(crate) use allocator::hash;
 pub use allocator::{Holder, Lapsed, Outstanding, Unheard};
-use bucket::{Bucket, Rate, Size};
+use bucket::{Bucket, Capacity, Rate};
 use charge::Balance;
-pub(crate) use charge::{Answer, Asking, account, again, answered, charge, refund};
+pub(crate) use charge::{Answer, Pending, charge, charge_record, draw_answered, refund, retry_draw};
 use lead::Owners;
-pub(crate) use lead::{allot, begin, end, inherit, inherit_unknown, named, outstanding, propose, renew_own};
-pub use message::{Allotment, Credit, Draw, Held, Report, WHOLE};
+pub(crate) use lead::{
+    allot, allot_own, begin, end, fill_row, inherit, inherit_unknown, outstanding, row_holders_read,
+};
+pub use message::{Allotment, Credit, Draw, HeldShare, Report, WHOLE};
 
 /// How long a share stays valid without an answer from the hub. It covers the time to elect another hub; it
 /// is no longer than that because the share of a lost entry VM is unused until it expires.
@@ -101,17 +103,17 @@
     }
 
     /// Number of workspaces of which a share is held.
-    pub(crate) fn held(&self, now: Time) -> usize {
+    pub(crate) fn held_count(&self, now: Time) -> usize {
         self.holdings.values().filter(|holding| holding.until > now).count()
     }
 
     /// Shares held by this entry VM, to be reported to the hub.
     pub(crate) fn report(&mut self, now: Time) -> Report {
         self.holdings.retain(|_, holding| holding.until > now);
-        let held = self.holdings.iter().map(|(workspace, holding)| Held {
+        let held = self.holdings.iter().map(|(workspace, holding)| HeldShare {
             workspace: workspace.clone(),
             parts: holding.parts,
-            asked_per_s: holding.asked.per_s(now).round(),
+            demand_per_s: holding.asked.per_s(now).round(),
         });
         Report { process: self.process, shares: held.collect() }
     }
@@ -129,7 +131,7 @@
     }
 
     /// Bucket size for the held share.
-    fn size(&self, limit: &Limit, settings: &Settings) -> Size {
+    fn size(&self, limit: &Limit, settings: &Settings) -> Capacity {
         size(limit, settings).part(f64::from(self.parts) / f64::from(WHOLE))
     }
 }
@@ -137,21 +139,21 @@
 /// Bucket size for a whole limit. If the platform counts in windows, a full burst is available again in
 /// each window. The burst is then spread over the window as additional rate, so that steady callers get all
 /// that a window may hold; what may come at once is a part of the overage.
-fn size(limit: &Limit, settings: &Settings) -> Size {
+fn size(limit: &Limit, settings: &Settings) -> Capacity {
     let debt = settings.quota_slack * DEBT_PART;
     let one = match limit.unit {
         Unit::Requests => 1.0,
-        Unit::Tokens { unsaid } => unsaid,
+        Unit::Tokens { default_tokens: unsaid } => unsaid,
     };
     let window_s = settings.quota_window.as_secs_f64();
     if window_s <= 0.0 {
-        return Size { per_s: limit.per_s, burst: limit.burst.max(one), debt };
+        return Capacity { per_s: limit.per_s, burst: limit.burst.max(one), debt };
     }
     let over = (limit.per_s * window_s + limit.burst) * settings.quota_overage * BURST_PART;
     // Where overage and debt allow less than the least burst, part of the limit's burst is not spread.
     let kept = (one * AT_ONCE_MIN - over - debt).clamp(0.0, limit.burst);
     let per_s = limit.per_s + (limit.burst - kept) / window_s;
-    Size { per_s, burst: over + kept, debt }
+    Capacity { per_s, burst: over + kept, debt }
 }
 
 fn limit_of(state: &State, workspace: &str) -> Option<Limit> {
@@ -159,13 +161,13 @@
 }
 
 /// Drops balances of workspaces that the configuration in force no longer contains.
-pub(crate) fn configured(state: &mut State) {
+pub(crate) fn config_changed(state: &mut State) {
     let State { quota, routes, .. } = state;
     quota.balances.retain(|workspace, _| routes.workspace(workspace).is_some());
 }
 
 /// Replaces all held shares by those in the hub's answer to the frame sent at `sent`.
-pub(crate) fn hold(state: &mut State, now: Time, sent: Time, allotments: Vec<Allotment>) {
+pub(crate) fn apply_allotments(state: &mut State, now: Time, sent: Time, allotments: Vec<Allotment>) {
     let mut before = std::mem::take(&mut state.quota.holdings);
     for Allotment { workspace, parts } in allotments {
         let Some(limit) = limit_of(state, &workspace) else {
@@ -174,7 +176,7 @@
         let holding = match before.remove(&workspace) {
             Some(mut holding) => {
                 let size = holding.size(&limit, &state.settings);
-                holding.bucket.settle(now, holding.until, size);
+                holding.bucket.refill(now, holding.until, size);
                 Holding { parts, until: holding.until.max(sent + LEASE), ..holding }
             }
             None => Holding::new(now, parts, sent + LEASE, &limit, &state.settings),
@@ -186,21 +188,21 @@
 /// Answers another entry VM's draw of credit.
 pub(crate) fn draw(state: &mut State, now: Time, draw: &Draw) -> Credit {
     let Some(limit) = limit_of(state, &draw.workspace) else {
-        return Credit::NotHere;
+        return Credit::NotHolder;
     };
     let Some(holding) = state.quota.holdings.get_mut(&draw.workspace) else {
-        return Credit::NotHere;
+        return Credit::NotHolder;
     };
     let size = holding.size(&limit, &state.settings);
-    holding.bucket.settle(now, holding.until, size);
+    holding.bucket.refill(now, holding.until, size);
     if holding.until <= now {
-        return Credit::NotHere;
+        return Credit::NotHolder;
     }
     // A negative amount in a draw must not fill the bucket.
     let wanted = |units: f64| units.max(0.0);
-    holding.asked.add(now, wanted(draw.asked));
-    match holding.bucket.take(wanted(draw.cost), wanted(draw.ahead), size) {
-        Ok(given) => Credit::Given(given),
-        Err(wait) => Credit::Short(wait),
+    holding.asked.add(now, wanted(draw.demand));
+    match holding.bucket.take(wanted(draw.cost), wanted(draw.prefetch), size) {
+        Ok(given) => Credit::Granted(given),
+        Err(wait) => Credit::Insufficient(wait),
     }
 }
--- a/fleet/src/quota/allocator.rs
+++ b/fleet/src/quota/allocator.rs
@@ -14,7 +14,7 @@
 
 use super::LEASE;
 use super::lead::Owners;
-use super::message::{Allotment, Held, Report, WHOLE};
+use super::message::{Allotment, HeldShare, Report, WHOLE};
 use crate::members;
 
 /// Part of a limit that is spread evenly over its owners, so that an owner without demand has credit for
@@ -196,7 +196,7 @@
         report: &Report,
         owned: Option<Vec<(Name, usize)>>,
     ) -> Option<Vec<Allotment>> {
-        if !self.hear(now, vm, number, report) {
+        if !self.take_report(now, vm, number, report) {
             return None;
         }
         let allotments = owned?.into_iter().filter_map(|(workspace, owners)| {
@@ -207,7 +207,7 @@
     }
 
     /// Stores a share report. Returns false if it is outdated.
-    fn hear(&mut self, now: Time, vm: &Name, number: u64, report: &Report) -> bool {
+    fn take_report(&mut self, now: Time, vm: &Name, number: u64, report: &Report) -> bool {
         let account = self.accounts.entry(vm.clone()).or_default();
         if account.former == Some(report.process) {
             return false;
@@ -228,7 +228,7 @@
                 out.remove(vm);
             }
         }
-        for Held { workspace, parts, asked_per_s } in &report.shares {
+        for HeldShare { workspace, parts, demand_per_s: asked_per_s } in &report.shares {
             let held = Share { parts: *parts, until: now + LEASE, asked_per_s: *asked_per_s };
             self.shares.entry(workspace.clone()).or_default().insert(vm.clone(), held);
         }
