--- a/fleet/src/quota/bucket.rs
+++ b/fleet/src/quota/bucket.rs
@@ -31,7 +31,7 @@
 
 /// Fill rate and bounds of a bucket.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Size {
+pub(crate) struct Capacity {
     /// Units per second.
     pub(crate) per_s: f64,
     /// Largest level, in units.
@@ -40,14 +40,14 @@
     pub(crate) debt: f64,
 }
 
-impl Size {
+impl Capacity {
     /// Size for a part of the limit.
     pub(crate) fn part(self, part: f64) -> Self {
         Self { per_s: self.per_s * part, burst: self.burst * part, debt: self.debt * part }
     }
 
     /// Most units that can be taken at once.
-    pub(crate) fn at_once(self) -> f64 {
+    pub(crate) fn burst_max(self) -> f64 {
         self.burst + self.debt
     }
 
@@ -68,12 +68,12 @@
 
 impl Bucket {
     /// Starts fully overdrawn, because the previous holder of the share may have left its bucket so.
-    pub(crate) fn new(now: Time, size: Size) -> Self {
+    pub(crate) fn new(now: Time, size: Capacity) -> Self {
         Self { level: -size.debt, at: now, promised: 0.0 }
     }
 
     /// Adds the units gained since the last call, up to `until`.
-    pub(crate) fn settle(&mut self, now: Time, until: Time, size: Size) {
+    pub(crate) fn refill(&mut self, now: Time, until: Time, size: Capacity) {
         let fed = now.min(until).since(self.at).as_secs_f64() * size.per_s;
         self.level = (self.level + fed).min(size.burst);
         self.promised = (self.promised - fed).max(0.0);
@@ -83,9 +83,9 @@
     /// Takes `cost` units, and up to `ahead` more if available. For a `cost` larger than the bucket ever
     /// holds, it takes what is there. Returns the units taken; otherwise the time until a request of this
     /// size can be admitted after those denied before it.
-    pub(crate) fn take(&mut self, cost: f64, ahead: f64, size: Size) -> Result<f64, Duration> {
+    pub(crate) fn take(&mut self, cost: f64, ahead: f64, size: Capacity) -> Result<f64, Duration> {
         let there = self.level + size.debt;
-        if cost > size.at_once() && there > 0.0 {
+        if cost > size.burst_max() && there > 0.0 {
             self.level -= there;
             return Ok(there);
         }
--- a/fleet/src/quota/charge.rs
+++ b/fleet/src/quota/charge.rs
@@ -11,7 +11,7 @@
 use super::message::{Credit, Draw};
 use super::{draw, limit_of, size};
 use crate::effect::Effect;
-use crate::flow::{self, COME_BACK, Stage};
+use crate::flow::{self, RETRY_AFTER, Stage};
 use crate::record::Charge;
 use crate::request::Id;
 use crate::state::State;
@@ -54,7 +54,7 @@
 
 /// Progress of drawing credit for a request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub(crate) struct Asking {
+pub(crate) struct Pending {
     /// The holder being asked; `None` while none can be reached.
     holder: Option<Name>,
     /// Number of holders asked before.
@@ -128,7 +128,7 @@
         flow::give_up(state, now, id, Code::OverQuota, Some(back.since(now)), out);
         return false;
     }
-    ask(state, now, id, &Asking::default(), out)
+    ask(state, now, id, &Pending::default(), out)
 }
 
 /// The workspace that a request is charged to, and its cost.
@@ -139,7 +139,7 @@
 }
 
 /// Charge of a request, for the log.
-pub(crate) fn account(state: &State, now: Time, id: Id) -> Option<Charge> {
+pub(crate) fn charge_record(state: &State, now: Time, id: Id) -> Option<Charge> {
     let flow = state.flows.get(&id)?;
     let workspace = flow.workspace.as_ref()?;
     let balance = state.quota.balances.get(&workspace.name).filter(|balance| balance.until > now);
@@ -153,7 +153,7 @@
 
 /// Asks the next holder for credit. Returns true if the request may proceed now, as when this process is
 /// the holder and has credit.
-fn ask(state: &mut State, now: Time, id: Id, asking: &Asking, out: &mut Vec<Effect>) -> bool {
+fn ask(state: &mut State, now: Time, id: Id, asking: &Pending, out: &mut Vec<Effect>) -> bool {
     let Some((workspace, cost)) = cost(state, id) else {
         return true;
     };
@@ -172,17 +172,17 @@
     let ahead = if ahead < cost { 0.0 } else { ahead };
     let asked = std::mem::take(&mut balance.unsaid);
     let missing = cost - balance.left(now);
-    let question = Draw { workspace, cost: missing, ahead, asked };
+    let question = Draw { workspace, cost: missing, prefetch: ahead, demand: asked };
     let mine = holder == state.me.vm;
     if let Some(flow) = state.flows.get_mut(&id) {
-        flow.stage = Stage::Charging(Asking { holder: Some(holder), ..asking.clone() });
+        flow.stage = Stage::Charging(Pending { holder: Some(holder), ..asking.clone() });
     }
     if mine {
         let credit = draw(state, now, &question);
         let answer = Answer { workspace: question.workspace, credit: Some(credit) };
         return drawn(state, now, id, answer, out);
     }
-    out.push(Effect::Draw { address, request: id, draw: question });
+    out.push(Effect::RequestCredit { address, request: id, draw: question });
     false
 }
 
@@ -203,19 +203,19 @@
 }
 
 /// Handles the case that no further holder can be asked.
-fn nobody(state: &mut State, now: Time, id: Id, asking: &Asking, out: &mut Vec<Effect>) {
+fn nobody(state: &mut State, now: Time, id: Id, asking: &Pending, out: &mut Vec<Effect>) {
     if let Some(wait) = asking.wait {
         refuse(state, now, id, wait, out);
         return;
     }
     let waited = state.flows.get(&id).map_or(Duration::MAX, |flow| now.since(flow.arrived));
     if waited >= HOLDER_WAIT {
-        flow::give_up(state, now, id, Code::QuotaUnknown, Some(COME_BACK), out);
+        flow::give_up(state, now, id, Code::QuotaUnknown, Some(RETRY_AFTER), out);
         return;
     }
     if let Some(flow) = state.flows.get_mut(&id) {
-        flow.stage = Stage::Charging(Asking { holder: None, tried: 0, ..asking.clone() });
-        state.timers.set(now + ASK_AGAIN, Timer::Charge(id));
+        flow.stage = Stage::Charging(Pending { holder: None, tried: 0, ..asking.clone() });
+        state.timers.set(now + ASK_AGAIN, Timer::QuotaRetry(id));
     }
 }
 
@@ -232,7 +232,7 @@
 }
 
 /// Asks the holders again after a pause.
-pub(crate) fn again(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
+pub(crate) fn retry_draw(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some(Stage::Charging(asking)) = state.flows.get(&id).map(|flow| flow.stage.clone()) else {
         return;
     };
@@ -242,7 +242,7 @@
 }
 
 /// Handles a holder's answer or its absence.
-pub(crate) fn answered(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) {
+pub(crate) fn draw_answered(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) {
     if drawn(state, now, id, answer, out) {
         flow::dispatch(state, now, id, true, out);
     }
@@ -250,7 +250,7 @@
 
 /// Most units of a workspace's limit that can be spent at once over all holders; `None` without a limit.
 fn at_once(state: &State, workspace: &Name) -> Option<f64> {
-    Some(size(&limit_of(state, workspace)?, &state.settings).at_once())
+    Some(size(&limit_of(state, workspace)?, &state.settings).burst_max())
 }
 
 /// Whether the request costs a large part of what its workspace can spend at once.
@@ -263,7 +263,7 @@
 fn drawn(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) -> bool {
     let Answer { workspace, credit } = answer;
     *state.quota.draws.entry(credit.map_or("silent", Credit::label)).or_default() += 1;
-    if let Some(Credit::Given(units)) = credit {
+    if let Some(Credit::Granted(units)) = credit {
         keep(state, now, &workspace, units);
     }
     let Some(Stage::Charging(mut asking)) = state.flows.get(&id).map(|flow| flow.stage.clone()) else {
@@ -271,13 +271,13 @@
         return false;
     };
     match credit {
-        Some(Credit::Given(_)) if spend(state, now, id, &workspace) => return true,
+        Some(Credit::Granted(_)) if spend(state, now, id, &workspace) => return true,
         // The request costs more than one holder ever has at once.
-        Some(Credit::Given(_)) => {
+        Some(Credit::Granted(_)) => {
             asking.wait.get_or_insert_with(|| time_for_the_rest(state, now, id));
             asking.tried += 1;
         }
-        Some(Credit::Short(wait)) => {
+        Some(Credit::Insufficient(wait)) => {
             asking.wait = Some(asking.wait.map_or(wait, |least| least.min(wait)));
             asking.waits += 1;
             if asking.waits >= SHORT_ASKS && !is_large_part(state, id) {
@@ -286,11 +286,11 @@
             }
             asking.tried += 1;
         }
-        Some(Credit::NotHere) => asking.tried += 1,
+        Some(Credit::NotHolder) => asking.tried += 1,
         // The silent holder is skipped from now on, so the same index leads to the next one.
         None => {
             if let Some(holder) = &asking.holder {
-                state.members.suspect(holder, now + SILENT);
+                state.members.mark_silent(holder, now + SILENT);
             }
         }
     }
@@ -336,7 +336,7 @@
 fn charged(state: &mut State, id: Id) {
     if let Some(flow) = state.flows.get_mut(&id) {
         flow.stage = Stage::Waiting;
-        flow.charged = flow.workspace.as_ref().map(|workspace| workspace.name.clone());
+        flow.charged_workspace = flow.workspace.as_ref().map(|workspace| workspace.name.clone());
     }
 }
 
@@ -346,7 +346,7 @@
         return;
     };
     let cost = flow.cost;
-    let Some(workspace) = flow.charged.take() else {
+    let Some(workspace) = flow.charged_workspace.take() else {
         if let Some(workspace) = flow.workspace.as_ref().map(|workspace| workspace.name.clone()) {
             trim(state, now, &workspace);
         }
--- a/fleet/src/quota/lead.rs
+++ b/fleet/src/quota/lead.rs
@@ -6,7 +6,7 @@
 
 use super::allocator::{self, Allocator, Holder, Outstanding, Unheard};
 use super::message::{Allotment, Report};
-use super::{LEASE, Quota, hold};
+use super::{LEASE, Quota, apply_allotments};
 use crate::record::ms;
 use crate::state::{Identity, State};
 
@@ -29,7 +29,7 @@
     /// The owners among `vms` in the configuration in force.
     fn among(state: &State, vms: &[Holder]) -> Self {
         let mut by_vm: FxHashMap<Name, Vec<(Name, usize)>> = FxHashMap::default();
-        for workspace in state.routes.limited() {
+        for workspace in state.routes.limited_workspaces() {
             let owners = allocator::owners(&workspace.name, vms);
             for owner in &owners {
                 by_vm.entry(owner.clone()).or_default().push((workspace.name.clone(), owners.len()));
@@ -57,7 +57,7 @@
 
 /// Computes the owners for the lease row about to be written. From now on, shares are given only to owners
 /// by both this row and the one before, because the next hub may read either.
-pub(crate) fn propose(state: &mut State, now: Time) {
+pub(crate) fn fill_row(state: &mut State, now: Time) {
     let (config, members) = (version(state), state.members.version());
     let known = &state.quota.proposed;
     if (known.config, known.members) != (config, members) || known.known.is_empty() {
@@ -74,7 +74,7 @@
 }
 
 /// Handles the holders found in the lease row.
-pub(crate) fn named(state: &mut State, holders: &[Holder]) {
+pub(crate) fn row_holders_read(state: &mut State, holders: &[Holder]) {
     let config = version(state);
     let Quota { written, proposed, .. } = &mut state.quota;
     if proposed.holders == holders && proposed.config == config {
@@ -119,8 +119,8 @@
 pub(crate) fn begin(state: &mut State, now: Time, holders: &[Holder], over: Time, at: impl Fn(u64) -> Time) {
     let before = std::mem::take(&mut state.quota.inherited);
     state.quota.allocator = Some(Allocator::new(&before, over, at));
-    named(state, holders);
-    renew_own(state, now);
+    row_holders_read(state, holders);
+    allot_own(state, now);
 }
 
 /// This process is no longer the hub.
@@ -137,7 +137,7 @@
     number: u64,
     report: &Report,
 ) -> Option<Vec<Allotment>> {
-    state.lease.holds(now)?;
+    state.lease.held_term(now)?;
     let Quota { allocator, written, proposed, .. } = &mut state.quota;
     // An entry VM that no written row could name yet keeps its shares.
     let owned = written.known.contains(vm).then(|| {
@@ -148,10 +148,10 @@
 }
 
 /// The hub allots shares to itself.
-pub(crate) fn renew_own(state: &mut State, now: Time) {
+pub(crate) fn allot_own(state: &mut State, now: Time) {
     let report = state.quota.report(now);
-    let (vm, number) = (state.me.vm.clone(), state.hub.next_number());
+    let (vm, number) = (state.me.vm.clone(), state.hub.next_frame_number());
     if let Some(allotments) = allot(state, now, &vm, number, &report) {
-        hold(state, now, now, allotments);
+        apply_allotments(state, now, now, allotments);
     }
 }
--- a/fleet/src/quota/message.rs
+++ b/fleet/src/quota/message.rs
@@ -14,18 +14,18 @@
     /// Random number drawn at each start: shares of an earlier process are void.
     pub process: u64,
     /// One entry per workspace.
-    pub shares: Vec<Held>,
+    pub shares: Vec<HeldShare>,
 }
 
 /// A share of a workspace's limit that an entry VM holds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldShare {
     /// The workspace.
     pub workspace: Name,
     /// The share, in parts of [`WHOLE`].
     pub parts: u32,
     /// Demand at this holder, in units per second.
-    pub asked_per_s: f64,
+    pub demand_per_s: f64,
 }
 
 /// A share that an entry VM may hold until [`super::LEASE`] after it sent the frame that this answers.
@@ -45,20 +45,23 @@
     /// Units needed for the request.
     pub cost: f64,
     /// Additional units wanted for later requests.
-    pub ahead: f64,
+    pub prefetch: f64,
     /// Units requested by callers since the last draw.
-    pub asked: f64,
+    pub demand: f64,
 }
 
 /// Answer to a [`Draw`]. The holder counts granted credit as spent even if this answer is lost.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Credit {
     /// Units that may be spent: those for the request, and possibly more for later ones.
-    Given(f64),
+    #[serde(rename = "Given")]
+    Granted(f64),
     /// Not enough credit now; enough for this request after this time.
-    Short(Duration),
+    #[serde(rename = "Short")]
+    Insufficient(Duration),
     /// The receiver holds no share of the limit.
-    NotHere,
+    #[serde(rename = "NotHere")]
+    NotHolder,
 }
 
 impl Credit {
@@ -66,9 +69,9 @@
     #[must_use]
     pub const fn label(self) -> &'static str {
         match self {
-            Self::Given(_) => "given",
-            Self::Short(_) => "short",
-            Self::NotHere => "not_here",
+            Self::Granted(_) => "given",
+            Self::Insufficient(_) => "short",
+            Self::NotHolder => "not_here",
         }
     }
 }
--- a/fleet/src/intake.rs
+++ b/fleet/src/rate_limit.rs
@@ -19,16 +19,18 @@
 
 use crate::effect::Effect;
 use crate::engine::Engine;
-use crate::flow::{self, COME_BACK};
+use crate::flow::{self, RETRY_AFTER};
 use crate::members::Claim;
-use crate::notice::{Asked, Start};
+use crate::notice::{AnsweredRequest, Start};
 use crate::push::{self, Message};
 use crate::record::Record;
 use crate::state::State;
 use crate::timer::Timer;
-pub use brittle::Told;
-pub(crate) use brittle::{WAIT_MAX, noticed as noticed_brittle, rejected, would_wait};
-pub(crate) use start::{cold, keeps_schedule, started, surge_of};
+pub use brittle::BrittleReport;
+pub(crate) use brittle::{
+    WAIT_MAX, rejection_limit_received as noticed_brittle, rejection_received, would_wait,
+};
+pub(crate) use start::{engine_started, ignores_reported_schedule, mark_cold, surge_limit};
 pub(crate) use table::Table;
 
 /// Part of the limit that an owner uses while it may not be the only one. Two such owners beside a certain
@@ -42,39 +44,39 @@
 const AGEING: Duration = Duration::from_secs(2);
 const AGED: Duration = Duration::from_secs(2);
 /// Largest penalty of a rate-limited engine in the choice of engines, in ms of waiting.
-const RESERVE_MS: f64 = 500.0;
+const PENALTY_MAX_MS: f64 = 500.0;
 
 /// Rate limit that an answer reports.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Intake {
+pub enum Rate {
     /// No limit reported.
     #[default]
-    Open,
+    Unlimited,
     /// Requests per second from all entry VMs together; finite and not negative.
-    Limited(f64),
+    PerSecond(f64),
     /// The reported value is not a valid number. It neither sets nor clears a limit.
-    Unreadable,
+    Invalid,
 }
 
 /// Limits of an engine as one entry VM reports them to another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Advert {
+pub struct Report {
     /// The start of the engine that reported them.
-    pub from: Start,
+    pub start: Start,
     /// Rate limit in requests per second; `None` if it was lifted.
     pub per_s: Option<f64>,
     /// Time since the engine reported the rate limit or its end.
     pub age: Duration,
     /// The rejection limit, if the engine is brittle.
-    pub brittle: Option<brittle::Told>,
+    pub brittle: Option<brittle::BrittleReport>,
     /// Time since the engine reported the rejection limit or its end; `None` if it never reported one.
     pub brittle_age: Option<Duration>,
 }
 
-impl Advert {
+impl Report {
     /// Whether the report contains a limit of either kind.
     #[must_use]
-    pub const fn names_limit(&self) -> bool {
+    pub const fn has_limit(&self) -> bool {
         self.per_s.is_some() || self.brittle.is_some()
     }
 }
@@ -83,7 +85,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Access {
     /// No limit known.
-    Open,
+    Unlimited,
     /// The next reservation is free after this time; the number is the engine's penalty in ms of waiting.
     After(Duration, f64),
     /// No owner can be asked for a reservation for this time.
@@ -94,11 +96,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Spacing {
     /// No spacing required.
-    Open,
+    Unlimited,
     /// At least this time between two reservations.
-    Apart(Duration),
+    AtLeast(Duration),
     /// This entry VM does not own the engine's schedule.
-    Elsewhere,
+    NotOwner,
 }
 
 /// A limit in force.
@@ -107,7 +109,7 @@
     /// Requests per second.
     pub(crate) per_s: f64,
     /// When the engine reported it.
-    pub(crate) heard: Time,
+    pub(crate) reported_at: Time,
 }
 
 impl Limit {
@@ -118,11 +120,11 @@
 
     /// Penalty of the engine in ms, in addition to the wait for a reservation. It leaves the engine to
     /// requests that have no other one, and ends when the report has grown old.
-    fn reserve_ms(self, now: Time) -> f64 {
-        let age = now.since(self.heard);
+    fn penalty_ms(self, now: Time) -> f64 {
+        let age = now.since(self.reported_at);
         let fresh = 1.0 - age.saturating_sub(AGEING).div_duration_f64(AGED);
         let half_ms = self.interval(1.0).as_secs_f64() * 500.0;
-        half_ms.min(RESERVE_MS) * fresh.max(0.0)
+        half_ms.min(PENALTY_MAX_MS) * fresh.max(0.0)
     }
 }
 
@@ -134,25 +136,25 @@
 
 /// Handles the rate limit in an engine's answer. An answer without a limit clears the known one only if its
 /// request was sent after that limit was reported; an earlier request may have been answered before.
-pub(crate) fn noticed(
+pub(crate) fn rate_limit_received(
     state: &mut State,
     now: Time,
     from: &Start,
-    intake: Intake,
-    asked: Option<Asked>,
+    intake: Rate,
+    asked: Option<AnsweredRequest>,
     out: &mut Vec<Effect>,
 ) {
-    let before = state.intakes.limit(&from.engine, from.incarnation);
+    let before = state.rate_limits.limit(&from.engine, from.incarnation);
     let per_s = match intake {
-        Intake::Limited(per_s) => Some(per_s),
-        Intake::Open => {
-            let over = before.zip(asked).is_some_and(|(limit, asked)| asked.at > limit.heard);
+        Rate::PerSecond(per_s) => Some(per_s),
+        Rate::Unlimited => {
+            let over = before.zip(asked).is_some_and(|(limit, asked)| asked.sent_at > limit.reported_at);
             if !over {
                 return;
             }
             None
         }
-        Intake::Unreadable => return unreadable(state, from, "rate limit", out),
+        Rate::Invalid => return unreadable(state, from, "rate limit", out),
     };
     let before = before.map(|limit| limit.per_s);
     if per_s != before {
@@ -168,7 +170,7 @@
 
 /// Logs once per engine that a value it reports is not a valid number.
 fn unreadable(state: &mut State, from: &Start, what: &str, out: &mut Vec<Effect>) {
-    if !state.intakes.is_new_unreadable(&from.engine) {
+    if !state.rate_limits.is_new_unreadable(&from.engine) {
         return;
     }
     let error = format!("engine {} reported an invalid {what}", from.engine);
@@ -177,25 +179,26 @@
 
 /// Handles limit reports in a frame of another entry VM. The first report that a service has brittle
 /// engines is pushed to all entry VMs at once.
-pub(crate) fn told_by_frame(state: &mut State, now: Time, limits: &[Advert], out: &mut Vec<Effect>) {
-    let limits: Vec<Advert> = limits.iter().filter(|limit| told(state, now, limit)).cloned().collect();
+pub(crate) fn frame_reports_received(state: &mut State, now: Time, limits: &[Report], out: &mut Vec<Effect>) {
+    let limits: Vec<Report> =
+        limits.iter().filter(|limit| report_received(state, now, limit)).cloned().collect();
     if !limits.is_empty() {
-        push::tell(state, now, &Message { limits, ..Message::default() }, out);
+        push::notify(state, now, &Message { limits, ..Message::default() }, out);
     }
 }
 
 /// Handles a limit report of another entry VM; the engine's latest statement wins. Returns whether this is
 /// the first report that the engine's service has brittle engines.
-pub(crate) fn told(state: &mut State, now: Time, told: &Advert) -> bool {
-    let Advert { from, per_s, age, .. } = told;
+pub(crate) fn report_received(state: &mut State, now: Time, told: &Report) -> bool {
+    let Report { start: from, per_s, age, .. } = told;
     let heard = now - *age;
     let listed = state.engines.get(&from.engine).map(|engine| engine.entry.incarnation);
     if listed.is_some_and(|listed| listed != from.incarnation) {
         return false;
     }
     let first = brittle::told(state, now, told);
-    let named = per_s.is_some() || state.intakes.limit(&from.engine, from.incarnation).is_some();
-    if named && !state.intakes.knows_later(from, *per_s, heard) {
+    let named = per_s.is_some() || state.rate_limits.limit(&from.engine, from.incarnation).is_some();
+    if named && !state.rate_limits.has_newer(from, *per_s, heard) {
         keep(state, now, from, *per_s, heard, false);
     }
     first
@@ -208,12 +211,12 @@
         // Without an incarnation, this report cannot be told from one of a later engine with the same id.
         return;
     }
-    let said = state.intakes.set(now, from, per_s, heard, own);
-    let apart = state.intakes.limit(engine, *incarnation).map(|limit| limit.interval(1.0));
+    let said = state.rate_limits.set(now, from, per_s, heard, own);
+    let apart = state.rate_limits.limit(engine, *incarnation).map(|limit| limit.interval(1.0));
     if let Some(known) = state.engines.get_mut(engine) {
         match apart {
             // The engine has just received requests without spacing.
-            Some(apart) if said.is_none() => known.schedule.keep_away(now + apart),
+            Some(apart) if said.is_none() => known.schedule.delay_until(now + apart),
             // The limit has risen since the next reservation time was set.
             Some(apart) if said < per_s => known.schedule.bring_forward(now + apart),
             None if said.is_some() => known.schedule.bring_forward(now),
@@ -221,57 +224,60 @@
         }
     }
     if apart.is_some() && said.is_none_or(|said| Some(said) > per_s) {
-        state.timers.set(now, Timer::Recall(engine.clone()));
+        state.timers.set(now, Timer::RescheduleWaiting(engine.clone()));
     }
 }
 
 /// Cancels the reservations at an engine after its limit was set or lowered, so that their requests ask
 /// again.
 pub(crate) fn recall(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    flow::withdraw(state, now, engine, out);
+    flow::cancel_reservations(state, now, engine, out);
 }
 
 /// The lowest limit in force for an engine over all entry VMs: its reported rate limit, its cold-start
 /// rate, or the throughput of a brittle engine.
-pub(crate) fn bound_of(state: &State, now: Time, engine: &Engine) -> Option<Limit> {
-    let limits = state.intakes.limit_of(engine, now).into_iter().chain(brittle::limit(state, now, engine));
+pub(crate) fn effective_limit(state: &State, now: Time, engine: &Engine) -> Option<Limit> {
+    let limits =
+        state.rate_limits.limit_of(engine, now).into_iter().chain(brittle::limit(state, now, engine));
     limits.min_by(|one, other| one.per_s.total_cmp(&other.per_s))
 }
 
 /// Whether and when this entry VM can use an engine now.
 pub(crate) fn access(state: &State, now: Time, engine: &Engine) -> Access {
-    let Some(limit) = bound_of(state, now, engine) else {
+    let Some(limit) = effective_limit(state, now, engine) else {
         return start::access(state, now, engine);
     };
-    let place = Access::After(engine.schedule.wait(now), limit.reserve_ms(now));
+    let place = Access::After(engine.schedule.wait(now), limit.penalty_ms(now));
     // Usually no entry VM is silent. This check avoids finding the owner for every request and engine.
-    if !state.members.list().is_empty() && !state.members.is_any_silent(now) {
+    if !state.members.list().is_empty() && !state.members.any_silent(now) {
         return place;
     }
     let Some(owner) = state.members.sole_owner(&engine.entry.id, &engine.entry.zone) else {
-        return Access::Closed(COME_BACK);
+        return Access::Closed(RETRY_AFTER);
     };
-    let silence = state.members.silence(&owner.vm, now).filter(|_| owner.vm != state.me.vm);
+    let silence = state.members.silent_for(&owner.vm, now).filter(|_| owner.vm != state.me.vm);
     silence.map_or(place, Access::Closed)
 }
 
 /// Spacing of the reservations that this entry VM grants at an engine.
 pub(crate) fn spacing(state: &State, now: Time, engine: &Engine) -> Spacing {
-    let Some(limit) = bound_of(state, now, engine) else {
+    let Some(limit) = effective_limit(state, now, engine) else {
         return start::spacing(state, now, engine);
     };
     match state.members.claim(&state.me.vm, &engine.entry.id, &engine.entry.zone, now) {
         // Reservations that the previous process of this entry VM granted may still be used.
-        Claim::Sole if !start::has_run(state, now) => Spacing::Apart(limit.interval(UNCERTAIN_PART)),
-        Claim::Sole => Spacing::Apart(limit.interval(1.0)),
-        Claim::Uncertain => Spacing::Apart(limit.interval(UNCERTAIN_PART)),
-        Claim::None => Spacing::Elsewhere,
+        Claim::Sole if !start::has_outlived_previous(state, now) => {
+            Spacing::AtLeast(limit.interval(UNCERTAIN_PART))
+        }
+        Claim::Sole => Spacing::AtLeast(limit.interval(1.0)),
+        Claim::Uncertain => Spacing::AtLeast(limit.interval(UNCERTAIN_PART)),
+        Claim::None => Spacing::NotOwner,
     }
 }
 
 /// Spacing that the owner of the engine's schedule is expected to use.
-pub(crate) fn apart(state: &State, now: Time, engine: &Engine) -> Duration {
-    match bound_of(state, now, engine) {
+pub(crate) fn expected_spacing(state: &State, now: Time, engine: &Engine) -> Duration {
+    match effective_limit(state, now, engine) {
         Some(limit) => limit.interval(1.0),
         None => start::apart(state, engine),
     }
--- a/fleet/src/intake/brittle.rs
+++ b/fleet/src/rate_limit/brittle.rs
@@ -14,15 +14,15 @@
 use serde::{Deserialize, Serialize};
 
 use super::table::Table;
-use super::{Advert, Limit, unreadable};
+use super::{Limit, Report, unreadable};
 use crate::effect::Effect;
 use crate::engine::Engine;
 use crate::frame;
-use crate::notice::{Asked, Bearing, Start};
+use crate::notice::{AnsweredRequest, Start, Tolerance};
 use crate::push::{self, Message};
 use crate::record::Record;
 use crate::request::Id;
-use crate::schedule::{Ask, Need};
+use crate::schedule::{Cost, ReservationRequest};
 use crate::state::State;
 use crate::timer::Timer;
 
@@ -49,27 +49,33 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Brittle {
     /// Rejections per second that it tolerates.
-    pub(super) most: f64,
+    pub(super) rejections_per_s: f64,
     /// Times of its recent rejections, in order.
     pub(super) rejections: Vec<Time>,
 }
 
 /// State of a brittle engine as one entry VM reports it to another.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Told {
+pub struct BrittleReport {
     /// Rejections per second that it tolerates.
-    pub most: f64,
+    pub rejections_per_s: f64,
     /// Ages of its recent rejections.
-    pub rejections: Vec<Duration>,
+    pub rejection_ages: Vec<Duration>,
 }
 
 impl Brittle {
-    pub(super) fn told(&self, now: Time) -> Told {
-        Told { most: self.most, rejections: self.rejections.iter().map(|at| now.since(*at)).collect() }
+    pub(super) fn told(&self, now: Time) -> BrittleReport {
+        BrittleReport {
+            rejections_per_s: self.rejections_per_s,
+            rejection_ages: self.rejections.iter().map(|at| now.since(*at)).collect(),
+        }
     }
 
-    pub(super) fn of(told: &Told, now: Time) -> Self {
-        Self { most: told.most, rejections: told.rejections.iter().map(|age| now - *age).collect() }
+    pub(super) fn of(told: &BrittleReport, now: Time) -> Self {
+        Self {
+            rejections_per_s: told.rejections_per_s,
+            rejections: told.rejection_ages.iter().map(|age| now - *age).collect(),
+        }
     }
 
     /// Adds rejections that are not stored yet. Returns whether there were any.
@@ -91,7 +97,7 @@
     /// Requests per second that the engine may get, out of the `runs_per_s` that it can run.
     fn per_s(&self, now: Time, runs_per_s: f64) -> f64 {
         let lately = self.rejections.iter().filter(|at| now.since(**at) < WINDOW).count();
-        if lately >= ((self.most / 2.0) as usize).max(1) {
+        if lately >= ((self.rejections_per_s / 2.0) as usize).max(1) {
             return 0.0;
         }
         let age = self.rejections.last().map_or(RECOVERED, |at| now.since(*at));
@@ -102,19 +108,19 @@
 
 /// The limit of an engine that is brittle, or whose service has brittle engines.
 pub(crate) fn limit(state: &State, now: Time, engine: &Engine) -> Option<Limit> {
-    if state.intakes.services.is_empty() {
+    if state.rate_limits.services.is_empty() {
         return None;
     }
     let service = &engine.entry.service;
-    let known = state.intakes.brittle(engine);
-    if known.is_none() && !state.intakes.is_service_brittle(service, now) {
+    let known = state.rate_limits.brittle(engine);
+    if known.is_none() && !state.rate_limits.is_service_brittle(service, now) {
         return None;
     }
     let slots = f64::from(engine.entry.slots.max(1)) * SLOTS_PART;
-    let runs_per_s = slots * 1_000.0 / state.pace(service).max(1.0);
+    let runs_per_s = slots * 1_000.0 / state.mean_run_ms(service).max(1.0);
     let heard = known.and_then(|known| known.rejections.last().copied()).unwrap_or_default();
     let per_s = known.map_or(runs_per_s, |known| known.per_s(now, runs_per_s));
-    Some(Limit { per_s, heard })
+    Some(Limit { per_s, reported_at: heard })
 }
 
 /// Whether the engine is brittle, or may be, and has no free slot: another request would have to queue
@@ -125,29 +131,31 @@
 
 /// Handles the rejection limit in an engine's answer. An answer without one clears it only if its request
 /// was sent after the limit was reported.
-pub(crate) fn noticed(
+pub(crate) fn rejection_limit_received(
     state: &mut State,
     now: Time,
     from: &Start,
-    bearing: Bearing,
-    asked: Option<Asked>,
+    bearing: Tolerance,
+    asked: Option<AnsweredRequest>,
     out: &mut Vec<Effect>,
 ) {
     let (word, label) = match bearing {
-        Bearing::Brittle(most) => (Some(Brittle { most, rejections: Vec::new() }), "brittle"),
-        Bearing::Sound => {
-            let heard = state.intakes.brittle_word(from).map(|(_, heard)| heard);
-            if heard.is_none_or(|heard| asked.is_none_or(|asked| asked.at <= heard)) {
+        Tolerance::PerSecond(most) => {
+            (Some(Brittle { rejections_per_s: most, rejections: Vec::new() }), "brittle")
+        }
+        Tolerance::Unlimited => {
+            let heard = state.rate_limits.brittle_report(from).map(|(_, heard)| heard);
+            if heard.is_none_or(|heard| asked.is_none_or(|asked| asked.sent_at <= heard)) {
                 return;
             }
             (None, "sound")
         }
-        Bearing::Unreadable => return unreadable(state, from, "rejection limit", out),
+        Tolerance::Invalid => return unreadable(state, from, "rejection limit", out),
     };
-    let most = word.as_ref().map(|word| word.most);
+    let most = word.as_ref().map(|word| word.rejections_per_s);
     let service = service_of(state, from).filter(|_| most.is_some());
-    let first = service.is_some_and(|service| state.intakes.note_service(service, now));
-    if !state.intakes.set_brittle(from, word, now, true) {
+    let first = service.is_some_and(|service| state.rate_limits.note_service(service, now));
+    if !state.rate_limits.set_brittle(from, word, now, true) {
         return;
     }
     note(from, most, label, out);
@@ -163,54 +171,59 @@
 /// Reports to all entry VMs that a service has brittle engines, through the hub. Otherwise hundreds of them
 /// would keep sending without reservations until each has received an answer or a frame that says so.
 fn tell(state: &mut State, now: Time, from: &Start, out: &mut Vec<Effect>) {
-    let advert = state.engines.get(&from.engine).and_then(|known| state.intakes.told(now, known));
+    let advert = state.engines.get(&from.engine).and_then(|known| state.rate_limits.report(now, known));
     let message = Message { limits: advert.into_iter().collect(), ..Message::default() };
-    push::tell(state, now, &message, out);
+    push::notify(state, now, &message, out);
     frame::send(state, now, out);
 }
 
 /// Handles a rejection by a brittle engine: reports it to the owner of its schedule at once and cancels the
 /// reservations granted here.
-pub(crate) fn rejected(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn rejection_received(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get(engine) else {
         return;
     };
-    let Some(brittle) = state.intakes.brittle(known).cloned() else {
+    let Some(brittle) = state.rate_limits.brittle(known).cloned() else {
         return;
     };
     let from = Start { engine: engine.clone(), incarnation: known.entry.incarnation };
     let zone = known.entry.zone.clone();
     let word = Brittle { rejections: vec![now], ..brittle };
-    let most = Some(word.most);
-    state.intakes.set_brittle(&from, Some(word), now, true);
+    let most = Some(word.rejections_per_s);
+    state.rate_limits.set_brittle(&from, Some(word), now, true);
     note(&from, most, "rejected", out);
     hold(state, now, engine);
     let owner = state.members.sole_owner(engine, &zone).filter(|owner| owner.vm != state.me.vm);
-    let limit = state.engines.get(engine).and_then(|known| state.intakes.told(now, known));
+    let limit = state.engines.get(engine).and_then(|known| state.rate_limits.report(now, known));
     if let Some(address) = owner.map(|owner| owner.address) {
-        let ask = Ask { engine: engine.clone(), need: Need::default(), limit, ..Ask::default() };
-        out.push(Effect::Ask { address, request: Id::NONE, ask });
+        let ask = ReservationRequest {
+            engine: engine.clone(),
+            cost: Cost::default(),
+            limit,
+            ..ReservationRequest::default()
+        };
+        out.push(Effect::Reserve { address, request: Id::NONE, ask });
     }
 }
 
 /// Handles the rejection limit in another entry VM's report. Returns whether this is the first report that
 /// the engine's service has brittle engines.
-pub(super) fn told(state: &mut State, now: Time, advert: &Advert) -> bool {
+pub(super) fn told(state: &mut State, now: Time, advert: &Report) -> bool {
     let Some(told) = &advert.brittle else {
-        if state.intakes.brittle_word(&advert.from).is_some() && advert.brittle_age.is_some() {
+        if state.rate_limits.brittle_report(&advert.start).is_some() && advert.brittle_age.is_some() {
             let heard = advert.brittle_age.map_or(now, |age| now - age);
-            state.intakes.set_brittle(&advert.from, None, heard, false);
+            state.rate_limits.set_brittle(&advert.start, None, heard, false);
         }
         return false;
     };
     let heard = advert.brittle_age.map_or(now, |age| now - age);
-    let first =
-        service_of(state, &advert.from).is_some_and(|service| state.intakes.note_service(service, heard));
+    let first = service_of(state, &advert.start)
+        .is_some_and(|service| state.rate_limits.note_service(service, heard));
     let word = Brittle::of(told, now);
     let rejected = !word.rejections.is_empty();
-    let news = state.intakes.set_brittle(&advert.from, Some(word), heard, false);
+    let news = state.rate_limits.set_brittle(&advert.start, Some(word), heard, false);
     if news && rejected {
-        hold(state, now, &advert.from.engine);
+        hold(state, now, &advert.start.engine);
     }
     news && first
 }
@@ -224,9 +237,9 @@
         return;
     };
     if let Some(known) = state.engines.get_mut(engine) {
-        known.schedule.keep_away(now + apart);
+        known.schedule.delay_until(now + apart);
     }
-    state.timers.set(now, Timer::Recall(engine.clone()));
+    state.timers.set(now, Timer::RescheduleWaiting(engine.clone()));
 }
 
 fn note(from: &Start, most: Option<f64>, label: &'static str, out: &mut Vec<Effect>) {
@@ -240,7 +253,7 @@
 impl Table {
     /// State of a listed engine that is brittle.
     pub(super) fn brittle(&self, engine: &Engine) -> Option<&Brittle> {
-        let word = self.word(&engine.entry.id, engine.entry.incarnation)?;
+        let word = self.entry(&engine.entry.id, engine.entry.incarnation)?;
         word.brittle.as_ref()
     }
 
--- a/fleet/src/intake/start.rs
+++ b/fleet/src/rate_limit/start.rs
@@ -9,8 +9,8 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
-use super::{Access, Limit, RESERVE_MS, Spacing, interval};
-use crate::config::Start;
+use super::{Access, Limit, PENALTY_MAX_MS, Spacing, interval};
+use crate::config::Warmup;
 use crate::engine::{Cold, Engine};
 use crate::state::State;
 use crate::timer::Timer;
@@ -24,15 +24,15 @@
 
 /// Marks an engine as cold that has just started, or that is used again after a time in which it may have
 /// been restarted.
-pub(crate) fn started(state: &mut State, now: Time, engine: &Name) {
+pub(crate) fn engine_started(state: &mut State, now: Time, engine: &Name) {
     let service = state.engines.get(engine).map(|engine| engine.entry.service.clone());
     if let Some(start) = service.and_then(|service| start_of(state, &service)) {
-        cold(state, now, engine, start.lasts);
+        mark_cold(state, now, engine, start.duration);
     }
 }
 
 /// Marks an engine as cold for the time `left`, and cancels earlier reservations at it.
-pub(crate) fn cold(state: &mut State, now: Time, engine: &Name, left: Duration) {
+pub(crate) fn mark_cold(state: &mut State, now: Time, engine: &Name, left: Duration) {
     let service = state.engines.get(engine).map(|engine| engine.entry.service.clone());
     let Some(start) = service.and_then(|service| start_of(state, &service)) else {
         return;
@@ -45,51 +45,51 @@
     let since = before.map_or(now, |cold| cold.since);
     known.cold = Some(Cold { per_s: start.per_s, since, until });
     if before.is_none() {
-        let limit = Limit { per_s: start.per_s, heard: now };
-        known.schedule.keep_away(now + limit.interval(1.0));
-        state.timers.set(now, Timer::Recall(engine.clone()));
+        let limit = Limit { per_s: start.per_s, reported_at: now };
+        known.schedule.delay_until(now + limit.interval(1.0));
+        state.timers.set(now, Timer::RescheduleWaiting(engine.clone()));
     }
 }
 
 /// Cold-start rate of a service's engines, from the configuration.
-fn start_of(state: &State, service: &Name) -> Option<Start> {
+fn start_of(state: &State, service: &Name) -> Option<Warmup> {
     state.config.as_ref()?.service(service)?.start
 }
 
 /// Requests that an engine of the service may get in any second even if it is not known to be cold: it may
 /// have restarted unnoticed. `None` if the service has no cold-start rate.
-pub(crate) fn surge_of(state: &State, service: &Name) -> Option<f64> {
+pub(crate) fn surge_limit(state: &State, service: &Name) -> Option<f64> {
     let start = start_of(state, service)?;
     Some(start.per_s * state.settings.cold_overage + state.settings.cold_slack)
 }
 
 /// Whether another entry VM's statement on an engine's schedule must be ignored, because the engine may be
 /// cold and this entry VM owns its schedule.
-pub(crate) fn keeps_schedule(state: &State, now: Time, engine: &Name) -> bool {
+pub(crate) fn ignores_reported_schedule(state: &State, now: Time, engine: &Name) -> bool {
     let known = state.engines.get(engine).map(|engine| &engine.entry);
     known.is_some_and(|entry| {
-        surge_of(state, &entry.service).is_some()
-            && state.members.is_owner_by_lists(&state.me.vm, &entry.id, &entry.zone, now)
+        surge_limit(state, &entry.service).is_some()
+            && state.members.is_owner_by_recent_lists(&state.me.vm, &entry.id, &entry.zone, now)
     })
 }
 
 /// Whether this process has run long enough that all reservations granted by its predecessor are used and a
 /// second old.
-pub(super) fn has_run(state: &State, now: Time) -> bool {
+pub(super) fn has_outlived_previous(state: &State, now: Time) -> bool {
     now.since(state.started) > state.settings.schedule_wait + Duration::from_secs(1)
 }
 
 /// Spacing of the reservations that this entry VM grants at an engine without a known limit.
 pub(super) fn spacing(state: &State, now: Time, engine: &Engine) -> Spacing {
-    let Some(surge) = surge_of(state, &engine.entry.service) else {
-        return Spacing::Open;
+    let Some(surge) = surge_limit(state, &engine.entry.service) else {
+        return Spacing::Unlimited;
     };
     let (vm, id, zone) = (&state.me.vm, &engine.entry.id, &engine.entry.zone);
-    if state.members.is_owner_by_lists(vm, id, zone, now) && has_run(state, now) {
-        return Spacing::Apart(interval(surge * SURGE_PART));
+    if state.members.is_owner_by_recent_lists(vm, id, zone, now) && has_outlived_previous(state, now) {
+        return Spacing::AtLeast(interval(surge * SURGE_PART));
     }
     let alone = state.members.list().is_empty();
-    if alone { Spacing::Apart(interval(surge * SURGE_ALONE)) } else { Spacing::Elsewhere }
+    if alone { Spacing::AtLeast(interval(surge * SURGE_ALONE)) } else { Spacing::NotOwner }
 }
 
 /// Whether and when this entry VM can use an engine without a known limit. If the engine may be cold and
@@ -97,15 +97,15 @@
 /// owner does not know which reservations the silent one granted last.
 pub(super) fn access(state: &State, now: Time, engine: &Engine) -> Access {
     // Usually no entry VM is silent.
-    if !state.members.is_any_silent(now) || surge_of(state, &engine.entry.service).is_none() {
-        return Access::Open;
+    if !state.members.any_silent(now) || surge_limit(state, &engine.entry.service).is_none() {
+        return Access::Unlimited;
     }
     let owner = state.members.sole_owner(&engine.entry.id, &engine.entry.zone);
     let silent = owner.is_some_and(|owner| state.members.is_silent(&owner.vm, now));
-    if silent { Access::After(Duration::ZERO, RESERVE_MS) } else { Access::Open }
+    if silent { Access::After(Duration::ZERO, PENALTY_MAX_MS) } else { Access::Unlimited }
 }
 
 /// Spacing that the owner is expected to use at an engine without a known limit.
 pub(super) fn apart(state: &State, engine: &Engine) -> Duration {
-    surge_of(state, &engine.entry.service).map_or(Duration::ZERO, |surge| interval(surge * SURGE_PART))
+    surge_limit(state, &engine.entry.service).map_or(Duration::ZERO, |surge| interval(surge * SURGE_PART))
 }
--- a/fleet/src/intake/table.rs
+++ b/fleet/src/rate_limit/table.rs
@@ -7,12 +7,12 @@
 use boragecove_core::time::Time;
 
 use super::brittle::Brittle;
-use super::{Advert, Limit};
+use super::{Limit, Report};
+use crate::cursor::Cursor;
 use crate::engine::{Engine, Incarnation};
-use crate::exchange::Exchange;
-use crate::frame::View;
+use crate::frame::Position;
 use crate::notice::Start;
-use crate::schedule::{Ask, Grant};
+use crate::schedule::{Grant, ReservationRequest};
 
 /// Largest number of engines whose reports are stored; the earliest report is dropped first.
 const WORDS_MAX: usize = 1_000;
@@ -46,7 +46,7 @@
     /// Engines for which an invalid value has been logged.
     unreadable: BTreeSet<Name>,
     /// Numbers the changes of all entries.
-    exchange: Exchange,
+    exchange: Cursor,
     /// Requests sent to engines with a rate or rejection limit.
     sent: u64,
     /// Requests for reservations at such engines, by result.
@@ -54,10 +54,10 @@
 }
 
 impl Entry {
-    fn told(&self, now: Time, engine: &Name) -> Advert {
+    fn told(&self, now: Time, engine: &Name) -> Report {
         let from = Start { engine: engine.clone(), incarnation: self.incarnation };
-        Advert {
-            from,
+        Report {
+            start: from,
             per_s: self.per_s,
             age: now.since(self.heard),
             brittle: self.brittle.as_ref().map(|brittle| brittle.told(now)),
@@ -70,29 +70,29 @@
     /// The rate limit that this start of an engine has reported, if any.
     pub(crate) fn limit(&self, engine: &Name, incarnation: Incarnation) -> Option<Limit> {
         let word = self.by_engine.get(engine).filter(|word| word.incarnation == incarnation)?;
-        word.per_s.map(|per_s| Limit { per_s, heard: word.heard })
+        word.per_s.map(|per_s| Limit { per_s, reported_at: word.heard })
     }
 
     /// The rate limit that a listed engine has reported, if any.
-    pub(crate) fn named_by(&self, engine: &Engine) -> Option<Limit> {
+    pub(crate) fn reported_limit(&self, engine: &Engine) -> Option<Limit> {
         self.limit(&engine.entry.id, engine.entry.incarnation)
     }
 
     /// The lower of a listed engine's reported rate limit and its cold-start rate.
     pub(crate) fn limit_of(&self, engine: &Engine, now: Time) -> Option<Limit> {
         let cold = engine.cold.filter(|cold| now < cold.until);
-        let cold = cold.map(|cold| Limit { per_s: cold.per_s, heard: cold.since });
-        let limits = cold.into_iter().chain(self.named_by(engine));
+        let cold = cold.map(|cold| Limit { per_s: cold.per_s, reported_at: cold.since });
+        let limits = cold.into_iter().chain(self.reported_limit(engine));
         limits.min_by(|one, other| one.per_s.total_cmp(&other.per_s))
     }
 
     /// Number of engines with a rate limit.
-    pub(crate) fn limited(&self) -> usize {
+    pub(crate) fn limited_count(&self) -> usize {
         self.by_engine.values().filter(|word| word.per_s.is_some()).count()
     }
 
     /// Requests sent to engines with a rate or rejection limit.
-    pub(crate) const fn sent(&self) -> u64 {
+    pub(crate) const fn sent_count(&self) -> u64 {
         self.sent
     }
 
@@ -102,35 +102,35 @@
     }
 
     /// Counts the result of a request for a reservation; `grant` is `None` if the call failed.
-    pub(crate) fn count_answer(&mut self, ask: &Ask, grant: Option<Grant>) {
+    pub(crate) fn count_answer(&mut self, ask: &ReservationRequest, grant: Option<Grant>) {
         if ask.is_limited() {
             *self.answers.entry(grant.map_or("silent", Grant::label)).or_default() += 1;
         }
     }
 
     /// Counts a request sent to a limited engine.
-    pub(crate) const fn count(&mut self) {
+    pub(crate) const fn count_sent(&mut self) {
         self.sent += 1;
     }
 
     /// The report on an engine that goes with a request for a reservation.
-    pub(crate) fn told(&self, now: Time, engine: &Engine) -> Option<Advert> {
+    pub(crate) fn report(&self, now: Time, engine: &Engine) -> Option<Report> {
         let Engine { entry, .. } = engine;
         let word = self.by_engine.get(&entry.id).filter(|word| word.incarnation == entry.incarnation)?;
         Some(word.told(now, &entry.id))
     }
 
     /// Reports that the hub has not acknowledged, and the number of the last change they cover.
-    pub(crate) fn untold(&self, now: Time) -> (Vec<Advert>, u64) {
+    pub(crate) fn unreported(&self, now: Time) -> (Vec<Report>, u64) {
         let untold =
-            self.by_engine.iter().filter(|(_, word)| word.own && self.exchange.is_untold(word.number));
-        (untold.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.changes())
+            self.by_engine.iter().filter(|(_, word)| word.own && self.exchange.is_unreported(word.number));
+        (untold.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.last_change())
     }
 
     /// The hub of this term has acknowledged all changes up to this one. A new hub is sent all limits in
     /// force.
-    pub(crate) fn answered(&mut self, term: u64, changes: u64) {
-        if !self.exchange.answered(term, changes) {
+    pub(crate) fn hub_replied(&mut self, term: u64, changes: u64) {
+        if !self.exchange.hub_replied(term, changes) {
             return;
         }
         for word in self.by_engine.values_mut() {
@@ -139,25 +139,25 @@
     }
 
     /// Which of the hub's changes are known here.
-    pub(crate) const fn known(&self) -> View {
-        self.exchange.known()
+    pub(crate) const fn hub_position(&self) -> Position {
+        self.exchange.hub_position()
     }
 
     /// As the hub of this term: reports that changed after `known`, and the number of the last change.
-    pub(crate) fn changed_since(&self, now: Time, term: u64, known: View) -> (Vec<Advert>, u64) {
-        let since = Exchange::last_known(term, known);
+    pub(crate) fn changed_since(&self, now: Time, term: u64, known: Position) -> (Vec<Report>, u64) {
+        let since = Cursor::acknowledged(term, known);
         let changed = self.by_engine.iter().filter(|(_, word)| word.number > since);
-        (changed.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.changes())
+        (changed.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.last_change())
     }
 
     /// All changes of the hub up to this one are known.
-    pub(crate) const fn learnt(&mut self, version: u64) {
-        self.exchange.learn(version);
+    pub(crate) const fn set_hub_version(&mut self, version: u64) {
+        self.exchange.set_hub_version(version);
     }
 
     /// Whether the stored report on this start of an engine is at least as new as one made at `heard`. If
     /// it also differs, it is sent again, because the other entry VM does not have it.
-    pub(super) fn knows_later(&mut self, from: &Start, per_s: Option<f64>, heard: Time) -> bool {
+    pub(super) fn has_newer(&mut self, from: &Start, per_s: Option<f64>, heard: Time) -> bool {
         let known = self.by_engine.get_mut(&from.engine);
         let Some(known) = known.filter(|word| word.incarnation == from.incarnation && word.heard >= heard)
         else {
@@ -180,7 +180,7 @@
         own: bool,
     ) -> Option<f64> {
         let Start { engine, incarnation } = from;
-        let before = self.word(engine, *incarnation).cloned();
+        let before = self.entry(engine, *incarnation).cloned();
         let said = before.as_ref().and_then(|word| word.per_s);
         let word = match before {
             Some(before) if said == per_s => Entry { heard, ..before },
@@ -199,13 +199,13 @@
     }
 
     /// The entry of this start of an engine.
-    pub(super) fn word(&self, engine: &Name, incarnation: Incarnation) -> Option<&Entry> {
+    pub(super) fn entry(&self, engine: &Name, incarnation: Incarnation) -> Option<&Entry> {
         self.by_engine.get(engine).filter(|word| word.incarnation == incarnation)
     }
 
     /// The state of this start of an engine if it is brittle, and when it was reported.
-    pub(super) fn brittle_word(&self, from: &Start) -> Option<(&Brittle, Time)> {
-        let word = self.word(&from.engine, from.incarnation)?;
+    pub(super) fn brittle_report(&self, from: &Start) -> Option<(&Brittle, Time)> {
+        let word = self.entry(&from.engine, from.incarnation)?;
         word.brittle.as_ref().zip(word.brittle_heard)
     }
 
@@ -219,7 +219,7 @@
         own: bool,
     ) -> bool {
         let Start { engine, incarnation } = from;
-        let known = self.word(engine, *incarnation).cloned();
+        let known = self.entry(engine, *incarnation).cloned();
         if known.is_none() && said.is_none() {
             return false;
         }
@@ -235,9 +235,9 @@
         let later = word.brittle_heard.is_none_or(|at| heard >= at);
         let news = match (&mut word.brittle, said) {
             (Some(known), Some(said)) => {
-                let other = later && known.most.total_cmp(&said.most).is_ne();
+                let other = later && known.rejections_per_s.total_cmp(&said.rejections_per_s).is_ne();
                 if other {
-                    known.most = said.most;
+                    known.rejections_per_s = said.rejections_per_s;
                 }
                 known.merge(&said.rejections) || other
             }
@@ -276,7 +276,7 @@
 
     /// Handles the removal of an engine from the list. A later engine may come under the same id; without
     /// an incarnation the two cannot be told apart, so the entry is dropped.
-    pub(crate) fn gone(&mut self, engine: &Name) {
+    pub(crate) fn engine_removed(&mut self, engine: &Name) {
         self.unreadable.remove(engine);
         if self.by_engine.get(engine).is_some_and(|word| word.incarnation.0.is_none()) {
             self.by_engine.remove(engine);
--- a/fleet/src/record.rs
+++ b/fleet/src/record.rs
@@ -436,7 +436,7 @@
         /// The service.
         service: Name,
         /// The models.
-        models: Vec<Placed>,
+        models: Vec<Placement>,
         /// Number of loads from the weight store that may start now.
         cold_left: usize,
         /// Engines that can be given orders.
@@ -471,7 +471,7 @@
 
 /// Copies of one model.
 #[derive(Clone, Debug, Serialize)]
-pub struct Placed {
+pub struct Placement {
     /// The model.
     pub model: Name,
     /// Smoothed number of requests under way or waiting.
--- a/fleet/src/homes.rs
+++ b/fleet/src/regions.rs
@@ -1,6 +1,6 @@
 //! Allowed regions: a request may be served only in regions that both its route and its workspace allow.
 //!
-//! Its body is sent to no engine in any other region. Only [`Homes::permit`] creates a [`Permit`], and no attempt can be created without
+//! Its body is sent to no engine in any other region. Only [`Regions::permit`] creates a [`Permit`], and no attempt can be created without
 //! one.
 
 use std::collections::BTreeSet;
@@ -14,29 +14,29 @@
 
 /// A set of allowed regions, or all regions.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Homes(Option<BTreeSet<Name>>);
+pub struct Regions(Option<BTreeSet<Name>>);
 
 /// Proof that an engine is in a region in which a request may be served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit(());
 
-impl Homes {
+impl Regions {
     /// Allows these regions, or all if there are none.
     #[must_use]
-    pub fn of(regions: impl IntoIterator<Item = Name>) -> Self {
+    pub fn new(regions: impl IntoIterator<Item = Name>) -> Self {
         let regions: BTreeSet<Name> = regions.into_iter().collect();
         Self((!regions.is_empty()).then_some(regions))
     }
 
     /// Whether only some regions are allowed.
     #[must_use]
-    pub const fn bind(&self) -> bool {
+    pub const fn is_restricted(&self) -> bool {
         self.0.is_some()
     }
 
     /// The regions that both sets allow, which may be none.
     #[must_use]
-    pub fn and(&self, other: &Self) -> Self {
+    pub fn intersect(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
             (Some(own), Some(other)) => Self(Some(own.intersection(other).cloned().collect())),
             (Some(_), None) => self.clone(),
@@ -54,20 +54,20 @@
 
 /// The regions in which a request may be served by the current configuration. If its route or workspace was removed, the regions that it
 /// declared last still apply.
-pub(crate) fn of(state: &State, flow: &Flow) -> Homes {
+pub(crate) fn of_request(state: &State, flow: &Flow) -> Regions {
     let declared = state.routes.find(&flow.route.host, &flow.route.prefix);
     let declared = declared.filter(|route| route.prefix == flow.route.prefix);
     let route = declared.unwrap_or(&flow.route);
     let Some(workspace) = &flow.workspace else {
-        return route.homes.clone();
+        return route.allowed_regions.clone();
     };
     let workspace = state.routes.workspace(&workspace.name).unwrap_or(workspace);
-    route.homes.and(&workspace.homes)
+    route.allowed_regions.intersect(&workspace.allowed_regions)
 }
 
 /// Returns a permit to send a request to an engine, if the engine is in one of the allowed regions.
-pub(crate) fn permit(state: &State, homes: &Homes, engine: &Engine) -> Option<Permit> {
-    if !homes.bind() {
+pub(crate) fn permit(state: &State, homes: &Regions, engine: &Engine) -> Option<Permit> {
+    if !homes.is_restricted() {
         return homes.permit(None);
     }
     homes.permit(state.settings.regions.get(&engine.entry.zone))
--- a/fleet/src/request.rs
+++ b/fleet/src/request.rs
@@ -11,9 +11,9 @@
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
 use crate::engine::Incarnation;
-use crate::homes::Permit;
 use crate::key::Digest;
 use crate::path::Relay;
+use crate::regions::Permit;
 
 /// A request's number within its process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -108,7 +108,7 @@
     /// Its path, without the query.
     pub path: Name,
     /// How long the caller waits for the answer; none if it does not say.
-    pub patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// The model that it needs and the size of its prompt; none for calls of plain services.
     pub prompt: Option<Prompt>,
     /// A hash of its contents, by which repeated requests are recognised.
@@ -122,7 +122,7 @@
     /// The id of the stream that its answer begins, if it begins one and has an attempt id.
     pub stream: Option<Stream>,
     /// The stream that it resumes; none if it resumes none.
-    pub resumes: Option<Resumption>,
+    pub resumption: Option<Resumption>,
 }
 
 /// What a request needs of a model.
@@ -180,9 +180,9 @@
     /// Send it. If events of the answer were delivered already, continue after the last of them.
     Send(Attempt),
     /// Send nothing until the next step: the attempt that was scheduled for a later time is cancelled.
-    Wait,
+    Hold,
     /// Forward the engine's answer to the caller.
-    Pass,
+    Forward,
     /// Refuse it, or break its answer off if that has begun.
     Refuse(Refusal),
 }
@@ -198,11 +198,11 @@
 
 /// The timing of the events of an attempt's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Events {
+pub struct Timing {
     /// The longest pause between two of them.
-    pub pause: Duration,
+    pub longest_pause: Duration,
     /// The mean time between two of them; none for fewer than two events.
-    pub gap: Option<Duration>,
+    pub mean_gap: Option<Duration>,
     /// Whether the answer was ended by the end of its connection alone. Its engine may have crashed then.
     pub unframed: bool,
 }
--- a/fleet/src/rollout.rs
+++ b/fleet/src/rollout.rs
@@ -9,12 +9,12 @@
 use boragecove_core::time::Time;
 
 use crate::effect::Effect;
-use crate::entries;
 use crate::frame::{self, Frame};
 use crate::members::Member;
 use crate::push::{self, Message};
 use crate::record::Record;
 use crate::state::State;
+use crate::tables;
 use crate::timer::Timer;
 use crate::update::{Error, Packed};
 
@@ -90,13 +90,13 @@
 
 /// Handles a change of the current version: the hub pushes it to the others at once, and a process that reads the store on behalf of its
 /// availability zone pushes it to that zone.
-pub(crate) fn changed(state: &mut State, now: Time, before: u64, out: &mut Vec<Effect>) {
-    if state.lease.holds(now).is_some() {
+pub(crate) fn config_changed(state: &mut State, now: Time, before: u64, out: &mut Vec<Effect>) {
+    if state.lease.held_term(now).is_some() {
         schedule(state, now, now, out);
         return;
     }
     // The others already have the first version that a starting process reads.
-    if before == 0 || !frame::speaks_for_zone(state, now) {
+    if before == 0 || !frame::pushes_to_zone(state, now) {
         return;
     }
     let Some(config) = state.config.clone() else {
@@ -105,14 +105,14 @@
     match state.updates.prepare(before, &config) {
         Ok(update) => {
             let message = Message { update: Some(update.clone()), ..Message::default() };
-            push::tell(state, now, &message, out);
+            push::notify(state, now, &message, out);
         }
         Err(error) => unusable(&error, out),
     }
 }
 
 /// As the hub, handles the version in an entry VM's frame.
-pub(crate) fn heard(state: &mut State, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
+pub(crate) fn record_version(state: &mut State, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
     let Some(config) = state.config.clone() else {
         return;
     };
@@ -123,13 +123,13 @@
         return;
     }
     let lacking = standing.version(now, again) < config.version;
-    if lacking && state.lease.holds(now).is_some() && inline(state, frame).is_none() {
+    if lacking && state.lease.held_term(now).is_some() && inline_update(state, frame).is_none() {
         schedule(state, now, now + GATHER, out);
     }
 }
 
 /// Returns the update to include in the hub's reply to a frame: one that is small, or one that pushes failed to deliver.
-pub(crate) fn inline(state: &mut State, frame: &Frame) -> Option<Packed> {
+pub(crate) fn inline_update(state: &mut State, frame: &Frame) -> Option<Packed> {
     let config = state.config.as_ref().filter(|config| config.version > frame.config)?;
     let missed = state.rollout.standings.get(&frame.vm).is_some_and(|standing| standing.pushes >= MISSES_MAX);
     // An update that cannot be packed is logged when it is pushed.
@@ -139,13 +139,13 @@
 
 /// Time after which a push is repeated, unless the entry VM has confirmed the version.
 fn again(state: &State) -> Duration {
-    PUSH_AGAIN.max(frame::every(state).mul_f64(PUSH_AGAIN_FRAMES))
+    PUSH_AGAIN.max(frame::frame_interval(state).mul_f64(PUSH_AGAIN_FRAMES))
 }
 
 fn schedule(state: &mut State, now: Time, at: Time, out: &mut Vec<Effect>) {
     let at = state.rollout.last.map_or(at, |last| at.max(last + PUSH_EVERY));
     if at <= now {
-        due(state, now, out);
+        push_due(state, now, out);
     } else if state.rollout.due.is_none_or(|due| due > at || due < now) {
         state.rollout.due = Some(at);
         state.timers.set(at, Timer::Push);
@@ -153,9 +153,9 @@
 }
 
 /// Pushes the current version to all entry VMs that lack it.
-pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn push_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.rollout.due = None;
-    if state.lease.holds(now).is_none() {
+    if state.lease.held_term(now).is_none() {
         return;
     }
     let Some(config) = state.config.clone() else {
@@ -174,7 +174,7 @@
             vms: addresses.len(),
         }));
         let hub = state.lease.hub().cloned();
-        let message = Message { hub, update: Some(update), onward: addresses, ..Message::default() };
+        let message = Message { hub, update: Some(update), forward_to: addresses, ..Message::default() };
         push::forward(state, &message, out);
     }
 }
@@ -182,9 +182,9 @@
 /// Returns the entry VMs that lack a version, by availability zone and by the version that they have, and records a push to each.
 fn lacking(state: &mut State, now: Time, version: u64) -> BTreeMap<(Name, u64), Vec<SocketAddr>> {
     let mut lacking: BTreeMap<(Name, u64), Vec<SocketAddr>> = BTreeMap::new();
-    let before = state.updates.before();
+    let before = state.updates.previous_version();
     let again = again(state);
-    for Member { vm, zone, address, .. } in frame::reached(state) {
+    for Member { vm, zone, address, .. } in frame::reachable_members(state) {
         // An entry VM that has not sent a frame to this new hub yet is assumed to have the previous version.
         let unheard = Standing { said: before, ..Standing::default() };
         let standing = state.rollout.standings.entry(vm).or_insert(unheard);
@@ -198,7 +198,7 @@
 }
 
 /// Applies an update, or keeps it until the version that it applies to has arrived.
-pub(crate) fn take(
+pub(crate) fn receive(
     state: &mut State,
     now: Time,
     update: Packed,
@@ -208,14 +208,14 @@
     let mut next = Some(update);
     while let Some(update) = next {
         apply(state, now, update, source, out);
-        let have = frame::version(state);
+        let have = frame::config_version(state);
         next = state.rollout.early.remove(&have);
         state.rollout.early.retain(|base, _| *base > have);
     }
 }
 
 fn apply(state: &mut State, now: Time, update: Packed, source: &'static str, out: &mut Vec<Effect>) {
-    let have = frame::version(state);
+    let have = frame::config_version(state);
     if update.version <= have {
         return;
     }
@@ -224,7 +224,7 @@
         return;
     }
     match update.unpack().and_then(|update| update.apply(state.config.as_deref())) {
-        Ok(config) => entries::configured(state, now, config.into(), source, out),
+        Ok(config) => tables::apply_config(state, now, config.into(), source, out),
         Err(error) => unusable(&error, out),
     }
 }
--- a/fleet/src/schedule.rs
+++ b/fleet/src/schedule.rs
@@ -12,7 +12,7 @@
 //! by rendezvous hashing among the entry VMs of the engine's availability zone, so that the work is spread and most
 //! reservation requests stay within the zone. If the owner does not answer, the asker goes by its own copy of the
 //! schedule, because badly spaced prompts break no guarantee. At a limited engine they do: there the spacing also enforces the
-//! limit ([`crate::intake`]), and only the owner grants reservations.
+//! limit ([`crate::rate_limit`]), and only the owner grants reservations.
 
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 use crate::config::Route;
 use crate::effect::Effect;
 use crate::frame;
-use crate::intake::{self, Advert, Spacing};
+use crate::rate_limit::{self, Report, Spacing};
 use crate::record::{Record, ms};
 use crate::state::State;
 
@@ -45,14 +45,14 @@
     }
 
     /// Reserves the next free time for a prompt. Returns how long the prompt has to wait for it.
-    pub fn take(&mut self, now: Time, need: Need) -> Duration {
+    pub fn reserve(&mut self, now: Time, need: Cost) -> Duration {
         let wait = self.wait(now);
         self.free_at = now + wait + need.space_after(wait);
         wait
     }
 
     /// Moves the next free time to `until`, unless it is later already.
-    pub fn keep_away(&mut self, until: Time) {
+    pub fn delay_until(&mut self, until: Time) {
         self.free_at = self.free_at.max(until);
     }
 
@@ -62,23 +62,23 @@
     }
 
     /// Sets the next free time as reported by the owner: the next prompt can be sent after `wait`.
-    pub fn learn(&mut self, now: Time, wait: Duration) {
+    pub fn set_wait(&mut self, now: Time, wait: Duration) {
         self.free_at = now + wait;
     }
 }
 
 /// The time that a prompt takes in a schedule.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Need {
+pub struct Cost {
     /// Time to read the prompt.
-    pub work: Duration,
+    pub prefill: Duration,
     /// Time from this prompt to the next one.
-    pub space: Duration,
+    pub spacing: Duration,
     /// The operator's target for the time to the first event.
     pub target: Duration,
 }
 
-impl Need {
+impl Cost {
     /// The time that a prompt takes which is read in `work`, at an engine that takes `event` to make one event while it reads no
     /// prompt.
     #[must_use]
@@ -89,7 +89,7 @@
         let rest = room.saturating_sub(work).max(room / 2);
         let space =
             if rest.is_zero() { work } else { work.mul_f64(pause.as_secs_f64() / rest.as_secs_f64()) };
-        Self { work, space, target }
+        Self { prefill: work, spacing: space, target }
     }
 
     /// The time from a prompt that has waited to the next one. Once prompts wait for more than half of their target, the spacing shrinks;
@@ -98,30 +98,30 @@
     fn space_after(&self, wait: Duration) -> Duration {
         let half = self.target.as_secs_f64() / 2.0;
         let pressed = if half > 0.0 { (wait.as_secs_f64() / half - 1.0).clamp(0.0, 1.0) } else { 0.0 };
-        self.space.saturating_sub(self.space.saturating_sub(self.work).mul_f64(pressed))
+        self.spacing.saturating_sub(self.spacing.saturating_sub(self.prefill).mul_f64(pressed))
     }
 }
 
 /// A request for a reservation in an engine's schedule.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ReservationRequest {
     /// The engine's id.
     pub engine: Name,
     /// The time that the prompt takes in the schedule.
-    pub need: Need,
+    pub cost: Cost,
     /// The longest wait for which the reservation is wanted.
     pub wait_max: Duration,
     /// The engine's limit as known to the asker.
-    pub limit: Option<Advert>,
+    pub limit: Option<Report>,
     /// How much longer the engine is cold, as known to the asker; none if it is not.
-    pub cold: Option<Duration>,
+    pub cold_left: Option<Duration>,
 }
 
-impl Ask {
+impl ReservationRequest {
     /// Whether the asker knows of a limit.
     #[must_use]
     pub fn is_limited(&self) -> bool {
-        self.cold.is_some() || self.limit.as_ref().is_some_and(Advert::names_limit)
+        self.cold_left.is_some() || self.limit.as_ref().is_some_and(Report::has_limit)
     }
 }
 
@@ -149,21 +149,21 @@
 }
 
 /// Answers a request for a reservation, as the owner of the engine's schedule.
-pub(crate) fn grant(state: &mut State, now: Time, ask: &Ask) -> Grant {
+pub(crate) fn grant(state: &mut State, now: Time, ask: &ReservationRequest) -> Grant {
     if let Some(limit) = &ask.limit {
-        intake::told(state, now, limit);
+        rate_limit::report_received(state, now, limit);
     }
-    if let Some(left) = ask.cold {
-        intake::cold(state, now, &ask.engine, left);
+    if let Some(left) = ask.cold_left {
+        rate_limit::mark_cold(state, now, &ask.engine, left);
     }
     let Some(engine) = state.engines.get(&ask.engine) else {
         // The engine was registered just now, so nobody has sent it anything.
         return if ask.is_limited() { Grant::Elsewhere } else { Grant::After(Duration::ZERO) };
     };
-    let apart = match intake::spacing(state, now, engine) {
-        Spacing::Open => Duration::ZERO,
-        Spacing::Apart(apart) => apart,
-        Spacing::Elsewhere => return Grant::Elsewhere,
+    let apart = match rate_limit::spacing(state, now, engine) {
+        Spacing::Unlimited => Duration::ZERO,
+        Spacing::AtLeast(apart) => apart,
+        Spacing::NotOwner => return Grant::Elsewhere,
     };
     let Some(engine) = state.engines.get_mut(&ask.engine) else {
         return Grant::Elsewhere;
@@ -172,31 +172,31 @@
     if wait > ask.wait_max {
         return Grant::Busy(wait);
     }
-    let wait = engine.schedule.take(now, ask.need);
-    engine.schedule.keep_away(now + wait + apart);
+    let wait = engine.schedule.reserve(now, ask.cost);
+    engine.schedule.delay_until(now + wait + apart);
     Grant::After(wait)
 }
 
 /// Updates the local copy of an engine's schedule by the owner's answer.
-pub(crate) fn learn(state: &mut State, now: Time, ask: &Ask, grant: Grant) {
-    let again = frame::every(state);
-    if intake::keeps_schedule(state, now, &ask.engine) {
+pub(crate) fn learn_grant(state: &mut State, now: Time, ask: &ReservationRequest, grant: Grant) {
+    let again = frame::frame_interval(state);
+    if rate_limit::ignores_reported_schedule(state, now, &ask.engine) {
         return;
     }
-    let apart = state.engines.get(&ask.engine).map(|engine| intake::apart(state, now, engine));
+    let apart = state.engines.get(&ask.engine).map(|engine| rate_limit::expected_spacing(state, now, engine));
     let Some((engine, apart)) = state.engines.get_mut(&ask.engine).zip(apart) else {
         return;
     };
     match grant {
-        Grant::After(wait) => engine.schedule.learn(now, wait + ask.need.space.max(apart)),
-        Grant::Busy(wait) => engine.schedule.learn(now, wait),
+        Grant::After(wait) => engine.schedule.set_wait(now, wait + ask.cost.spacing.max(apart)),
+        Grant::Busy(wait) => engine.schedule.set_wait(now, wait),
         // The leader's next answer tells who owns the schedule.
-        Grant::Elsewhere => engine.schedule.learn(now, again),
+        Grant::Elsewhere => engine.schedule.set_wait(now, again),
     }
 }
 
 /// Handles a schedule owner that did not answer: it is not asked again for a while.
-pub(crate) fn unanswered(state: &mut State, now: Time, owner: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn owner_timed_out(state: &mut State, now: Time, owner: &Name, out: &mut Vec<Effect>) {
     out.push(Effect::Record(Record::OwnerSilent { owner: owner.clone(), for_ms: ms(SILENT) }));
-    state.members.suspect(owner, now + SILENT);
+    state.members.mark_silent(owner, now + SILENT);
 }
--- a/fleet/src/settings.rs
+++ b/fleet/src/settings.rs
@@ -20,13 +20,13 @@
     pub load_window: Duration,
     /// Loads allowed in a window in addition to the rate. The platform allows an excess of a tenth plus three. Two of
     /// these are left for orders that are carried out late.
-    pub load_extra: f64,
+    pub load_burst: f64,
     /// Minimum time between the orders of two entry VMs to one engine (bound of the platform).
     pub order_gap: Duration,
     /// Time after which an engine that has announced its departure may be sent nothing more (bound of the platform).
-    pub departure: Bound,
+    pub departure_bound: Bound,
     /// Time after which an accepted configuration is in force everywhere (bound of the platform).
-    pub config: Bound,
+    pub config_bound: Bound,
     /// Validity of a lease without renewal.
     pub lease_length: Duration,
     /// How much longer other entry VMs wait before they take the lease, and before they give orders: the rates of
@@ -35,7 +35,7 @@
     /// Interval between renewals of the lease.
     pub lease_renew: Duration,
     /// Interval at which a lease without a known holder is checked.
-    pub lease_look: Duration,
+    pub lease_check: Duration,
     /// Interval between frames to the hub.
     pub frame_every: Duration,
     /// Number of entry VMs up to which that interval applies. Beyond it, the interval grows in proportion.
@@ -50,26 +50,26 @@
     /// writes its lease more often than that, and a change in the store has to be in force within two seconds.
     pub hub_store_age: Duration,
     /// Interval between the hub's calls for the store's changes.
-    pub follow_as_hub: Duration,
+    pub hub_poll_interval: Duration,
     /// Number of engines up to which that interval applies. Beyond it, the interval grows in proportion, up to a
     /// maximum.
-    pub follow_engines: u32,
+    pub hub_poll_engines: u32,
     /// How long a starting process waits for the hub before it reads all tables from the store: several frame
     /// intervals.
     pub hub_wait: Duration,
     /// Interval at which a starting process without data looks for the hub.
-    pub start_look: Duration,
+    pub start_lookup_interval: Duration,
     /// Interval between calls for the store's changes by other entry VMs without a hub. Each engine that registers
     /// changes the table, and at the start all of them do so.
-    pub follow_alone: Duration,
+    pub standalone_poll_interval: Duration,
     /// Interval between placement plans.
     pub plan_every: Duration,
     /// How late a new entry of an engine may be that lost its entry in an outage (the platform's two seconds, less a
     /// margin).
-    pub lapse_grace: Duration,
+    pub entry_expiry_grace: Duration,
     /// Time after the restore of the store from an older copy within which the operator and the engines write again
     /// what was lost.
-    pub rewritten_within: Duration,
+    pub restore_rewrite_time: Duration,
     /// Interval between an engine's heartbeats (bound of the platform). The store removes the entry of an engine that
     /// misses three.
     pub engine_heartbeat: Duration,
@@ -78,7 +78,7 @@
     /// Longest time without work for an engine that could not be reached.
     pub suspicion_max: Duration,
     /// Time without a response from an engine with requests under way after which it is suspected.
-    pub silence: Duration,
+    pub engine_silence: Duration,
     /// Half-life of the remembered failures of an engine.
     pub fault_half_life: Duration,
     /// Cost of one remembered failure of an engine, in ms of waiting.
@@ -87,7 +87,7 @@
     /// zones, which is about 1.5% of the value of a streamed answer.
     pub zone_ms: f64,
     /// Cost of each request under way at an engine, in ms of waiting, because it slows down the others of its batch.
-    pub crowd_ms: f64,
+    pub open_request_ms: f64,
     /// How much longer a prompt may have to wait at the chosen engine than at the next best one before the next best
     /// one is asked for a slot, since the query takes several ms.
     pub schedule_slack: Duration,
@@ -98,14 +98,14 @@
     pub load_wait: Duration,
     /// How long an engine's refusal of a model or adapter as absent takes precedence over the data of the holder of
     /// the lease.
-    pub absence: Duration,
+    pub absence_ttl: Duration,
     /// Time after which an adapter that an engine was told to load counts as loaded. The platform's engines take 5 to
     /// 14 ms.
     pub adapter_ready: Duration,
     /// Time without a request after which an adapter may be replaced by another.
     pub adapter_idle: Duration,
     /// Time reserved for the answer after the last moment at which a request may be sent.
-    pub reserve: Duration,
+    pub answer_reserve: Duration,
     /// Time after which a revoked key may not be served anywhere (bound of the platform); none if entry VMs that
     /// receive nothing need not keep to it.
     pub revocation: Option<Duration>,
@@ -123,13 +123,13 @@
     /// The region of each availability zone.
     pub regions: BTreeMap<Name, Name>,
     /// Mechanisms that are switched off, for experiments only.
-    pub without: Vec<Mechanism>,
+    pub disabled: Vec<Mechanism>,
     /// Time until the load balancer sends no more requests to an entry VM that is not ready. It checks readiness
     /// every second and needs two failures. It still sends requests if most of the entry VMs of the zone are not
     /// ready.
     pub balancer_grace: Duration,
     /// Time from the order to stop until requests still under way are cut off.
-    pub stop_within: Duration,
+    pub stop_timeout: Duration,
 }
 
 /// A mechanism that can be switched off to measure its effect.
@@ -138,23 +138,23 @@
     /// Spaces prompts at engines.
     Spacing,
     /// Shortens the spacing of prompts once they have waited for half of their target time.
-    Pressing,
+    DeadlinePressure,
     /// Measures the reading speeds of engines.
-    LearntSpeed,
+    MeasuredSpeed,
     /// Chooses engines at random, weighted to allow for requests of other entry VMs that aren't known yet.
-    Draw,
+    WeightedDraw,
     /// Prefers engines of the own availability zone.
     ZoneCost,
     /// Counts requests under way as a cost of an engine.
-    CrowdCost,
+    OpenRequestCost,
     /// Counts recent failures as a cost of an engine.
-    Faults,
+    RecentFailures,
     /// Probes engines that other entry VMs suspect.
     SharedSuspicion,
     /// Drops unused copies before their memory is needed.
     EarlyDrop,
     /// Drops copies in favour of models without waiting requests only once demand has been observed.
-    WatchedDrops,
+    ObservedDrops,
     /// Loads adapters on more engines when those that hold them are crowded.
     AdapterRelief,
     /// Limits concurrent loads to the number that the weight store serves at full speed.
@@ -167,15 +167,15 @@
     /// All mechanisms.
     pub const ALL: [Self; 13] = [
         Self::Spacing,
-        Self::Pressing,
-        Self::LearntSpeed,
-        Self::Draw,
+        Self::DeadlinePressure,
+        Self::MeasuredSpeed,
+        Self::WeightedDraw,
         Self::ZoneCost,
-        Self::CrowdCost,
-        Self::Faults,
+        Self::OpenRequestCost,
+        Self::RecentFailures,
         Self::SharedSuspicion,
         Self::EarlyDrop,
-        Self::WatchedDrops,
+        Self::ObservedDrops,
         Self::AdapterRelief,
         Self::BoundedLoads,
         Self::Relays,
@@ -186,15 +186,15 @@
     pub const fn label(self) -> &'static str {
         match self {
             Self::Spacing => "spacing",
-            Self::Pressing => "pressing",
-            Self::LearntSpeed => "learnt-speed",
-            Self::Draw => "draw",
+            Self::DeadlinePressure => "pressing",
+            Self::MeasuredSpeed => "learnt-speed",
+            Self::WeightedDraw => "draw",
             Self::ZoneCost => "zone-cost",
-            Self::CrowdCost => "crowd-cost",
-            Self::Faults => "faults",
+            Self::OpenRequestCost => "crowd-cost",
+            Self::RecentFailures => "faults",
             Self::SharedSuspicion => "shared-suspicion",
             Self::EarlyDrop => "early-drop",
-            Self::WatchedDrops => "watched-drops",
+            Self::ObservedDrops => "watched-drops",
             Self::AdapterRelief => "adapter-relief",
             Self::BoundedLoads => "bounded-loads",
             Self::Relays => "relays",
@@ -205,8 +205,8 @@
 impl Settings {
     /// Whether a mechanism is in use.
     #[must_use]
-    pub fn uses(&self, mechanism: Mechanism) -> bool {
-        !self.without.contains(&mechanism)
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
+        !self.disabled.contains(&mechanism)
     }
 }
 
@@ -217,43 +217,43 @@
             repeat_slack: 50.0,
             repeat_window: Duration::from_secs(10),
             load_window: Duration::from_secs(5),
-            load_extra: 1.5,
+            load_burst: 1.5,
             order_gap: Duration::from_secs(3),
-            departure: Bound(Duration::from_secs(2)),
-            config: Bound(Duration::from_secs(2)),
+            departure_bound: Bound(Duration::from_secs(2)),
+            config_bound: Bound(Duration::from_secs(2)),
             lease_length: Duration::from_millis(1_600),
             lease_margin: Duration::from_millis(200),
             lease_renew: Duration::from_millis(400),
-            lease_look: Duration::from_millis(400),
+            lease_check: Duration::from_millis(400),
             frame_every: Duration::from_millis(150),
             frame_nodes: 30,
             weak: false,
             weak_wait: Duration::from_millis(1_200),
             hub_silence: Duration::from_millis(700),
             hub_store_age: Duration::from_secs(1),
-            follow_as_hub: Duration::from_millis(30),
-            follow_engines: 30,
+            hub_poll_interval: Duration::from_millis(30),
+            hub_poll_engines: 30,
             hub_wait: Duration::from_millis(700),
-            start_look: Duration::from_millis(30),
-            follow_alone: Duration::from_millis(250),
+            start_lookup_interval: Duration::from_millis(30),
+            standalone_poll_interval: Duration::from_millis(250),
             plan_every: Duration::from_millis(250),
-            lapse_grace: Duration::from_millis(1_500),
-            rewritten_within: Duration::from_secs(2),
+            entry_expiry_grace: Duration::from_millis(1_500),
+            restore_rewrite_time: Duration::from_secs(2),
             engine_heartbeat: Duration::from_millis(1_200),
             suspicion_min: Duration::from_millis(500),
             suspicion_max: Duration::from_secs(4),
-            silence: Duration::from_millis(500),
+            engine_silence: Duration::from_millis(500),
             fault_half_life: Duration::from_secs(2),
             fault_ms: 40.0,
             zone_ms: 20.0,
-            crowd_ms: 1.5,
+            open_request_ms: 1.5,
             schedule_slack: Duration::from_millis(20),
             schedule_wait: Duration::from_secs(1),
             load_wait: Duration::from_secs(4),
-            absence: Duration::from_millis(150),
+            absence_ttl: Duration::from_millis(150),
             adapter_ready: Duration::from_millis(20),
             adapter_idle: Duration::from_millis(400),
-            reserve: Duration::from_millis(50),
+            answer_reserve: Duration::from_millis(50),
             revocation: None,
             quota_window: Duration::ZERO,
             quota_overage: 0.0,
@@ -261,9 +261,9 @@
             cold_overage: 1.0,
             cold_slack: 0.0,
             regions: BTreeMap::new(),
-            without: Vec::new(),
+            disabled: Vec::new(),
             balancer_grace: Duration::from_millis(2_500),
-            stop_within: Duration::from_millis(7_650),
+            stop_timeout: Duration::from_millis(7_650),
         }
     }
 }
--- a/fleet/src/speed.rs
+++ b/fleet/src/speed.rs
@@ -60,25 +60,25 @@
 
     /// The estimated time to read a prompt.
     #[must_use]
-    pub fn work(&self, service: &str, model: &str, tokens: u32) -> Duration {
+    pub fn prefill_time(&self, service: &str, model: &str, tokens: u32) -> Duration {
         Duration::from_secs_f64(self.token_us(service, model) * f64::from(tokens) / 1e6)
     }
 
     /// The estimated time that engines of a service take to make an event while they read no prompt.
     #[must_use]
-    pub fn event(&self, service: &str) -> Duration {
+    pub fn event_time(&self, service: &str) -> Duration {
         let ms = self.events.get(service).copied().unwrap_or(EVENT_PRIOR_MS);
         Duration::from_secs_f64(ms / 1e3)
     }
 
     /// The estimated time to answer a call of a plain service that does not wait in a queue, with the round trip.
     #[must_use]
-    pub fn run(&self, service: &str) -> Duration {
+    pub fn call_time(&self, service: &str) -> Duration {
         Duration::from_secs_f64(self.runs.get(service).copied().unwrap_or_default() / 1e3)
     }
 
     /// Adds a sample: a call of a plain service was answered after this time.
-    pub fn learn_run(&mut self, service: &Name, took: Duration) {
+    pub fn learn_call(&mut self, service: &Name, took: Duration) {
         let ms = took.as_secs_f64() * 1e3;
         let known = self.runs.entry(service.clone()).or_insert(ms);
         let gain = if ms < *known { RUN_GAINS.0 } else { RUN_GAINS.1 };
@@ -94,7 +94,7 @@
     }
 
     /// Adds a sample: a prompt's first event came this long after it was sent.
-    pub fn learn(&mut self, service: &Name, model: &Name, tokens: u32, took: Duration) {
+    pub fn learn_prefill(&mut self, service: &Name, model: &Name, tokens: u32, took: Duration) {
         if tokens < TOKENS_MIN {
             return;
         }
--- a/fleet/src/spread.rs
+++ b/fleet/src/spread.rs
@@ -10,14 +10,14 @@
 
 /// The estimated load that is not reported here yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Unseen {
+pub struct Estimate {
     /// Requests that other entry VMs have sent and that are not reported here yet.
     pub requests: f64,
     /// What one request adds to the cost of its engine, in ms.
     pub step_ms: f64,
 }
 
-impl Unseen {
+impl Estimate {
     /// What all of them add to costs, in ms.
     fn total_ms(self) -> f64 {
         self.requests.max(0.0) * self.step_ms.max(0.0)
@@ -25,7 +25,7 @@
 
     /// What they add to the cost of each engine, in ms, if they are spread evenly over this number of engines.
     #[must_use]
-    pub fn each_ms(self, engines: usize) -> f64 {
+    pub fn per_engine_ms(self, engines: usize) -> f64 {
         self.total_ms() / engines.max(1) as f64
     }
 }
@@ -33,7 +33,7 @@
 /// Draws one of the engines with these costs in ms and returns its index; none if there are no engines. `drawn` is a random number
 /// from 0 to 1.
 #[must_use]
-pub fn draw(costs: &[f64], unseen: Unseen, drawn: f64) -> Option<usize> {
+pub fn draw(costs: &[f64], unseen: Estimate, drawn: f64) -> Option<usize> {
     let mut order: Vec<usize> = (0..costs.len()).collect();
     order.sort_by(|a, b| costs[*a].total_cmp(&costs[*b]));
     let first = *order.first()?;
--- a/fleet/src/state.rs
+++ b/fleet/src/state.rs
@@ -16,15 +16,14 @@
 use crate::budget::Budget;
 use crate::config::{Config, Pool, Table};
 use crate::crash::Register;
-use crate::demand::{Appetite, Counts};
-use crate::departure::{Audience, Departures, Road};
+use crate::demand::{Aggregate, Counters};
+use crate::departure::{Audience, Departures, Source};
 use crate::engine::{Engine, Row};
 use crate::era::Era;
 use crate::evacuation::Evacuations;
 use crate::flow::Flow;
-use crate::frame::{Hub, Reason, Told, View};
+use crate::frame::{Count, Hub, Position, Reason};
 use crate::freshness::Freshness;
-use crate::intake;
 use crate::lease::Lease;
 use crate::ledger::Ledger;
 use crate::members::Members;
@@ -32,15 +31,16 @@
 use crate::pin::{History, Pins};
 use crate::proof::Proof;
 use crate::quota::Quota;
+use crate::rate_limit;
 use crate::request::{Id, Prompt};
 use crate::revision::Revision;
 use crate::rollout::Rollout;
 use crate::settings::Settings;
 use crate::speed::Speed;
+use crate::suspicion;
 use crate::timer::Timer;
-use crate::trust;
 use crate::update::Updates;
-pub(crate) use rows::{Gap, Removed};
+pub(crate) use rows::{Gap, Tombstone};
 
 /// Weight of a new sample in the mean run time of a service.
 const PACE_GAIN: f64 = 0.05;
@@ -72,30 +72,30 @@
     pub(crate) routes: Table,
     pub(crate) engines: BTreeMap<Name, Engine>,
     /// Digest of the ids of all known engines.
-    pub(crate) engine_ids: u64,
+    pub(crate) engines_digest: u64,
     /// Engines that were removed.
-    pub(crate) removed: BTreeMap<Name, Removed>,
+    pub(crate) tombstones: BTreeMap<Name, Tombstone>,
     /// Entries in a restored copy of the store, of engines that had been removed before. These engines may no longer
     /// exist.
-    pub(crate) returned: BTreeMap<Name, Row>,
+    pub(crate) resurrected: BTreeMap<Name, Row>,
     /// Departures of engines known from other sources than their rows, and who still has to be notified of them.
     pub(crate) departures: Departures,
     /// Limits that engines have announced.
-    pub(crate) intakes: intake::Table,
+    pub(crate) rate_limits: rate_limit::Table,
     /// The revision up to which the engine table is known.
-    pub(crate) listed: Revision,
+    pub(crate) engines_revision: Revision,
     /// Age of the engine table, and stalls of this process.
     pub(crate) freshness: Freshness,
     /// The revision of the newest known row. It may have been pushed, and be beyond the revision of the table.
     pub(crate) newest_row: Revision,
     /// The revision from which on `removed` is complete. Removals before the first complete reading of the table
     /// aren't known.
-    pub(crate) removals_from: Revision,
+    pub(crate) tombstones_since: Revision,
     /// The revisions skipped by the last complete reading of a table that had been known before. Engines that came
     /// and went between them may have been missed.
     pub(crate) gap: Option<Gap>,
     /// The revision up to which the configuration in force is known to be the newest; 0 if unknown.
-    pub(crate) declared: Revision,
+    pub(crate) config_revision: Revision,
     /// Availability zones whose engines are excluded from work.
     pub(crate) evacuations: Evacuations,
     /// When the configuration in force was last known to be the newest.
@@ -105,22 +105,22 @@
     /// The copy of its data that the store answers from.
     pub(crate) era: Era,
     /// Responses of the store that belonged to an earlier era and arrived when the new one was known.
-    pub(crate) answers_outdated: u64,
+    pub(crate) outdated_answers: u64,
     pub(crate) store_up: bool,
     /// When the store last answered any call.
-    pub(crate) store_heard: Time,
+    pub(crate) store_answered_at: Time,
     /// When the store last answered a call for changes from this process.
-    pub(crate) read_at: Option<Time>,
+    pub(crate) table_read_at: Option<Time>,
     /// The pause between calls for changes, if this process follows the store's tables itself.
-    pub(crate) follows: Option<Duration>,
-    pub(crate) store_troubled: Option<Time>,
+    pub(crate) follow_interval: Option<Duration>,
+    pub(crate) store_failing_since: Option<Time>,
     pub(crate) flows: FxHashMap<Id, Flow>,
     pub(crate) waiting: BTreeSet<Id>,
     /// Whether waiting requests are to be checked again.
-    pub(crate) stirred: bool,
+    pub(crate) rescan_requested: bool,
     pub(crate) budget: Budget,
-    pub(crate) demand: Counts,
-    pub(crate) appetite: Appetite,
+    pub(crate) demand: Counters,
+    pub(crate) fleet_demand: Aggregate,
     pub(crate) hub: Hub,
     pub(crate) lease: Lease,
     pub(crate) ledger: Ledger,
@@ -131,13 +131,13 @@
     pub(crate) members: Members,
     pub(crate) speed: Speed,
     /// Whether the load balancer has had time to see that this entry VM is stopping.
-    pub(crate) graced: bool,
+    pub(crate) balancer_grace_over: bool,
     pub(crate) refusals: BTreeMap<Code, u64>,
     pub(crate) retries: BTreeMap<&'static str, u64>,
     pub(crate) updates: Updates,
     pub(crate) rollout: Rollout,
     pub(crate) crashes: Register,
-    pub(crate) suspicions: trust::Lines,
+    pub(crate) suspicions: suspicion::Limiter,
     /// Stream origins stored here for other entry VMs.
     pub(crate) pins: Pins,
     /// The builds that have served requests.
@@ -145,9 +145,9 @@
     /// The paths to engines, and the requests relayed for other entry VMs.
     pub(crate) paths: Paths,
     /// How often an engine for an adapter was searched for.
-    pub(crate) places_sought: u64,
+    pub(crate) placement_searches: u64,
     /// Rows of the engine table that were skipped because newer ones were known.
-    pub(crate) rows_passed_over: u64,
+    pub(crate) stale_rows_skipped: u64,
     paces: FxHashMap<Name, f64>,
 }
 
@@ -161,7 +161,7 @@
         timers.set(now, Timer::Lease);
         timers.set(now + settings.frame_every, Timer::Frame);
         timers.set(now + settings.plan_every, Timer::Plan);
-        timers.set(now, Timer::Pins);
+        timers.set(now, Timer::StreamReports);
         Self {
             me,
             settings,
@@ -171,33 +171,33 @@
             config: None,
             routes: Table::default(),
             engines: BTreeMap::new(),
-            engine_ids: 0,
-            removed: BTreeMap::new(),
-            returned: BTreeMap::new(),
+            engines_digest: 0,
+            tombstones: BTreeMap::new(),
+            resurrected: BTreeMap::new(),
             departures: Departures::default(),
-            intakes: intake::Table::default(),
-            listed: Revision::default(),
+            rate_limits: rate_limit::Table::default(),
+            engines_revision: Revision::default(),
             freshness: Freshness::default(),
             newest_row: Revision::default(),
-            removals_from: Revision::default(),
+            tombstones_since: Revision::default(),
             gap: None,
-            declared: Revision::default(),
+            config_revision: Revision::default(),
             evacuations: Evacuations::default(),
             proof: Proof::default(),
             quota,
             era: Era::default(),
-            answers_outdated: 0,
+            outdated_answers: 0,
             store_up: true,
-            store_heard: now,
-            read_at: None,
-            follows: None,
-            store_troubled: None,
+            store_answered_at: now,
+            table_read_at: None,
+            follow_interval: None,
+            store_failing_since: None,
             flows: FxHashMap::default(),
             waiting: BTreeSet::new(),
-            stirred: false,
+            rescan_requested: false,
             budget: Budget::default(),
-            demand: Counts::default(),
-            appetite: Appetite::default(),
+            demand: Counters::default(),
+            fleet_demand: Aggregate::default(),
             hub: Hub::new(),
             lease: Lease::default(),
             ledger: Ledger::default(),
@@ -206,18 +206,18 @@
             stops_at: None,
             members: Members::default(),
             speed: Speed::default(),
-            graced: false,
+            balancer_grace_over: false,
             refusals: BTreeMap::new(),
             retries: BTreeMap::new(),
             updates: Updates::default(),
             rollout: Rollout::default(),
             crashes: Register::default(),
-            suspicions: trust::Lines::default(),
+            suspicions: suspicion::Limiter::default(),
             pins: Pins::default(),
             history: History::default(),
             paths: Paths::default(),
-            places_sought: 0,
-            rows_passed_over: 0,
+            placement_searches: 0,
+            stale_rows_skipped: 0,
             paces: FxHashMap::default(),
         }
     }
@@ -248,13 +248,13 @@
 
     /// Number of workspaces of whose limits this process holds shares.
     #[must_use]
-    pub fn quota_held(&self, now: Time) -> usize {
-        self.quota.held(now)
+    pub fn quota_workspaces(&self, now: Time) -> usize {
+        self.quota.held_count(now)
     }
 
     /// Shares of a workspace's limit held here, out of [`crate::quota::WHOLE`].
     #[must_use]
-    pub fn quota_parts(&self, now: Time, workspace: &str) -> u32 {
+    pub fn quota_shares(&self, now: Time, workspace: &str) -> u32 {
         self.quota.parts(now, workspace)
     }
 
@@ -276,8 +276,8 @@
 
     /// Digest of the ids of the known engines, independent of their order.
     #[must_use]
-    pub const fn engine_ids(&self) -> u64 {
-        self.engine_ids
+    pub const fn engines_digest(&self) -> u64 {
+        self.engines_digest
     }
 
     /// The address of an engine, if it is known.
@@ -336,8 +336,8 @@
 
     /// As the hub: number and size of full snapshots sent, by reason.
     #[must_use]
-    pub const fn told_whole(&self) -> &BTreeMap<Reason, Told> {
-        self.hub.told_whole()
+    pub const fn full_snapshots(&self) -> &BTreeMap<Reason, Count> {
+        self.hub.full_snapshots()
     }
 
     /// Streams that clients resumed, by how the build that may continue them was determined.
@@ -348,38 +348,38 @@
 
     /// Messages on stream origins sent to other entry VMs, and the number of streams in them, counted each time.
     #[must_use]
-    pub const fn streams_told(&self) -> (u64, u64) {
-        (self.pins.messages, self.pins.told)
+    pub const fn stream_reports(&self) -> (u64, u64) {
+        (self.pins.messages, self.pins.streams_announced)
     }
 
     /// Number of streams whose origin is stored here.
     #[must_use]
-    pub fn streams_kept(&self) -> usize {
-        self.pins.kept.len()
+    pub fn streams_stored(&self) -> usize {
+        self.pins.origins.len()
     }
 
     /// Number of engines that have announced a limit in requests per second.
     #[must_use]
     pub fn engines_limited(&self) -> usize {
-        self.intakes.limited()
+        self.rate_limits.limited_count()
     }
 
     /// Number of engines that fail if they reject too many requests.
     #[must_use]
     pub fn engines_brittle(&self) -> usize {
-        self.engines.values().filter(|engine| self.intakes.is_brittle(engine)).count()
+        self.engines.values().filter(|engine| self.rate_limits.is_brittle(engine)).count()
     }
 
     /// Queries for slots at engines that have announced a limit, by result.
     #[must_use]
-    pub const fn limit_places(&self) -> &BTreeMap<&'static str, u64> {
-        self.intakes.answers()
+    pub const fn limited_reservation_answers(&self) -> &BTreeMap<&'static str, u64> {
+        self.rate_limits.answers()
     }
 
     /// Number of requests sent to engines that have announced a limit.
     #[must_use]
     pub const fn sent_to_limited(&self) -> u64 {
-        self.intakes.sent()
+        self.rate_limits.sent_count()
     }
 
     /// Whether this process is cut off from most engines that it uses while other entry VMs are not.
@@ -391,19 +391,19 @@
     /// Number of this process's requests sent through a relay.
     #[must_use]
     pub const fn sent_by_relays(&self) -> u64 {
-        self.paths.sent
+        self.paths.sent_by_relay
     }
 
     /// Number of other entry VMs' requests that are being relayed.
     #[must_use]
-    pub const fn passing_on(&self) -> u32 {
-        self.paths.passing
+    pub const fn relaying(&self) -> u32 {
+        self.paths.relaying
     }
 
     /// Number of other entry VMs' requests that were relayed.
     #[must_use]
-    pub const fn passed_on(&self) -> u64 {
-        self.paths.passed
+    pub const fn relayed(&self) -> u64 {
+        self.paths.relayed
     }
 
     /// Other entry VMs' requests that were not relayed, by reason.
@@ -414,38 +414,38 @@
 
     /// How often an engine for an adapter was searched for. The work of the holder of the lease grows with it.
     #[must_use]
-    pub const fn places_sought(&self) -> u64 {
-        self.places_sought
+    pub const fn placement_searches(&self) -> u64 {
+        self.placement_searches
     }
 
     /// Rows of the engine table that were skipped because newer ones were known.
     #[must_use]
-    pub const fn rows_passed_over(&self) -> u64 {
-        self.rows_passed_over
+    pub const fn stale_rows_skipped(&self) -> u64 {
+        self.stale_rows_skipped
     }
 
     /// Departures of engines, by the source from which this process learned of them first.
     #[must_use]
-    pub const fn departures_known(&self) -> &BTreeMap<Road, u64> {
-        &self.departures.known
+    pub const fn departures_learnt(&self) -> &BTreeMap<Source, u64> {
+        &self.departures.learned
     }
 
     /// Departures of engines of which this process notified others, or left it to others, by audience.
     #[must_use]
-    pub const fn departures_told(&self) -> &BTreeMap<Audience, u64> {
-        &self.departures.told
+    pub const fn departures_reported(&self) -> &BTreeMap<Audience, u64> {
+        &self.departures.notified
     }
 
     /// Time since the engine table contained all that the store had taken; none if it isn't known yet.
     #[must_use]
-    pub fn listed_age(&self, now: Time) -> Option<Duration> {
+    pub fn engines_age(&self, now: Time) -> Option<Duration> {
         self.freshness.age(now)
     }
 
     /// How often this process stalled.
     #[must_use]
-    pub const fn standstills(&self) -> u64 {
-        self.freshness.standstills()
+    pub const fn stalls(&self) -> u64 {
+        self.freshness.stalls()
     }
 
     /// The copy of its data that the store answers from.
@@ -456,8 +456,8 @@
 
     /// Responses of the store that belonged to an earlier era and arrived when the new one was known.
     #[must_use]
-    pub const fn answers_outdated(&self) -> u64 {
-        self.answers_outdated
+    pub const fn outdated_answers(&self) -> u64 {
+        self.outdated_answers
     }
 
     /// The engines of a service.
@@ -471,23 +471,23 @@
     }
 
     /// Whether the configuration contains the model and the adapter, so that a copy can be expected.
-    pub(crate) fn declared(&self, service: &Name, prompt: &Prompt) -> bool {
+    pub(crate) fn is_declared(&self, service: &Name, prompt: &Prompt) -> bool {
         let model = self.pool(service).and_then(|pool| pool.model(&prompt.model));
         model.is_some_and(|model| prompt.adapter.as_ref().is_none_or(|name| model.adapters.contains(name)))
     }
 
     /// Version of the residencies known here.
-    pub(crate) fn view(&self) -> View {
-        View { term: self.lease.taken_term(), version: self.ledger.version() }
+    pub(crate) fn residency_version(&self) -> Position {
+        Position { term: self.lease.taken_term(), version: self.ledger.version() }
     }
 
     /// Mean run time of a service, in ms.
-    pub(crate) fn pace(&self, service: &Name) -> f64 {
+    pub(crate) fn mean_run_ms(&self, service: &Name) -> f64 {
         self.paces.get(service).copied().unwrap_or(PACE_MS)
     }
 
     /// Adds a run time of a service to its mean.
-    pub(crate) fn paced(&mut self, service: &Name, took: Duration) {
+    pub(crate) fn record_run(&mut self, service: &Name, took: Duration) {
         let ms = took.as_secs_f64() * 1_000.0;
         let pace = self.paces.entry(service.clone()).or_insert(ms);
         *pace += PACE_GAIN * (ms - *pace);
--- a/fleet/src/trust.rs
+++ b/fleet/src/suspicion.rs
@@ -7,7 +7,7 @@
 
 use crate::crash;
 use crate::effect::Effect;
-use crate::engine::{Engine, Reach};
+use crate::engine::{Engine, Port};
 use crate::flow;
 use crate::path;
 use crate::record::Record;
@@ -27,15 +27,15 @@
 
 /// Limits the number of suspicions that are logged per second.
 #[derive(Debug, Default)]
-pub(crate) struct Lines {
+pub(crate) struct Limiter {
     since: Time,
     written: u32,
     left_out: u32,
 }
 
-impl Lines {
+impl Limiter {
     /// Whether another suspicion may be logged. The number left out in an earlier second is logged as one line.
-    pub(crate) fn take(&mut self, now: Time, out: &mut Vec<Effect>) -> bool {
+    pub(crate) fn allow(&mut self, now: Time, out: &mut Vec<Effect>) -> bool {
         if now.since(self.since) >= Duration::from_secs(1) {
             if self.left_out > 0 {
                 out.push(Effect::Record(Record::LeftOut { what: "suspicions", lines: self.left_out }));
@@ -49,21 +49,21 @@
 }
 
 /// Suspects an engine that could not be reached: it gets no work, and is probed when the suspicion ends.
-pub(crate) fn unreached(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn unreachable(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     suspect(state, now, engine, out);
     let Some(known) = state.engines.get(engine) else {
         return;
     };
     let at = known.health.suspect_until.unwrap_or(now);
     state.timers.set(at, Timer::Probe(engine.clone()));
-    path::lost(state, now, engine, out);
+    path::connect_failed(state, now, engine, out);
 }
 
 /// Suspects a silent engine: it gets no work until it has answered a probe, which is sent at once because it may just be slow.
 pub(crate) fn silent(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     suspect(state, now, engine, out);
     if let Some(known) = state.engines.get_mut(engine) {
-        known.health.asked = now;
+        known.health.last_checked = now;
         out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
     }
 }
@@ -75,7 +75,7 @@
     let health = &mut known.health;
     let begins = health.suspect_until.is_none();
     let again = health.logged_at.is_some_and(|at| now.since(at) < LOGGED_AGAIN);
-    if begins && !again && state.suspicions.take(now, out) {
+    if begins && !again && state.suspicions.allow(now, out) {
         health.logged_at = Some(now);
         health.is_logged = true;
         out.push(Effect::Record(Record::Engine {
@@ -89,26 +89,26 @@
 }
 
 /// Probes an engine that another entry VM suspects, if this one uses it and has not heard from it or probed it just now.
-pub(crate) fn look(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    if !state.settings.uses(Mechanism::SharedSuspicion) {
+pub(crate) fn check_if_used(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+    if !state.settings.is_enabled(Mechanism::SharedSuspicion) {
         return;
     }
-    let recent = state.settings.silence;
+    let recent = state.settings.engine_silence;
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
     let health = &mut known.health;
-    let used = health.sent.is_some_and(|at| now.since(at) < USED_WITHIN);
-    let fresh = now.since(health.heard) < recent / 2 || now.since(health.asked) < recent;
-    if !used || fresh || health.suspected(now) {
+    let used = health.last_sent.is_some_and(|at| now.since(at) < USED_WITHIN);
+    let fresh = now.since(health.last_heard) < recent / 2 || now.since(health.last_checked) < recent;
+    if !used || fresh || health.is_suspected(now) {
         return;
     }
-    health.asked = now;
+    health.last_checked = now;
     out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
 }
 
 /// Probes an engine whose suspicion has lasted long enough. It gets no work until it answers.
-pub(crate) fn probe(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn suspicion_expired(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
@@ -120,22 +120,22 @@
 }
 
 /// Handles the result of a probe of an engine's port.
-pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Reach, out: &mut Vec<Effect>) {
+pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Port, out: &mut Vec<Effect>) {
     crash::probed(state, now, engine, reach, out);
-    if reach != Reach::Open {
+    if reach != Port::Open {
         if let Some(known) = state.engines.get_mut(engine) {
-            known.health.refuses = reach == Reach::Closed;
+            known.health.refuses = reach == Port::Closed;
         }
-        unreached(state, now, engine, out);
+        unreachable(state, now, engine, out);
         return;
     }
-    if path::opened(state, now, engine) {
-        heard(state, now, engine, out);
+    if path::port_opened(state, now, engine) {
+        responded(state, now, engine, out);
     }
 }
 
 /// Handles a part of an answer to a request, which was sent at `sent`, through a relay if `relayed`.
-pub(crate) fn answered(
+pub(crate) fn attempt_responded(
     state: &mut State,
     now: Time,
     engine: &Name,
@@ -143,25 +143,25 @@
     sent: Time,
     out: &mut Vec<Effect>,
 ) {
-    if path::heard(state, now, engine, relayed, Some(sent)) {
-        heard(state, now, engine, out);
+    if path::contacted(state, now, engine, relayed, Some(sent)) {
+        responded(state, now, engine, out);
     }
 }
 
 /// Probes all engines that were used lately and are not suspected: at most as many as there were requests.
-pub(crate) fn look_at_used(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn probe_used(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let used = |engine: &&mut Engine| {
         let health = &engine.health;
-        health.sent.is_some_and(|at| now.since(at) < USED_WITHIN) && !health.suspected(now)
+        health.last_sent.is_some_and(|at| now.since(at) < USED_WITHIN) && !health.is_suspected(now)
     };
     for engine in state.engines.values_mut().filter(used) {
-        engine.health.asked = now;
+        engine.health.last_checked = now;
         out.push(Effect::Probe { engine: engine.entry.id.clone(), address: engine.entry.address });
     }
 }
 
 /// Ends all suspicion of an engine that has answered.
-pub(crate) fn heard(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn responded(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
@@ -174,9 +174,9 @@
             version: known.version.version,
         }));
     }
-    known.health.hear(now);
-    path::regained(state, now, engine, out);
+    known.health.record_response(now);
+    path::use_directly(state, now, engine, out);
     if was_suspected {
-        flow::stir_later(state);
+        flow::request_rescan(state);
     }
 }
--- a/fleet/src/entries/row.rs
+++ b/fleet/src/tables/row.rs
@@ -5,17 +5,17 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
-use crate::departure::{self, Road};
+use crate::departure::{self, Source};
 use crate::effect::Effect;
 use crate::engine::{Engine, Entry, Row};
 use crate::flow;
 use crate::frame;
-use crate::intake;
 use crate::ledger;
 use crate::pin;
+use crate::rate_limit;
 use crate::record::Record;
 use crate::revision::Revision;
-use crate::state::{Removed, State};
+use crate::state::{State, Tombstone};
 use crate::timer::Timer;
 
 /// Maximum number of remembered removals. A removal is remembered so that an older row does not bring the engine back.
@@ -27,7 +27,7 @@
     version: Revision,
     /// How much longer the sender of the row waits for the engine to come back.
     lapses: Option<Duration>,
-    road: Road,
+    road: Source,
 }
 
 /// Applies a row from a view of the table that is complete up to `as_of`. Returns whether it changes the state of its engine.
@@ -36,25 +36,25 @@
     now: Time,
     as_of: Time,
     row: Row,
-    road: Road,
+    road: Source,
     out: &mut Vec<Effect>,
 ) -> bool {
-    if state.removed.get(&row.id).is_some_and(|removed| removed.version >= row.version) {
+    if state.tombstones.get(&row.id).is_some_and(|removed| removed.version >= row.version) {
         return false;
     }
     if state.engines.get(&row.id).is_some_and(|engine| engine.version > row.version) {
         return false;
     }
-    if state.returned.get(&row.id).is_some_and(|returned| returned.version > row.version) {
+    if state.resurrected.get(&row.id).is_some_and(|returned| returned.version > row.version) {
         return false;
     }
-    state.returned.remove(&row.id);
+    state.resurrected.remove(&row.id);
     state.newest_row = state.newest_row.max(row.version);
     if is_doubtful(state, as_of, &row) {
-        state.returned.insert(row.id.clone(), row);
+        state.resurrected.insert(row.id.clone(), row);
         return false;
     }
-    let Row { id, version, entry, lapses } = row;
+    let Row { id, version, entry, grace_left: lapses } = row;
     match entry {
         Some(entry) => put(state, now, entry, version, road, out),
         None => remove(state, now, &id, Removal { version, lapses, road }, out),
@@ -70,15 +70,15 @@
     let same_start = removed.incarnation.is_none_or(|known| entry.incarnation <= known);
     let from_copy =
         removed.version.era < row.version.era && !state.era.is_after_first_listing(row.version.version);
-    same_start && from_copy && state.era.doubts_removed(as_of, &state.settings)
+    same_start && from_copy && state.era.may_list_removed(as_of, &state.settings)
 }
 
 /// Returns the removal of an engine, also if the engine is expected to come back.
-fn removal(state: &State, id: &Name) -> Option<Removed> {
+fn removal(state: &State, id: &Name) -> Option<Tombstone> {
     let lapsing = state.engines.get(id).filter(|engine| engine.missing_until.is_some());
     let lapsing = lapsing
-        .map(|engine| Removed { version: engine.version, incarnation: Some(engine.entry.incarnation) });
-    lapsing.or_else(|| state.removed.get(id).copied())
+        .map(|engine| Tombstone { version: engine.version, incarnation: Some(engine.entry.incarnation) });
+    lapsing.or_else(|| state.tombstones.get(id).copied())
 }
 
 fn put(
@@ -86,20 +86,20 @@
     now: Time,
     entry: Entry,
     version: Revision,
-    road: Road,
+    road: Source,
     out: &mut Vec<Effect>,
 ) -> bool {
     let id = entry.id.clone();
     let (service, cold_left) = (entry.service.clone(), entry.cold_left);
     // The row may be older than the engine's own announcement, which the store may not have accepted yet, or may have lost.
-    let said_leaving = state.departures.has(&id, entry.incarnation);
-    let evacuated = state.evacuations.has(&entry.zone);
-    state.removed.remove(&id);
+    let said_leaving = state.departures.is_leaving(&id, entry.incarnation);
+    let evacuated = state.evacuations.is_evacuated(&entry.zone);
+    state.tombstones.remove(&id);
     if !state.engines.contains_key(&id) {
-        state.engine_ids = state.engine_ids.wrapping_add(frame::digest_of(&id));
+        state.engines_digest = state.engines_digest.wrapping_add(frame::engine_id_digest(&id));
     }
     let known = state.engines.get(&id);
-    let left_before = known.is_some_and(Engine::leaves);
+    let left_before = known.is_some_and(Engine::is_leaving);
     // Whether this row newly shows the engine as leaving, compared with its previous row alone: the others learn of it by rows.
     let departs =
         known.is_some_and(|known| entry.leaving && (!known.entry.leaving || known.missing_until.is_some()));
@@ -132,31 +132,31 @@
         state.history.remove(now, &engine.entry.service, engine.entry.build.as_ref());
     }
     engine.entry = entry;
-    engine.said_leaving = said_leaving;
+    engine.announced_leaving = said_leaving;
     engine.replaced &= engine.version >= version;
     engine.evacuated = evacuated;
     engine.version = version;
     engine.missing_until = None;
-    let leaves = engine.leaves();
+    let leaves = engine.is_leaving();
     if departs {
-        state.departures.found(&id);
+        state.departures.row_departed(&id);
     }
     if comes {
-        pin::build_came(state, now);
+        pin::build_appeared(state, now);
     }
     if rebuilt {
         // Requests that resume a stream were sent there because of its previous build.
-        flow::withdraw(state, now, &id, out);
+        flow::cancel_reservations(state, now, &id, out);
     }
-    frame::learn_early(state, &id);
-    intake::cold(state, now, &id, cold_left);
+    frame::apply_early_residency(state, &id);
+    rate_limit::mark_cold(state, now, &id, cold_left);
     let changed = is_new || lapsed || departs || left_before != leaves;
     if changed {
         let label = if leaves { "leaving" } else { "serving" };
         note(state, now, &id, service, label, version, out);
     }
     if leaves && !left_before {
-        departure::note_known(state, &id, road, version.version, out);
+        departure::record_learned(state, &id, road, version.version, out);
     }
     ledger::registered(state, now, &id, out);
     changed
@@ -172,7 +172,7 @@
     version: Revision,
     out: &mut Vec<Effect>,
 ) {
-    if state.lease.holds(now).is_some() {
+    if state.lease.held_term(now).is_some() {
         let (engine, version) = (engine.clone(), version.version);
         out.push(Effect::Record(Record::Engine { engine, service, state: label, version }));
     }
@@ -182,37 +182,37 @@
 /// engines are kept for a grace period.
 fn remove(state: &mut State, now: Time, id: &Name, removal: Removal, out: &mut Vec<Effect>) -> bool {
     let Removal { version, lapses, road } = removal;
-    let grace = state.settings.lapse_grace;
-    let troubled = state.store_troubled.is_some_and(|at| now.since(at) < grace);
+    let grace = state.settings.entry_expiry_grace;
+    let troubled = state.store_failing_since.is_some_and(|at| now.since(at) < grace);
     // The grace period of the process that reads the table for the others takes precedence.
     let wait = lapses.or(troubled.then_some(grace));
     let Some(engine) = state.engines.get_mut(id) else {
         // Other entry VMs may still list the engine, or have an entry of it in doubt that they found in a restored copy of the store.
-        let incarnation = state.removed.get(id).and_then(|removed| removed.incarnation);
-        note_removed(state, id, Removed { version, incarnation });
-        state.departures.found(id);
+        let incarnation = state.tombstones.get(id).and_then(|removed| removed.incarnation);
+        note_removed(state, id, Tombstone { version, incarnation });
+        state.departures.row_departed(id);
         return false;
     };
     engine.version = version;
     // The others may have received an entry of it from a restored copy of the store, even if the engine was missing here all along.
     engine.changed = version;
     let service = engine.entry.service.clone();
-    if let Some(wait) = wait.filter(|_| !engine.leaves()) {
+    if let Some(wait) = wait.filter(|_| !engine.is_leaving()) {
         let lapses = engine.missing_until.is_none();
-        state.departures.found(id);
+        state.departures.row_departed(id);
         if lapses {
             engine.missing_until = Some(now + wait);
-            state.timers.set(now + wait, Timer::Lapse(id.clone()));
+            state.timers.set(now + wait, Timer::EntryExpiry(id.clone()));
             note(state, now, id, service, "lapsed", version, out);
         }
         return lapses;
     }
-    let left_before = engine.leaves();
+    let left_before = engine.is_leaving();
     forget(state, now, id, version);
-    state.departures.found(id);
+    state.departures.row_departed(id);
     note(state, now, id, service, "gone", version, out);
     if !left_before {
-        departure::note_known(state, id, road, version.version, out);
+        departure::record_learned(state, id, road, version.version, out);
     }
     true
 }
@@ -234,22 +234,22 @@
     let engine = state.engines.remove(id);
     if let Some(engine) = &engine {
         state.history.remove(now, &engine.entry.service, engine.entry.build.as_ref());
-        state.engine_ids = state.engine_ids.wrapping_sub(frame::digest_of(id));
+        state.engines_digest = state.engines_digest.wrapping_sub(frame::engine_id_digest(id));
     }
     let incarnation = engine.map(|engine| engine.entry.incarnation);
-    state.departures.gone(id);
-    state.intakes.gone(id);
-    note_removed(state, id, Removed { version, incarnation });
+    state.departures.engine_removed(id);
+    state.rate_limits.engine_removed(id);
+    note_removed(state, id, Tombstone { version, incarnation });
 }
 
 /// Remembers a removal, and forgets the oldest one if there are too many.
-fn note_removed(state: &mut State, id: &Name, removed: Removed) {
-    if state.removed.len() >= REMOVED_MAX && !state.removed.contains_key(id) {
-        let oldest = state.removed.iter().min_by_key(|(_, removed)| removed.version);
+fn note_removed(state: &mut State, id: &Name, removed: Tombstone) {
+    if state.tombstones.len() >= REMOVED_MAX && !state.tombstones.contains_key(id) {
+        let oldest = state.tombstones.iter().min_by_key(|(_, removed)| removed.version);
         if let Some((oldest, version)) = oldest.map(|(id, removed)| (id.clone(), removed.version)) {
-            state.removed.remove(&oldest);
-            state.removals_from = state.removals_from.max(version);
+            state.tombstones.remove(&oldest);
+            state.tombstones_since = state.tombstones_since.max(version);
         }
     }
-    state.removed.insert(id.clone(), removed);
+    state.tombstones.insert(id.clone(), removed);
 }
--- a/fleet/src/tally.rs
+++ b/fleet/src/tally.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::engine::Phase;
-use crate::place::Spot;
+use crate::place::Candidate;
 
 /// Counts of the copies at usable engines.
 #[derive(Debug, Default)]
@@ -34,12 +34,12 @@
 
 impl Tally {
     /// Counts the copies at all usable engines.
-    pub(crate) fn of(spots: &[Spot]) -> Self {
+    pub(crate) fn of(spots: &[Candidate]) -> Self {
         let mut tally = Self::default();
         for spot in spots.iter().filter(|spot| spot.usable) {
             for (model, phase) in &spot.copies {
                 tally.add(model, *phase, &spot.zone);
-                if spot.limited {
+                if spot.rate_limited {
                     *tally.limited.entry(model.clone()).or_default().of(*phase) += 1;
                 }
             }
@@ -90,13 +90,13 @@
     }
 
     /// Number of copies that are ready or being loaded at engines without a rate limit.
-    pub(crate) fn expected_free(&self, model: &Name) -> usize {
+    pub(crate) fn expected_unlimited(&self, model: &Name) -> usize {
         let limited = self.limited.get(model).copied().unwrap_or_default();
         self.expected(model).saturating_sub(limited.ready + limited.loading)
     }
 
     /// Number of ready copies at engines without a rate limit.
-    pub(crate) fn ready_free(&self, model: &Name) -> usize {
+    pub(crate) fn ready_unlimited(&self, model: &Name) -> usize {
         let limited = self.limited.get(model).copied().unwrap_or_default();
         self.ready(model).saturating_sub(limited.ready)
     }
--- a/fleet/src/share.rs
+++ b/fleet/src/throttle.rs
@@ -35,22 +35,22 @@
 
 /// The share of calls that may be offered to an engine, from 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Share {
+pub struct Throttle {
     part: f64,
     /// When `part` was last set.
     at: Time,
 }
 
-impl Default for Share {
+impl Default for Throttle {
     fn default() -> Self {
         Self { part: 1.0, at: Time::default() }
     }
 }
 
-impl Share {
+impl Throttle {
     /// Whether a call may be offered; `drawn` is a random number from 0 to 1.
     #[must_use]
-    pub fn takes(self, now: Time, drawn: f64) -> bool {
+    pub fn admits(self, now: Time, drawn: f64) -> bool {
         drawn < self.part(now)
     }
 
--- a/fleet/src/timer.rs
+++ b/fleet/src/timer.rs
@@ -11,46 +11,46 @@
     /// The deadline of a request.
     Deadline(Id),
     /// A request has waited for a model or an adapter as long as it may.
-    Wait(Id),
+    LoadWait(Id),
     /// Checks whether the attempt with this number has gone silent.
     Silence(Id, u32),
     /// Probes a suspected engine.
     Probe(Name),
     /// Treats an entry that went missing around an outage of the store as removed.
-    Lapse(Name),
+    EntryExpiry(Name),
     /// Treats evacuations of availability zones that a restored store lacks as withdrawn.
-    Evacuations,
+    EvacuationExpiry,
     /// Sends the next frame to the hub.
     Frame,
     /// Renews the lease, or checks who holds it.
     Lease,
     /// Sends a frame to a hub that has just announced itself.
-    Greet,
+    FrameToNewHub,
     /// Asks the store about changes of the engine table. The leader's data has been waited for since a stall that
     /// ended at this time.
     Refresh(Time),
     /// Ends the wait for fresh data on the engine table that began at this time: callers can't wait any longer.
-    Doubt(Time),
+    RefreshTimeout(Time),
     /// Looks up the holder of the lease, in a process that has no data yet.
-    Look,
+    LeaseLookup,
     /// Asks the holders of shares of a workspace's limit once more, for this request.
-    Charge(Id),
+    QuotaRetry(Id),
     /// Lets requests that wait for a slot at this engine ask for another slot.
-    Recall(Name),
+    RescheduleWaiting(Name),
     /// Reports long streams to the entry VMs that keep their origin.
-    Pins,
+    StreamReports,
     /// An additional report of long streams between two regular ones.
-    TellPins,
+    StreamReportsRetry,
     /// Announces to all entry VMs that a part of prompts is sound.
-    Clear(Fingerprint),
+    AnnounceCleared(Fingerprint),
     /// Evaluates the parts of prompts under which engines crash.
-    Judge,
+    EvaluateParts,
     /// Plans the placement of models.
     Plan,
     /// Asks an engine what it holds.
-    Check(Name),
+    ResidencyCheck(Name),
     /// Pushes the configuration to entry VMs that lack the version in force.
     Push,
     /// The load balancer has had time to see that this entry VM is not ready.
-    Grace,
+    BalancerGrace,
 }
--- a/fleet/src/update.rs
+++ b/fleet/src/update.rs
@@ -219,12 +219,12 @@
 
 impl Updates {
     /// The version before the current one; 0 if there was none.
-    pub(crate) fn before(&self) -> u64 {
+    pub(crate) fn previous_version(&self) -> u64 {
         self.past.back().map_or(0, |config| config.version)
     }
 
     /// Keeps `before`, which was just replaced, as a base for updates.
-    pub(crate) fn replaced(&mut self, before: Arc<Config>) {
+    pub(crate) fn retire(&mut self, before: Arc<Config>) {
         self.packed.clear();
         if self.past.len() >= PAST_MAX {
             self.past.pop_front();
--- a/fleet/tests/adapter_copies.rs
+++ b/fleet/tests/adapter_copies.rs
@@ -24,14 +24,14 @@
     ];
     hub.feed(listing(rows, 4, true));
     hub.lead();
-    hub.pass(millis(300));
+    hub.advance(millis(300));
     hub
 }
 
 /// A frame of another entry VM that has `open` requests for the adapter under way at `w1`.
 fn frame(open: u32) -> Event {
     let target = Target { service: WRITER.into(), model: "m0".into(), adapter: Some("a7".into()) };
-    Event::Framed(Box::new(Frame {
+    Event::FrameReceived(Box::new(Frame {
         vm: "b".into(),
         loads: vec![EngineLoad { engine: "w1".into(), load: Load { open, reading_us: 0 } }],
         demand: vec![Demand { target, open, arrived: open, ..Demand::default() }],
@@ -41,7 +41,7 @@
 
 fn adapters_ordered(hub: &mut Node, open: u32) -> Vec<(String, Order)> {
     hub.feed(frame(open));
-    let sent = orders(&hub.pass(millis(300)));
+    let sent = orders(&hub.advance(millis(300)));
     let adapters = sent.into_iter().filter(|sent| matches!(sent.order, Order::LoadAdapter { .. }));
     adapters.map(|sent| (sent.engine.to_string(), sent.order)).collect()
 }
--- a/fleet/tests/adapter_waits.rs
+++ b/fleet/tests/adapter_waits.rs
@@ -11,7 +11,7 @@
 use boragecove_fleet::effect::{Dispatch, Effect};
 use boragecove_fleet::engine::{Copy, Held, Incarnation, Phase, Residency, Row};
 use boragecove_fleet::event::Event;
-use boragecove_fleet::frame::{Frame, Reply, Resident, View};
+use boragecove_fleet::frame::{Frame, Position, Reply, Resident};
 use boragecove_fleet::lease::Outcome;
 use boragecove_fleet::notice::{Notice, Start};
 use boragecove_fleet::order::{Receipt, Report};
@@ -56,7 +56,7 @@
     let version = rows.len() as u64;
     hub.feed(listing(rows, version, true));
     hub.lead();
-    hub.pass(millis(300));
+    hub.advance(millis(300));
     hub
 }
 
@@ -99,7 +99,7 @@
         ..Demand::default()
     };
     let demand = targets.iter().map(demand).collect();
-    Event::Framed(Box::new(Frame { vm: vm.into(), demand, ..Frame::default() }))
+    Event::FrameReceived(Box::new(Frame { vm: vm.into(), demand, ..Frame::default() }))
 }
 
 /// Hundreds of entry VMs have waiting requests. Each frame once made the leader search engines for all adapters
@@ -112,12 +112,12 @@
         let (model, adapter) = (format!("m{}", vm % 4), format!("a{}", vm % 9 + 1));
         hub.feed(waiting(&format!("vm-{vm}"), &[(&model, &adapter)]));
     }
-    let before = hub.state.places_sought();
+    let before = hub.state.placement_searches();
     hub.feed(waiting("vm-200", &[("m0", "a7")]));
-    assert_eq!(hub.state.places_sought() - before, 1, "that frame waits for one adapter");
-    let before = hub.state.places_sought();
+    assert_eq!(hub.state.placement_searches() - before, 1, "that frame waits for one adapter");
+    let before = hub.state.placement_searches();
     hub.arrive(streamed("/brief/1", "m1", Some("a8")));
-    assert_eq!(hub.state.places_sought() - before, 1, "a request at the leader waits for one");
+    assert_eq!(hub.state.placement_searches() - before, 1, "a request at the leader waits for one");
 }
 
 /// Several adapters are loaded at one engine in sequence. Only the first was published, and the others counted
@@ -128,11 +128,11 @@
     let (requests, mut sent) = ask(&mut hub, &["a1", "a2", "a3"]);
     let mut effects = Vec::new();
     for _ in 0..3 {
-        effects.extend(hub.pass(millis(10)));
+        effects.extend(hub.advance(millis(10)));
         let dispatch = sent.remove(0);
         sent.extend(accept(&mut hub, &dispatch));
     }
-    effects.extend(hub.pass(millis(60)));
+    effects.extend(hub.advance(millis(60)));
     for request in requests {
         assert!(
             is_sent(&effects, request),
@@ -149,10 +149,10 @@
     let (requests, sent) = ask(&mut hub, &["a1"]);
     hub.now = hub.now + Settings::default().lease_length;
     accept(&mut hub, &sent[0]);
-    hub.pass(millis(50));
-    assert_eq!(hub.state.lease().holds(hub.now), None, "the store has not accepted the renewal");
+    hub.advance(millis(50));
+    assert_eq!(hub.state.lease().held_term(hub.now), None, "the store has not accepted the renewal");
     hub.lease(3_000, Outcome::Written(101));
-    let effects = hub.pass(millis(300));
+    let effects = hub.advance(millis(300));
     assert!(is_sent(&effects, requests[0]), "the next plan publishes the adapter");
 }
 
@@ -164,10 +164,10 @@
     let (_, mut sent) = ask(&mut hub, &["a1"]);
     let from = Start { engine: sent[0].engine.clone(), incarnation: sent[0].incarnation };
     let notice = Notice { pause: Some(millis(100)), ..Notice::default() };
-    hub.feed(Event::Noticed { from, notice, asked: None });
+    hub.feed(Event::NoticeReceived { from, notice, asked: None });
     let Dispatch { engine, incarnation, .. } = sent.remove(0);
     hub.feed(Event::Ordered { engine: engine.clone(), incarnation, receipt: None });
-    let effects = hub.pass(millis(800));
+    let effects = hub.advance(millis(800));
     let asked = |effect: &Effect| matches!(effect, Effect::Report { engine: of, .. } if *of == engine);
     assert!(effects.iter().any(asked), "an unanswered order may have been carried out");
 }
@@ -180,9 +180,9 @@
     let (_, sent) = ask(&mut hub, &["a1"]);
     accept(&mut hub, &sent[0]);
     hub.feed(listing(vec![removed(3, "w1")], 3, false));
-    hub.pass(millis(30));
+    hub.advance(millis(30));
     hub.feed(listing(vec![row(4, entry("w1", WRITER, "zone-a", &["m0", "m1"]))], 4, false));
-    hub.pass(millis(300));
+    hub.advance(millis(300));
     let later = hub.arrive(streamed("/brief/1", "m0", Some("a1")));
     assert!(hub.step(later).is_some_and(|step| matches!(step, Step::Send(_))), "the adapter is ready");
 }
@@ -200,7 +200,7 @@
             sent.extend(accept(&mut hub, &dispatch));
             effects.extend_from_slice(&hub.effects);
         }
-        let passed = hub.pass(millis(10));
+        let passed = hub.advance(millis(10));
         sent.extend(orders(&passed));
         effects.extend(passed);
     }
@@ -226,15 +226,15 @@
 /// One of `nodes` entry VMs, connected to its hub.
 fn follower(nodes: u32) -> Node {
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
-    node.pass(millis(1_000));
+    node.advance(millis(1_000));
     node.feed(replied(nodes));
     node
 }
 
 fn replied(nodes: u32) -> Event {
-    let reply = Reply { leads: true, nodes, listed: 4.into(), ..Reply::default() };
+    let reply = Reply { leads: true, nodes, engines_revision: 4.into(), ..Reply::default() };
     Event::Replied(Some(Box::new(reply)))
 }
 
@@ -248,7 +248,11 @@
     node.arrive(streamed("/brief/1", "m0", Some("a2")));
     assert_eq!(told(&node.effects), None, "a frame is under way");
     node.feed(replied(295));
-    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1", "a2"]), "the hub has not been informed of a2");
+    assert_eq!(
+        told(&node.effects).map(waited_for),
+        Some(vec!["a1", "a2"]),
+        "the hub has not been informed of a2"
+    );
     node.feed(replied(295));
     assert_eq!(told(&node.effects), None, "the hub has been informed of both");
 }
@@ -263,7 +267,7 @@
     let frame = told(&node.effects).expect("a frame reports the waiting request");
     assert_eq!(frame.absent.len(), 1);
     node.feed(Event::Replied(None));
-    let next = node.pass(Duration::from_secs(2));
+    let next = node.advance(Duration::from_secs(2));
     let next = told(&next).expect("the next frame is due");
     assert_eq!(next.absent.len(), 1, "the hub may not have received the refusal");
 }
@@ -278,7 +282,11 @@
     node.feed(replied(295));
     assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1", "a2"]));
     node.feed(brought("a1"));
-    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a2"]), "the hub is asked to hold its answer for a2");
+    assert_eq!(
+        told(&node.effects).map(waited_for),
+        Some(vec!["a2"]),
+        "the hub is asked to hold its answer for a2"
+    );
     node.feed(replied(295));
     assert_eq!(told(&node.effects), None, "that answer contained no adapter");
 }
@@ -291,8 +299,13 @@
         incarnation: Incarnation::default(),
         residency: Residency { copies: vec![copy] },
     };
-    let reply =
-        Reply { leads: true, nodes: 295, listed: 4.into(), residencies: vec![resident], ..Reply::default() };
+    let reply = Reply {
+        leads: true,
+        nodes: 295,
+        engines_revision: 4.into(),
+        residencies: vec![resident],
+        ..Reply::default()
+    };
     Event::Replied(Some(Box::new(reply)))
 }
 
@@ -301,24 +314,29 @@
 #[test]
 fn answer_held_for_own_adapters() {
     let mut hub = single();
-    let Event::Framed(frame) = waiting("vm-1", &[("m0", "a1")]) else { unreachable!() };
-    let sent = orders(hub.feed(Event::Framed(frame.clone())));
-    assert!(boragecove_fleet::awaits(&hub.state, hub.now, &frame), "a1 is being loaded");
+    let Event::FrameReceived(frame) = waiting("vm-1", &[("m0", "a1")]) else { unreachable!() };
+    let sent = orders(hub.feed(Event::FrameReceived(frame.clone())));
+    assert!(boragecove_fleet::defers_reply(&hub.state, hub.now, &frame), "a1 is being loaded");
     let others = orders(hub.feed(waiting("vm-2", &[("m2", "a2")])));
     accept(&mut hub, &others[0]);
     let met = |hub: &Node, effects: &[Effect]| {
         effects.iter().any(|effect| match effect {
-            Effect::Changed(engine) => boragecove_fleet::meets(&hub.state, hub.now, engine, &frame),
+            Effect::HoldingsChanged(engine) => {
+                boragecove_fleet::satisfies_frame(&hub.state, hub.now, engine, &frame)
+            }
             _ => false,
         })
     };
-    let effects = hub.pass(millis(30));
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::Changed(_))), "a2 is ready");
+    let effects = hub.advance(millis(30));
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::HoldingsChanged(_))), "a2 is ready");
     assert!(!met(&hub, &effects), "the frame does not wait for a2");
     accept(&mut hub, &sent[0]);
-    let effects = hub.pass(millis(30));
+    let effects = hub.advance(millis(30));
     assert!(met(&hub, &effects), "a1 is ready");
-    assert!(!boragecove_fleet::awaits(&hub.state, hub.now, &frame), "no adapter is being loaded any more");
+    assert!(
+        !boragecove_fleet::defers_reply(&hub.state, hub.now, &frame),
+        "no adapter is being loaded any more"
+    );
 }
 
 /// An answer is not held if the hub cannot load the adapter soon.
@@ -326,9 +344,9 @@
 fn answer_not_held_without_load() {
     let mut hub = single();
     let awaits = |hub: &mut Node, model: &str, adapter: &str| {
-        let Event::Framed(frame) = waiting("vm-1", &[(model, adapter)]) else { unreachable!() };
-        hub.feed(Event::Framed(frame.clone()));
-        boragecove_fleet::awaits(&hub.state, hub.now, &frame)
+        let Event::FrameReceived(frame) = waiting("vm-1", &[(model, adapter)]) else { unreachable!() };
+        hub.feed(Event::FrameReceived(frame.clone()));
+        boragecove_fleet::defers_reply(&hub.state, hub.now, &frame)
     };
     assert!(awaits(&mut hub, "m0", "a1"), "the adapter is being loaded");
     assert!(!awaits(&mut hub, "m9", "a1"), "no engine holds that model");
@@ -345,7 +363,7 @@
     hub.feed(listing(vec![removed(3, "w1")], 3, false));
     accept(&mut hub, &sent[0]);
     hub.feed(listing(vec![row(4, entry("w1", WRITER, "zone-a", &["m0", "m1"]))], 4, false));
-    hub.pass(millis(300));
+    hub.advance(millis(300));
     let (_, next) = ask(&mut hub, &["a2"]);
     assert_eq!(next.len(), 1, "the engine accepts the next order");
 }
@@ -356,7 +374,7 @@
 fn suspected_engine_answers_again() {
     let mut node = Node::ready("a");
     let (running, _) = node.sent(streamed("/brief/1", "m1", None));
-    node.pass(millis(600));
+    node.advance(millis(600));
     let waiting = node.arrive(streamed("/brief/1", "m1", None));
     assert_eq!(node.step(waiting), None, "the only engine does not answer");
     let effects = node.feed(began(running)).to_vec();
@@ -371,11 +389,20 @@
     node.feed(brought("a1"));
     let (request, attempt) = node.sent(streamed("/brief/1", "m0", Some("a1")));
     node.ended(request, attempt.number, End::Done);
-    let view = View { term: 4, version: 1 };
-    let reply = Reply { leads: true, nodes: 295, listed: 4.into(), view, ..Reply::default() };
+    let view = Position { term: 4, version: 1 };
+    let reply = Reply {
+        leads: true,
+        nodes: 295,
+        engines_revision: 4.into(),
+        residency_version: view,
+        ..Reply::default()
+    };
     node.feed(Event::Replied(Some(Box::new(reply))));
     let (_, attempt) = node.sent(streamed("/brief/1", "m0", Some("a1")));
-    assert_eq!(*attempt.engine, *"w1", "no orders are sent for seconds after the change, so the adapter is still loaded");
+    assert_eq!(
+        *attempt.engine, *"w1",
+        "no orders are sent for seconds after the change, so the adapter is still loaded"
+    );
 }
 
 /// A new leader starts from the inventories of its predecessor and from the engines' entries, which name no
@@ -384,21 +411,21 @@
 fn next_leader_verifies_inventory() {
     let mut node = follower(3);
     node.feed(brought("a1"));
-    node.pass(Duration::from_secs(4));
+    node.advance(Duration::from_secs(4));
     node.lease(61_000, Outcome::Read(Some(hub_row())));
     node.lease(61_005, Outcome::Written(100));
-    assert!(node.state.lease().holds(node.now).is_some(), "it holds the lease");
-    let effects = node.pass(millis(300));
+    assert!(node.state.lease().held_term(node.now).is_some(), "it holds the lease");
+    let effects = node.advance(millis(300));
     let asks = |effect: &Effect| matches!(effect, Effect::Report { engine, .. } if **engine == *"w1");
     assert!(effects.iter().any(asks), "the engine is asked for a report");
-    let asker = Frame { vm: "b".into(), config: 1, listed: 4.into(), ..Frame::default() };
-    let told = boragecove_fleet::reply(&mut node.state, node.now, &asker);
+    let asker = Frame { vm: "b".into(), config: 1, engines_revision: 4.into(), ..Frame::default() };
+    let told = boragecove_fleet::reply_to_frame(&mut node.state, node.now, &asker);
     assert_eq!(told.residencies, [], "the engine has not answered yet");
     let (_, attempt) = node.sent(streamed("/brief/1", "m0", Some("a1")));
     assert_eq!(*attempt.engine, *"w1");
     let held = vec![Held { model: "m0".into(), adapters: vec!["a2".into()] }];
     let report = Report { sequence: 7, held, ..Report::default() };
     node.feed(Event::Reported { engine: "w1".into(), report: Some(report) });
-    let told = boragecove_fleet::reply(&mut node.state, node.now, &asker);
+    let told = boragecove_fleet::reply_to_frame(&mut node.state, node.now, &asker);
     assert_eq!(told.residencies.len(), 1, "the engine's report is published");
 }
--- a/fleet/tests/brittle_engines.rs
+++ b/fleet/tests/brittle_engines.rs
@@ -40,9 +40,9 @@
     };
     let rows: Vec<Row> = (0..ENGINES).map(gateway).collect();
     let mut world = World::new(vms, node::config(1), &rows, Settings::default(), seed);
-    world.paced = true;
+    world.long_polls = true;
     world.backends = Some(Backends::new(&rows));
-    world.pass(Duration::from_secs(if vms > 100 { 12 } else { 4 }));
+    world.advance(Duration::from_secs(if vms > 100 { 12 } else { 4 }));
     world
 }
 
@@ -52,7 +52,8 @@
 }
 
 fn served(world: &World) -> (usize, usize) {
-    let tries = world.tries(world.now - Duration::from_secs(6), world.now - Duration::from_secs(1));
+    let tries =
+        world.served_and_total(world.now - Duration::from_secs(6), world.now - Duration::from_secs(1));
     tries.values().fold((0, 0), |(served, all), (one, of)| (served + one, all + of))
 }
 
@@ -65,15 +66,15 @@
         let loads: &[f64] = if vms < 300 { &[250.0, 450.0, 700.0] } else { &[700.0] };
         for per_s in loads.iter().copied() {
             let mut world = world(vms, per_s as u64);
-            world.ask(Duration::from_secs(2), per_s / 2.0);
+            world.generate_load(Duration::from_secs(2), per_s / 2.0);
             for number in 0..ENGINES {
                 world.make_brittle(&engine(number), 5.0, SLOTS as usize, 8);
             }
-            world.ask(contact(vms), per_s);
+            world.generate_load(contact(vms), per_s);
             for number in 0..ENGINES {
                 world.shrink(&engine(number), 0);
             }
-            world.ask(Duration::from_secs(8), per_s);
+            world.generate_load(Duration::from_secs(8), per_s);
             let (served, all) = served(&world);
             println!(
                 "{vms} entry VMs, {per_s} requests/s: {} crashes, {served} of {all} served",
@@ -97,12 +98,12 @@
     for vms in [65, 300, 984] {
         for seed in [2, 3, 5] {
             let mut world = world(vms, seed);
-            world.ask(Duration::from_secs(2), 350.0);
+            world.generate_load(Duration::from_secs(2), 350.0);
             let pushes = world.pushes;
             for number in 0..ENGINES {
                 world.make_brittle(&engine(number), 5.0, SLOTS as usize, 8);
             }
-            world.ask(contact(vms), 700.0);
+            world.generate_load(contact(vms), 700.0);
             assert!(world.falls() <= allowed(), "{vms} entry VMs, seed {seed}: {} crashes", world.falls());
             let pushes = world.pushes - pushes;
             assert!(pushes < 2 * vms, "{vms} entry VMs, seed {seed}: {pushes} messages");
@@ -117,11 +118,11 @@
     let per_s = *u.choose(&[200.0, 350.0, 500.0])?;
     let most = f64::from(u.int_in_range(3..=12)?);
     let mut steps = vec![format!("{vms} entry VMs, {per_s} requests/s, {most} rejections")];
-    world.ask(Duration::from_secs(1), per_s);
+    world.generate_load(Duration::from_secs(1), per_s);
     for number in 0..ENGINES {
         world.make_brittle(&engine(number), most, SLOTS as usize, 6);
     }
-    world.ask(contact(vms), per_s);
+    world.generate_load(contact(vms), per_s);
     for _ in 0..u.int_in_range(1..=4)? {
         let (kind, number) = (u.int_in_range(0..=4)?, u.int_in_range(0..=ENGINES - 1)?);
         steps.push(format!("{:?}: {kind}, {}", world.now, engine(number)));
@@ -137,9 +138,9 @@
             2 => world.shrink(&engine(number), 0),
             _ => (0..ENGINES).for_each(|number| world.shrink(&engine(number), 0)),
         }
-        world.ask(millis(u.int_in_range(0..=3_000)?), per_s);
+        world.generate_load(millis(u.int_in_range(0..=3_000)?), per_s);
     }
-    world.ask(Duration::from_secs(3), per_s);
+    world.generate_load(Duration::from_secs(3), per_s);
     Ok((steps, world.falls()))
 }
 
--- a/fleet/tests/brittle_words.rs
+++ b/fleet/tests/brittle_words.rs
@@ -6,7 +6,7 @@
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::Reply;
 use boragecove_fleet::lease::Outcome;
-use boragecove_fleet::notice::{Asked, Bearing, Notice, Start};
+use boragecove_fleet::notice::{AnsweredRequest, Notice, Start, Tolerance};
 use boragecove_fleet::record::Record;
 use boragecove_fleet::request::Id;
 use node::{Node, hub_row, millis};
@@ -16,16 +16,16 @@
 }
 
 /// Feeds an engine's answer to a request that was sent just now.
-fn says(node: &mut Node, engine: &str, brittle: Bearing) -> Vec<Effect> {
-    let asked = Some(Asked { request: Id(1), at: node.now });
-    let notice = Notice { brittle, ..Notice::default() };
-    node.feed(Event::Noticed { from: start(engine), notice, asked }).to_vec()
+fn says(node: &mut Node, engine: &str, brittle: Tolerance) -> Vec<Effect> {
+    let asked = Some(AnsweredRequest { request: Id(1), sent_at: node.now });
+    let notice = Notice { rejection_limit: brittle, ..Notice::default() };
+    node.feed(Event::NoticeReceived { from: start(engine), notice, asked }).to_vec()
 }
 
 /// A node that follows a hub, which has answered it.
 fn follower() -> Node {
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     replied(&mut node);
     node
@@ -33,7 +33,7 @@
 
 /// Feeds the hub's reply to the pending frame.
 fn replied(node: &mut Node) {
-    let reply = Reply { leads: true, nodes: 3, listed: 4.into(), ..Reply::default() };
+    let reply = Reply { leads: true, nodes: 3, engines_revision: 4.into(), ..Reply::default() };
     node.feed(Event::Replied(Some(Box::new(reply))));
 }
 
@@ -42,15 +42,15 @@
 #[test]
 fn unreadable_ends_nothing() {
     let mut node = follower();
-    says(&mut node, "g1", Bearing::Brittle(5.0));
+    says(&mut node, "g1", Tolerance::PerSecond(5.0));
     assert_eq!(node.state.engines_brittle(), 1);
     node.now = node.now + millis(10);
     let unusable = |effects: &[Effect]| {
         effects.iter().filter(|effect| matches!(effect, Effect::Record(Record::Unusable { .. }))).count()
     };
-    assert_eq!(unusable(&says(&mut node, "g1", Bearing::Unreadable)), 1);
-    assert_eq!(unusable(&says(&mut node, "g1", Bearing::Unreadable)), 0);
+    assert_eq!(unusable(&says(&mut node, "g1", Tolerance::Invalid)), 1);
+    assert_eq!(unusable(&says(&mut node, "g1", Tolerance::Invalid)), 0);
     assert_eq!(node.state.engines_brittle(), 1);
-    says(&mut node, "g1", Bearing::Sound);
+    says(&mut node, "g1", Tolerance::Unlimited);
     assert_eq!(node.state.engines_brittle(), 0);
 }
--- a/fleet/tests/call_shares.rs
+++ b/fleet/tests/call_shares.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use boragecove_core::time::Time;
-use boragecove_fleet::share::Share;
+use boragecove_fleet::throttle::Throttle;
 
 const ENTRIES: usize = 65;
 const SLOTS: usize = 6;
@@ -32,7 +32,7 @@
 /// Simulates an engine and the entry VMs that call it. Returns the results of the calls by second.
 fn play(seed: u64, seconds: u64, calls_per_s: impl Fn(u64) -> f64) -> Vec<Second> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut shares = vec![Share::default(); ENTRIES];
+    let mut shares = vec![Throttle::default(); ENTRIES];
     let mut running: Vec<(u64, usize, u64)> = Vec::new();
     let mut queue: VecDeque<(usize, u64)> = VecDeque::new();
     let mut out = vec![Second::default(); seconds as usize];
@@ -59,7 +59,7 @@
         }
         if rng.f64() < calls_per_s(now / 1_000) / 1_000.0 {
             let entry = rng.usize(0..ENTRIES);
-            if !shares[entry].takes(Time::from_millis(now), rng.f64()) {
+            if !shares[entry].admits(Time::from_millis(now), rng.f64()) {
                 continue;
             }
             if queue.len() < QUEUE {
--- a/fleet/tests/caller_keys.rs
+++ b/fleet/tests/caller_keys.rs
@@ -54,7 +54,7 @@
 
 /// A request whose caller waits as long as the route allows.
 fn patient(path: &str, number: u8) -> Arrival {
-    Arrival { patience: None, ..keyed(path, number) }
+    Arrival { caller_timeout: None, ..keyed(path, number) }
 }
 
 fn settings() -> Settings {
@@ -62,7 +62,7 @@
 }
 
 fn declared(node: &mut Node, asked: Time) {
-    node.feed(Event::Declared { version: 40.into(), config: 1, asked });
+    node.feed(Event::OperatorTableRead { version: 40.into(), config: 1, asked });
 }
 
 /// An entry VM that has just read the configuration from the store.
@@ -71,7 +71,7 @@
 }
 
 fn proven_with(settings: Settings) -> Node {
-    let mut node = Node::with("a", settings);
+    let mut node = Node::with_settings("a", settings);
     node.feed(Event::Configured(Arc::new(guarded(1, access()))));
     let rows = vec![
         row(3, entry("g1", node::GATEWAY, "zone-a", &[])),
@@ -240,12 +240,12 @@
 
 /// An entry VM that has the configuration but no proof, and the frame that it sends to the hub.
 fn follower() -> (Node, Frame) {
-    let mut node = Node::with("b", settings());
+    let mut node = Node::with_settings("b", settings());
     node.feed(Event::Configured(Arc::new(guarded(1, access()))));
     node.feed(listing(vec![row(3, entry("g1", node::GATEWAY, "zone-a", &[]))], 4, true));
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
-    let frame = frame_of(&node.pass(millis(400))).expect("a frame to the hub");
+    let frame = frame_of(&node.advance(millis(400))).expect("a frame to the hub");
     (node, frame)
 }
 
@@ -263,7 +263,7 @@
     assert_eq!(node.refused(keyed("/ack/1", 1)).code, Code::KeyUnproven);
     let sent = node.now;
     hub.now = hub.now + millis(700);
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &frame);
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame);
     node.now = node.now + millis(300);
     node.feed(Event::Replied(Some(Box::new(reply.clone()))));
     let age = node.state.proof().age(node.now).expect("a proof");
@@ -282,7 +282,7 @@
     let mut hub = proven();
     hub.feed(Event::Configured(Arc::new(guarded(7, access()))));
     let (mut node, frame) = follower();
-    let mut reply = boragecove_fleet::reply(&mut hub.state, hub.now, &frame);
+    let mut reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame);
     reply.config = None;
     node.feed(Event::Replied(Some(Box::new(reply))));
     assert_eq!(node.state.proof().age(node.now), None);
@@ -299,8 +299,12 @@
         node.now = node.now + millis(4_650);
         let now = node.now;
         declared(&mut node, now - millis(4_650));
-        let id = node.arrive(Arrival { key: Some(key(1)), ..node::brief("m0") });
-        assert!(node.effects.iter().any(|effect| matches!(effect, Effect::Ask { .. })), "{:?}", node.effects);
+        let id = node.arrive(Arrival { key: Some(key(1)), ..node::short_stream("m0") });
+        assert!(
+            node.effects.iter().any(|effect| matches!(effect, Effect::Reserve { .. })),
+            "{:?}",
+            node.effects
+        );
         node.now = node.now + millis(60);
         if withdrawn {
             declared(&mut node, now);
@@ -378,10 +382,10 @@
 #[test]
 fn loss_is_logged_once() {
     let mut node = proven();
-    let effects = node.pass(Duration::from_secs(9));
+    let effects = node.advance(Duration::from_secs(9));
     assert_eq!(proofs(&effects), ["lost"]);
     let now = node.now;
-    node.feed(Event::Declared { version: 41.into(), config: 1, asked: now });
+    node.feed(Event::OperatorTableRead { version: 41.into(), config: 1, asked: now });
     assert_eq!(proofs(&node.effects), ["found"]);
 }
 
@@ -393,7 +397,7 @@
     node.refused(keyed("/ack/1", 1));
     assert_eq!(proofs(&node.effects), ["lost"]);
     let now = node.now;
-    node.feed(Event::Declared { version: 41.into(), config: 1, asked: now });
+    node.feed(Event::OperatorTableRead { version: 41.into(), config: 1, asked: now });
     assert_eq!(proofs(&node.effects), ["found"]);
 }
 
@@ -401,7 +405,7 @@
 #[test]
 fn store_answers_in_time() {
     let mut node = proven();
-    let effects = node.pass(Duration::from_secs(2));
+    let effects = node.advance(Duration::from_secs(2));
     let wait = effects.iter().find_map(|effect| match effect {
         Effect::Follow(Some(follow)) => Some(follow.operator.wait),
         _ => None,
--- a/fleet/tests/caller_patience.rs
+++ b/fleet/tests/caller_patience.rs
@@ -8,13 +8,13 @@
 use boragecove_fleet::event::Event;
 use boragecove_fleet::order::Receipt;
 use boragecove_fleet::request::Step;
-use node::{Node, brief, millis, orders, step_of, streamed};
+use node::{Node, millis, orders, short_stream, step_of, streamed};
 
 #[test]
 fn adapter_is_fetched() {
     let mut node = Node::ready("a");
     node.lead();
-    node.pass(millis(300));
+    node.advance(millis(300));
     let id = node.arrive(streamed("/brief/1", "m0", Some("a7")));
     assert_eq!(node.step(id), None, "no engine holds the adapter");
     let sent = orders(&node.effects);
@@ -25,7 +25,7 @@
         incarnation: Incarnation::default(),
         receipt: Some(Receipt::Accepted),
     });
-    let effects = node.pass(millis(40));
+    let effects = node.advance(millis(40));
     match step_of(&effects, id) {
         Some(Step::Send(attempt)) => assert_eq!(attempt.engine, engine),
         other => panic!("not sent: {other:?}"),
@@ -36,11 +36,11 @@
 fn missing_model_is_waited_for() {
     let mut node = Node::ready("a");
     node.lead();
-    let id = node.arrive(brief("m3"));
+    let id = node.arrive(short_stream("m3"));
     assert_eq!(node.step(id), None);
-    let effects = node.pass(millis(1_900));
+    let effects = node.advance(millis(1_900));
     assert_eq!(step_of(&effects, id), None, "the caller waits for two seconds");
-    let effects = node.pass(millis(100));
+    let effects = node.advance(millis(100));
     match step_of(&effects, id) {
         Some(Step::Refuse(refusal)) => {
             assert_eq!(refusal.code, Code::NoBackend);
@@ -53,8 +53,8 @@
 #[test]
 fn nobody_to_load_it() {
     let mut node = Node::ready("a");
-    let id = node.arrive(brief("m3"));
-    let effects = node.pass(millis(450));
+    let id = node.arrive(short_stream("m3"));
+    let effects = node.advance(millis(450));
     let refused =
         matches!(step_of(&effects, id), Some(Step::Refuse(refusal)) if refusal.code == Code::NoBackend);
     assert!(refused, "without a hub nobody can load the model");
@@ -69,7 +69,7 @@
 #[test]
 fn undeclared_model() {
     let mut node = Node::ready("a");
-    assert_eq!(node.refused(brief("m99")).code, Code::UnknownModel);
+    assert_eq!(node.refused(short_stream("m99")).code, Code::UnknownModel);
 }
 
 /// Adapter names that are not declared are not counted as demand, waited for or ordered.
@@ -84,7 +84,7 @@
 #[test]
 fn waiting_is_told_at_once() {
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     let row = boragecove_fleet::lease::Row {
         holder: "b".into(),
         address: node::address(7_001),
@@ -100,7 +100,7 @@
         repeats: None,
         builds: None,
     };
-    let seen = boragecove_fleet::lease::Seen { version: 9.into(), row };
+    let seen = boragecove_fleet::lease::Versioned { version: 9.into(), row };
     node.lease(0, boragecove_fleet::lease::Outcome::Read(Some(seen)));
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
     let told = node.effects.iter().find_map(|effect| match effect {
--- a/fleet/tests/cold_engines.rs
+++ b/fleet/tests/cold_engines.rs
@@ -10,13 +10,13 @@
 use arbtest::arbitrary::{self, Unstructured};
 use arbtest::arbtest;
 use boragecove_core::time::Time;
-use boragecove_fleet::config::{Config, Start};
+use boragecove_fleet::config::{Config, Warmup};
 use boragecove_fleet::engine::{Entry, Row};
 use boragecove_fleet::settings::Settings;
-use node::{WRITER, brief, entry, row};
+use node::{WRITER, entry, row, short_stream};
 use world::{Backends, World, ZONES};
 
-const START: Start = Start { lasts: Duration::from_secs(3), per_s: 12.0 };
+const START: Warmup = Warmup { duration: Duration::from_secs(3), per_s: 12.0 };
 const OVERAGE: f64 = 1.5;
 const SLACK: f64 = 5.0;
 /// Time between an engine's heartbeats.
@@ -28,7 +28,7 @@
     Entry { slots: 64, ..entry(&format!("w{at}"), WRITER, ZONES[at % ZONES.len()], &held) }
 }
 
-fn config(start: Option<Start>) -> Config {
+fn config(start: Option<Warmup>) -> Config {
     let mut config = node::config(1);
     for service in &mut config.services {
         Arc::make_mut(service).start = start;
@@ -36,12 +36,12 @@
     config
 }
 
-fn world(vms: usize, engines: usize, start: Option<Start>, seed: u64) -> World {
+fn world(vms: usize, engines: usize, start: Option<Warmup>, seed: u64) -> World {
     let rows: Vec<Row> = (0..engines).map(|at| row(at as u64 + 1, writer(at))).collect();
     let settings = Settings { cold_overage: OVERAGE, cold_slack: SLACK, ..Settings::default() };
     let mut world = World::new(vms, config(start), &rows, settings, seed);
     world.backends = Some(Backends::new(&rows));
-    world.pass(Duration::from_secs(6));
+    world.advance(Duration::from_secs(6));
     world
 }
 
@@ -53,9 +53,9 @@
         while due > 0.0 && world.rng.f64() < due {
             due -= 1.0;
             let at = world.rng.usize(0..world.len());
-            world.arrive(at, &"none".into(), 0.0, brief("m0"));
+            world.arrive(at, &"none".into(), 0.0, short_stream("m0"));
         }
-        world.pass(step);
+        world.advance(step);
     }
 }
 
@@ -64,8 +64,8 @@
     let from = world.now;
     let wait = Duration::from_millis(world.rng.u64(0..HEARTBEAT.as_millis() as u64));
     run(world, wait, per_s);
-    world.register(Entry { cold_left: START.lasts.saturating_sub(wait), ..writer(at) });
-    (from, from + START.lasts)
+    world.register(Entry { cold_left: START.duration.saturating_sub(wait), ..writer(at) });
+    (from, from + START.duration)
 }
 
 /// Returns by how many requests a cold engine exceeded its limit in the worst second.
@@ -81,7 +81,7 @@
         let mut world = world(9, 3, Some(START), seed);
         run(&mut world, Duration::from_secs(2), 300.0);
         let cold = turn_cold(&mut world, 1, 300.0);
-        run(&mut world, START.lasts, 300.0);
+        run(&mut world, START.duration, 300.0);
         let excess = excess(&world, 1, cold);
         assert!(excess <= 0.0, "seed {seed}: {excess} requests above the limit");
     }
@@ -96,8 +96,8 @@
     run(&mut world, Duration::from_secs(4), 300.0);
     world.evacuate(1, false);
     let from = world.now;
-    run(&mut world, START.lasts, 300.0);
-    let excess = excess(&world, 1, (from, from + START.lasts));
+    run(&mut world, START.duration, 300.0);
+    let excess = excess(&world, 1, (from, from + START.duration));
     assert!(excess <= 0.0, "{excess} requests above the limit");
 }
 
@@ -109,7 +109,7 @@
     run(&mut world, Duration::from_secs(6), 40.0);
     let since = world.now;
     run(&mut world, Duration::from_secs(4), 40.0);
-    let (got, other) = (world.reached("w0", since), world.reached("w1", since));
+    let (got, other) = (world.arrivals("w0", since), world.arrivals("w1", since));
     assert!(2 * got > other, "{got} and {other} requests");
 }
 
@@ -123,13 +123,13 @@
         let leader = world.leader().expect("a hub");
         world.restart(leader);
         let cold = turn_cold(&mut world, 1, 200.0);
-        run(&mut world, START.lasts, 200.0);
+        run(&mut world, START.duration, 200.0);
         let excess = excess(&world, 1, cold);
         assert!(excess <= 0.0, "seed {seed}: {excess} requests above the limit");
     }
 }
 
-fn play(u: &mut Unstructured<'_>, start: Option<Start>) -> arbitrary::Result<f64> {
+fn play(u: &mut Unstructured<'_>, start: Option<Warmup>) -> arbitrary::Result<f64> {
     let mut world = world(u.int_in_range(4..=13)?, 3, start, u.arbitrary()?);
     let load = *u.choose(&[60.0, 200.0, 400.0])?;
     run(&mut world, Duration::from_secs(1), load);
@@ -140,12 +140,12 @@
             0 => world.kill(vm),
             1 => world.restart(vm),
             2 => world.suspend(vm, true),
-            3 => world.serve(vm, false),
+            3 => world.set_store_access(vm, false),
             _ => world.heal(),
         }
         let at = u.int_in_range(0..=2)?;
         let cold = turn_cold(&mut world, at, load);
-        run(&mut world, START.lasts, load);
+        run(&mut world, START.duration, load);
         worst = worst.max(excess(&world, at, cold));
     }
     Ok(worst)
@@ -167,6 +167,6 @@
 fn check_bites() {
     let mut world = world(9, 3, None, 1);
     let cold = turn_cold(&mut world, 0, 300.0);
-    run(&mut world, START.lasts, 300.0);
+    run(&mut world, START.duration, 300.0);
     assert!(excess(&world, 0, cold) > 0.0);
 }
--- a/fleet/tests/config_push.rs
+++ b/fleet/tests/config_push.rs
@@ -40,7 +40,7 @@
     let mut hub = Node::ready("hub");
     hub.lead();
     for vm in 0..others {
-        hub.feed(Event::Framed(Box::new(frame(vm, 1))));
+        hub.feed(Event::FrameReceived(Box::new(frame(vm, 1))));
     }
     hub
 }
@@ -57,7 +57,7 @@
 
 /// Number of entry VMs that pushes reach if all are delivered.
 fn reached(pushes: &[(SocketAddr, Message)]) -> usize {
-    pushes.iter().map(|(_, message)| 1 + message.onward.len()).sum()
+    pushes.iter().map(|(_, message)| 1 + message.forward_to.len()).sum()
 }
 
 fn packed(before: &Config, after: &Config) -> Packed {
@@ -76,7 +76,7 @@
 }
 
 fn push(node: &mut Node, update: Packed, onward: Vec<SocketAddr>) -> Vec<(SocketAddr, Message)> {
-    let message = Box::new(Message { update: Some(update), onward, ..Message::default() });
+    let message = Box::new(Message { update: Some(update), forward_to: onward, ..Message::default() });
     pushes(node.feed(Event::Pushed(message)))
 }
 
@@ -93,13 +93,13 @@
 #[test]
 fn others_push_nothing_of_their_own() {
     let mut node = Node::ready("a");
-    node.feed(Event::Framed(Box::new(frame(1, 1))));
+    node.feed(Event::FrameReceived(Box::new(frame(1, 1))));
     assert_eq!(pushes(node.feed(Event::Configured(Arc::new(with_route(2, 2))))), []);
 }
 
 #[test]
 fn part_is_passed_on() {
-    let mut node = Node::with("a", Settings { weak: true, ..Settings::default() });
+    let mut node = Node::with_settings("a", Settings { weak: true, ..Settings::default() });
     node.feed(Event::Configured(Arc::new(config(1))));
     let onward: Vec<SocketAddr> = (0..9).map(|vm| address(7_100 + vm)).collect();
     let pushes = push(&mut node, packed(&config(1), &with_route(2, 2)), onward);
@@ -113,15 +113,18 @@
 fn part_goes_on_without_its_head() {
     let mut node = Node::ready("a");
     let onward: Vec<SocketAddr> = (0..9).map(|vm| address(7_100 + vm)).collect();
-    let message =
-        Message { update: Some(packed(&config(1), &with_route(2, 2))), onward, ..Message::default() };
+    let message = Message {
+        update: Some(packed(&config(1), &with_route(2, 2))),
+        forward_to: onward,
+        ..Message::default()
+    };
     let head = address(7_000);
-    let missed = Push { address: head, message: Box::new(message), again: false };
+    let missed = Push { address: head, message: Box::new(message), is_retry: false };
     let (again, rest): (Vec<_>, Vec<_>) =
-        pushes(node.feed(Event::Missed(missed.clone()))).into_iter().partition(|(to, _)| *to == head);
+        pushes(node.feed(Event::PushFailed(missed.clone()))).into_iter().partition(|(to, _)| *to == head);
     assert_eq!((reached(&rest), reached(&again)), (9, 1));
-    let twice = Push { again: true, ..missed };
-    let rest = pushes(node.feed(Event::Missed(twice)));
+    let twice = Push { is_retry: true, ..missed };
+    let rest = pushes(node.feed(Event::PushFailed(twice)));
     assert!(rest.iter().all(|(to, _)| *to != head), "there is only one retry");
 }
 
@@ -163,13 +166,13 @@
     let mut again = Vec::new();
     for _ in 0..20 {
         let lacking = frame(1, 1);
-        hub.feed(Event::Framed(Box::new(lacking.clone())));
+        hub.feed(Event::FrameReceived(Box::new(lacking.clone())));
         again.extend(pushes(&hub.effects));
-        again.extend(pushes(&hub.pass(millis(100))));
+        again.extend(pushes(&hub.advance(millis(100))));
         for vm in [0, 2] {
-            hub.feed(Event::Framed(Box::new(frame(vm, 2))));
+            hub.feed(Event::FrameReceived(Box::new(frame(vm, 2))));
         }
-        let told = boragecove_fleet::reply(&mut hub.state, hub.now, &lacking);
+        let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &lacking);
         if told.config.is_some() {
             assert_eq!(again.len(), 1, "one more push, to that entry VM only");
             return;
@@ -183,7 +186,7 @@
 fn answers_stay_small() {
     let mut hub = hub(1);
     hub.feed(Event::Configured(large(2)));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame(0, 1));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(0, 1));
     assert_eq!(told.config, None);
 }
 
@@ -192,9 +195,9 @@
 fn starting_one_gets_all() {
     let mut hub = hub(1);
     hub.feed(Event::Configured(large(2)));
-    hub.pass(millis(300));
-    hub.feed(Event::Framed(Box::new(frame(9, 0))));
-    let pushes = pushes(&hub.pass(millis(300)));
+    hub.advance(millis(300));
+    hub.feed(Event::FrameReceived(Box::new(frame(9, 0))));
+    let pushes = pushes(&hub.advance(millis(300)));
     let to = pushes.iter().find(|(to, _)| *to == address(7_109)).expect("a push to it");
     let mut node = Node::bare("vm-9");
     push(&mut node, to.1.update.clone().expect("an update"), Vec::new());
@@ -209,7 +212,7 @@
     for version in 2..42 {
         hub.feed(Event::Configured(Arc::new(with_route(version, version as u32))));
         rounds += u32::from(!pushes(&hub.effects).is_empty());
-        rounds += u32::from(!pushes(&hub.pass(millis(20))).is_empty());
+        rounds += u32::from(!pushes(&hub.advance(millis(20))).is_empty());
     }
     assert!((3..=6).contains(&rounds), "{rounds} pushes in 0.8 s");
 }
@@ -221,7 +224,7 @@
         Member { vm: frame.vm, zone: frame.zone, address: address(7_100 + vm), weak: false }
     };
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     let members = Some((0..others).map(member).collect());
     node.feed(Event::Replied(Some(Box::new(Reply {
@@ -231,10 +234,10 @@
         ..Reply::default()
     }))));
     let looks = |effect: &Effect| matches!(effect, Effect::Lease(Call::Read));
-    while !node.pass(millis(50)).iter().any(looks) {}
+    while !node.advance(millis(50)).iter().any(looks) {}
     node.lease(70_000, Outcome::Read(Some(hub_row())));
     node.lease(70_005, Outcome::Written(10));
-    assert!(node.state.lease().holds(node.now).is_some());
+    assert!(node.state.lease().held_term(node.now).is_some());
     node
 }
 
@@ -244,13 +247,13 @@
 fn lease_is_renewed_at_once() {
     let mut hub = new_hub(299);
     let renews = |effect: &Effect| matches!(effect, Effect::Lease(Call::Write { .. }));
-    assert!(hub.pass(millis(500)).iter().any(renews));
+    assert!(hub.advance(millis(500)).iter().any(renews));
 }
 
 fn told(effects: &[Effect]) -> Vec<(Option<Row>, usize)> {
     let told = |effect: &Effect| match effect {
         Effect::Push(Push { message, .. }) if message.update.is_none() => {
-            Some((message.hub.clone(), 1 + message.onward.len()))
+            Some((message.hub.clone(), 1 + message.forward_to.len()))
         }
         _ => None,
     };
@@ -280,25 +283,25 @@
 #[test]
 fn new_hub_counts_all() {
     let mut hub = new_hub(40);
-    hub.pass(millis(500));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame(3, 1));
+    hub.advance(millis(500));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(3, 1));
     assert_eq!(told.nodes, 41);
     assert_eq!(told.members.map(|members| members.len()), Some(41));
-    hub.pass(millis(4_000));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame(3, 1));
+    hub.advance(millis(4_000));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(3, 1));
     assert_eq!(told.nodes, 1, "entry VMs that stay silent are dropped");
 }
 
 #[test]
 fn hub_that_says_so_is_asked() {
     let mut node = Node::ready("b");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     let row = Row { holder: "c".into(), address: address(7_300), term: 9, ..hub_row().row };
-    let message = Message { hub: Some(row), onward: vec![address(7_400)], ..Message::default() };
+    let message = Message { hub: Some(row), forward_to: vec![address(7_400)], ..Message::default() };
     let mut effects = node.feed(Event::Pushed(Box::new(message))).to_vec();
     assert_eq!(told(&effects).len(), 1, "the push is forwarded");
-    effects.extend(node.pass(millis(200)));
+    effects.extend(node.advance(millis(200)));
     let asked = |effects: &[Effect]| {
         let to = |effect: &Effect| matches!(effect, Effect::Frame { address, .. } if address.port() == 7_300);
         effects.iter().any(to)
@@ -310,7 +313,7 @@
 #[test]
 fn earlier_term_is_ignored() {
     let mut node = Node::ready("b");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     let row = Row { holder: "c".into(), address: address(7_300), term: 2, ..hub_row().row };
     node.feed(Event::Pushed(Box::new(Message { hub: Some(row), ..Message::default() })));
@@ -323,7 +326,7 @@
     let mut version = 1_000;
     while hub.now < end {
         let renews = |effect: &Effect| matches!(effect, Effect::Lease(Call::Write { .. }));
-        if hub.pass(millis(50)).iter().any(renews) {
+        if hub.advance(millis(50)).iter().any(renews) {
             version += 1;
             hub.lease(version, Outcome::Written(version));
         }
--- a/fleet/tests/crash_storm.rs
+++ b/fleet/tests/crash_storm.rs
@@ -15,13 +15,13 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::path::Relay;
-use boragecove_fleet::request::{Arrival, End, Events, Fingerprint, Id, Step};
+use boragecove_fleet::request::{Arrival, End, Fingerprint, Id, Step, Timing};
 use boragecove_fleet::schedule::Grant;
 use links::{LARGE, Links, SMALL};
-use node::{HOST, WRITER, began, brief, config, entry, listing, millis, removed, row};
+use node::{HOST, WRITER, began, config, entry, listing, millis, removed, row, short_stream};
 
 const VMS: usize = 9;
 const ENGINES: usize = 12;
@@ -106,7 +106,7 @@
         self.drawn += 1;
         let request = Id(self.drawn);
         let fingerprint = Fingerprint::of(HOST, "/brief/1", text.as_bytes());
-        let arrival = Box::new(Arrival { fingerprint, ..brief("m0") });
+        let arrival = Box::new(Arrival { fingerprint, ..short_stream("m0") });
         let effects = self.links.apply(vm, Event::Arrive { request, arrival });
         self.follow(vm, request, text, poison, &effects);
         self.sound += usize::from(poison.is_none());
@@ -116,7 +116,7 @@
     fn follow(&mut self, vm: usize, request: Id, text: &str, poison: Option<usize>, effects: &[Effect]) {
         for effect in effects {
             match effect {
-                Effect::Ask { request, .. } => {
+                Effect::Reserve { request, .. } => {
                     let grant = Some(Grant::After(Duration::ZERO));
                     let more = self.links.apply(vm, Event::Granted { request: *request, grant });
                     self.follow(vm, *request, text, poison, &more);
@@ -146,7 +146,7 @@
 
     fn end(&mut self, run: &Run, end: End) {
         let (request, attempt) = (run.request, run.attempt);
-        let ended = Event::Ended { request, attempt, end, events: Events::default() };
+        let ended = Event::Ended { request, attempt, end, events: Timing::default() };
         let effects = self.links.apply(run.vm, ended);
         self.follow(run.vm, request, &run.text, run.poison, &effects);
     }
@@ -165,9 +165,9 @@
         let vms: BTreeSet<usize> = broken.iter().map(|run| run.vm).collect();
         for vm in vms {
             for event in [
-                Event::Probed { engine: engine.clone(), reach: Reach::Closed },
-                Event::ProbedIndirectly { engine: engine.clone(), reach: Some(Reach::Closed) },
-                Event::PathSeen { engine: engine.clone(), by: other(), reach: Some(Reach::Closed) },
+                Event::Probed { engine: engine.clone(), reach: Port::Closed },
+                Event::ProbedIndirectly { engine: engine.clone(), reach: Some(Port::Closed) },
+                Event::PathSeen { engine: engine.clone(), by: other(), reach: Some(Port::Closed) },
             ] {
                 let effects = self.links.apply(vm, event);
                 self.follow(vm, Id(0), "", None, &effects);
@@ -214,7 +214,7 @@
         }
         let run = self.runs.swap_remove(at);
         self.end(&run, End::Lost);
-        let probed = Event::Probed { engine: run.engine.clone(), reach: Reach::Open };
+        let probed = Event::Probed { engine: run.engine.clone(), reach: Port::Open };
         self.links.feed(run.vm, probed);
     }
 
--- a/fleet/tests/crashing_requests.rs
+++ b/fleet/tests/crashing_requests.rs
@@ -14,9 +14,9 @@
 use std::time::Duration;
 
 use boragecove_core::code::Code;
-use boragecove_fleet::crash::{Entry, Kept, News, Status, Suspect};
+use boragecove_fleet::crash::{Quarantine, Report, Status, Suspect, Verdict};
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::{Frame, Reply};
 use boragecove_fleet::lease::{self, Outcome};
@@ -27,13 +27,13 @@
 use boragecove_fleet::request::{Arrival, Attempt, End, Fingerprint, Id, Refusal, Step};
 use links::{LARGE, Links, SMALL};
 use node::{
-    HOST, Node, WRITER, address, began, brief, config, entry, hub_row, listing, millis, plain, removed, row,
-    step_of, streamed,
+    HOST, Node, WRITER, address, began, config, entry, hub_row, listing, millis, plain, removed, row,
+    short_stream, step_of, streamed,
 };
 
 /// A request with this body for m0, which two engines hold.
 fn body(text: &str) -> Arrival {
-    Arrival { fingerprint: Fingerprint::of(HOST, "/brief/1", text.as_bytes()), ..brief("m0") }
+    Arrival { fingerprint: Fingerprint::of(HOST, "/brief/1", text.as_bytes()), ..short_stream("m0") }
 }
 
 /// A call with this body to a plain service, which needs no slot.
@@ -43,12 +43,12 @@
 
 /// The engine of an attempt crashes.
 fn crash(node: &mut Node, id: Id, attempt: &Attempt) -> Vec<Effect> {
-    lose(node, id, attempt, Reach::Closed)
+    lose(node, id, attempt, Port::Closed)
 }
 
 /// The connection of an attempt breaks, and probes of its engine's port give `reach`.
-fn lose(node: &mut Node, id: Id, attempt: &Attempt, reach: Reach) -> Vec<Effect> {
-    node.pass(millis(50));
+fn lose(node: &mut Node, id: Id, attempt: &Attempt, reach: Port) -> Vec<Effect> {
+    node.advance(millis(50));
     node.ended(id, attempt.number, End::Lost);
     let mut effects = node.effects.clone();
     node.feed(Event::Probed { engine: attempt.engine.clone(), reach });
@@ -80,9 +80,9 @@
 /// All engines run again.
 fn mend(node: &mut Node) {
     for engine in ["w1", "w2", "g1", "g2"] {
-        node.feed(Event::Probed { engine: engine.into(), reach: Reach::Open });
+        node.feed(Event::Probed { engine: engine.into(), reach: Port::Open });
     }
-    node.pass(millis(10));
+    node.advance(millis(10));
 }
 
 /// The request arrives, and its engine crashes.
@@ -94,7 +94,7 @@
 }
 
 fn quarantined(node: &Node) -> usize {
-    node.state.crashes().quarantined(node.now)
+    node.state.crashes().quarantined_count(node.now)
 }
 
 fn pushed(effects: &[Effect]) -> Vec<Message> {
@@ -108,7 +108,7 @@
 /// A process that has two other entry VMs in its list of members.
 fn follower(vm: &str) -> Node {
     let mut node = Node::ready(vm);
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     let member = |vm: &str, zone: &str, port| Member {
         vm: vm.into(),
@@ -121,7 +121,7 @@
         member("b", "zone-b", 7_002),
         member("hub", "zone-a", 7_001),
     ]);
-    let reply = Reply { leads: true, nodes: 3, listed: 4.into(), members, ..Reply::default() };
+    let reply = Reply { leads: true, nodes: 3, engines_revision: 4.into(), members, ..Reply::default() };
     node.feed(Event::Replied(Some(Box::new(reply))));
     node
 }
@@ -180,7 +180,7 @@
     crash_under(&mut node, body("x"));
     let (older, at_older) = node.sent(body("x"));
     let (id, attempt) = node.sent(body("x"));
-    node.pass(millis(20));
+    node.advance(millis(20));
     node.ended(id, attempt.number, End::Done);
     crash(&mut node, older, &at_older);
     mend(&mut node);
@@ -205,11 +205,11 @@
 /// Broken connections and invalid answers are no crash if the port is open or does not answer.
 #[test]
 fn broken_connections_do_not_count() {
-    for (end, reach) in [(End::Lost, Reach::Open), (End::Lost, Reach::Silent), (End::Broken, Reach::Closed)] {
+    for (end, reach) in [(End::Lost, Port::Open), (End::Lost, Port::Silent), (End::Broken, Port::Closed)] {
         let mut node = Node::ready("a");
         for _ in 0..6 {
             let (id, attempt) = node.sent(body("x"));
-            node.pass(millis(50));
+            node.advance(millis(50));
             node.ended(id, attempt.number, end);
             node.feed(Event::Probed { engine: attempt.engine, reach });
             mend(&mut node);
@@ -224,14 +224,14 @@
 /// open; if none can be asked, nothing counts.
 #[test]
 fn refusing_partition_does_not_count() {
-    let open = Some(Reach::Open);
+    let open = Some(Port::Open);
     for answers in [&[open][..], &[None, open], &[None, None]] {
         let mut node = follower("a");
         for _ in 0..4 {
             let (id, attempt) = node.sent(call("x"));
-            node.pass(millis(50));
+            node.advance(millis(50));
             node.ended(id, attempt.number, End::Lost);
-            node.feed(Event::Probed { engine: attempt.engine.clone(), reach: Reach::Closed });
+            node.feed(Event::Probed { engine: attempt.engine.clone(), reach: Port::Closed });
             let mut answers = answers.iter().copied();
             while asks(&node.effects) == 1 {
                 let reach = answers.next().flatten();
@@ -251,7 +251,7 @@
     node.feed(listing(vec![removed(10, "g1")], 10, false));
     let (id, attempt) = node.sent(call("x"));
     node.ended(id, attempt.number, End::Lost);
-    node.feed(Event::Probed { engine: "g2".into(), reach: Reach::Closed });
+    node.feed(Event::Probed { engine: "g2".into(), reach: Port::Closed });
     let asked: Vec<_> = node
         .effects
         .iter()
@@ -333,7 +333,7 @@
     let Some(Step::Send(second)) = step_of(&effects, id) else {
         panic!("not sent again");
     };
-    node.pass(millis(50));
+    node.advance(millis(50));
     let Some(Step::Refuse(refusal)) = node.ended(id, second.number, End::Lost) else {
         panic!("sent to a third engine");
     };
@@ -380,11 +380,11 @@
     let mut node = Node::ready("a");
     crash_under(&mut node, body("x"));
     crash_under(&mut node, body("x"));
-    node.pass(Duration::from_mins(9));
+    node.advance(Duration::from_mins(9));
     node.refused(body("x"));
-    node.pass(Duration::from_mins(2));
+    node.advance(Duration::from_mins(2));
     crash_under(&mut node, body("x"));
-    node.pass(Duration::from_mins(50));
+    node.advance(Duration::from_mins(50));
     node.refused(body("x"));
 }
 
@@ -437,7 +437,7 @@
     hub.lead();
     crash_under(&mut hub, body("x"));
     crash_under(&mut hub, body("x"));
-    let effects = hub.pass(Duration::from_secs(1));
+    let effects = hub.advance(Duration::from_secs(1));
     let row = effects.iter().rev().find_map(|effect| match effect {
         Effect::Lease(lease::Call::Write { row, .. }) => Some(row.clone()),
         _ => None,
@@ -445,9 +445,9 @@
     let row = row.expect("the lease is renewed");
     let bytes = rmp_serde::to_vec_named(&row).expect("encodes");
     let mut node = Node::bare("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     let row = rmp_serde::from_slice(&bytes).expect("decodes");
-    node.lease(1_500, Outcome::Read(Some(lease::Seen { version: 9.into(), row })));
+    node.lease(1_500, Outcome::Read(Some(lease::Versioned { version: 9.into(), row })));
     node.feed(Event::Configured(Arc::new(config(1))));
     node.feed(listing(vec![node::row(1, entry("w1", WRITER, "zone-a", &["m0"]))], 4, true));
     assert_eq!(node.refused(body("x")).code, Code::CrashesBackends);
@@ -456,10 +456,10 @@
 #[test]
 fn expired_quarantine_in_the_row() {
     let mut node = Node::bare("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     let request = Fingerprint::of(HOST, "/brief/1", b"x");
     let mut seen = hub_row();
-    seen.row.quarantine = vec![Kept { request, until_ms: 5_000, times: 1 }];
+    seen.row.quarantine = vec![Quarantine { request, until_ms: 5_000, times: 1 }];
     node.lease(6_000, Outcome::Read(Some(seen)));
     assert_eq!(quarantined(&node), 0);
 }
@@ -475,14 +475,14 @@
     crash_under(&mut node, call("here"));
     crash_under(&mut node, call("here"));
     for _ in 0..2 {
-        let frames = node.pass(millis(400));
+        let frames = node.advance(millis(400));
         let frame = frames.into_iter().find_map(|effect| match effect {
             Effect::Frame { frame, .. } => Some(frame),
             _ => None,
         });
         let frame: Box<Frame> = frame.expect("a frame");
-        hub.feed(Event::Framed(frame.clone()));
-        let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &frame);
+        hub.feed(Event::FrameReceived(frame.clone()));
+        let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame);
         node.feed(Event::Replied(Some(Box::new(reply))));
     }
     for node in [&mut hub, &mut node] {
@@ -490,11 +490,11 @@
         node.refused(call("there"));
     }
     let frame = Frame { vm: "c".into(), ..Frame::default() };
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &frame);
-    assert_eq!(reply.crashing.len(), 2);
-    let same = Frame { digest: reply.digest, ..frame };
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &same);
-    assert_eq!(reply.crashing, [], "verdicts known to both are not sent again");
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame);
+    assert_eq!(reply.crash_entries.len(), 2);
+    let same = Frame { crash_digest: reply.crash_digest, ..frame };
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &same);
+    assert_eq!(reply.crash_entries, [], "verdicts known to both are not sent again");
 }
 
 /// An entry VM that missed that a request was cleared does not bring the quarantine back.
@@ -504,21 +504,24 @@
     let quarantined = Status::Quarantined { left: Duration::from_mins(5), times: 1 };
     let mut hub = Node::ready("hub");
     hub.lead();
-    let frame =
-        |status| Frame { vm: "b".into(), crashing: vec![Entry { request, status }], ..Frame::default() };
-    hub.feed(Event::Framed(Box::new(frame(quarantined))));
+    let frame = |status| Frame {
+        vm: "b".into(),
+        crash_entries: vec![Verdict { request, status }],
+        ..Frame::default()
+    };
+    hub.feed(Event::FrameReceived(Box::new(frame(quarantined))));
     hub.refused(body("x"));
     let cleared = Status::Cleared { left: Duration::from_mins(8) };
-    hub.feed(Event::Framed(Box::new(frame(cleared))));
-    hub.feed(Event::Framed(Box::new(frame(quarantined))));
+    hub.feed(Event::FrameReceived(Box::new(frame(cleared))));
+    hub.feed(Event::FrameReceived(Box::new(frame(quarantined))));
     hub.sent(body("x"));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame(quarantined));
-    assert_eq!(told.crashing, [Entry { request, status: cleared }]);
-    hub.pass(Duration::from_mins(7));
-    hub.feed(Event::Framed(Box::new(frame(cleared))));
-    hub.pass(Duration::from_mins(2));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame(quarantined));
-    assert_eq!(told.digest, 0, "receiving it again does not prolong it");
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(quarantined));
+    assert_eq!(told.crash_entries, [Verdict { request, status: cleared }]);
+    hub.advance(Duration::from_mins(7));
+    hub.feed(Event::FrameReceived(Box::new(frame(cleared))));
+    hub.advance(Duration::from_mins(2));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(quarantined));
+    assert_eq!(told.crash_digest, 0, "receiving it again does not prolong it");
 }
 
 /// An entry VM that has an older answer and missed the crashes after it does not lift the quarantine.
@@ -527,17 +530,20 @@
     let request = Fingerprint::of(HOST, "/brief/1", b"x");
     let mut hub = Node::ready("hub");
     hub.lead();
-    let frame =
-        |status| Frame { vm: "b".into(), crashing: vec![Entry { request, status }], ..Frame::default() };
+    let frame = |status| Frame {
+        vm: "b".into(),
+        crash_entries: vec![Verdict { request, status }],
+        ..Frame::default()
+    };
     let quarantined = Status::Quarantined { left: Duration::from_mins(5), times: 1 };
-    hub.feed(Event::Framed(Box::new(frame(quarantined))));
+    hub.feed(Event::FrameReceived(Box::new(frame(quarantined))));
     // The quarantine began five minutes ago, the answer six minutes ago.
     let older = Status::Cleared { left: Duration::from_mins(4) };
-    hub.feed(Event::Framed(Box::new(frame(older))));
+    hub.feed(Event::FrameReceived(Box::new(frame(older))));
     hub.refused(body("x"));
     let mut other = Node::ready("a");
-    other.feed(Event::Framed(Box::new(frame(older))));
-    other.feed(Event::Framed(Box::new(frame(quarantined))));
+    other.feed(Event::FrameReceived(Box::new(frame(older))));
+    other.feed(Event::FrameReceived(Box::new(frame(quarantined))));
     other.refused(body("x"));
 }
 
@@ -558,7 +564,7 @@
         links.crash_under(at, Id(number), streamed("/brief/1", "m0", None));
         links.pass(millis(600));
     }
-    let knows = (1..295).filter(|at| links.state(*at).crashes().quarantined(links.now) == 1).count();
+    let knows = (1..295).filter(|at| links.state(*at).crashes().quarantined_count(links.now) == 1).count();
     assert!(knows >= 293, "{knows} of 294 are informed after 0.6 s");
 }
 
@@ -576,26 +582,30 @@
     let suspect = |text: &str| Suspect {
         request: call(text).fingerprint,
         engine: None,
-        sent: millis(100),
-        broke: millis(50),
+        sent_ago: millis(100),
+        broken_ago: millis(50),
         parts: Arc::default(),
-        begun: false,
+        answer_begun: false,
     };
     let told = |node: &mut Node, texts: &[&str]| {
         let suspects = texts.iter().map(|text| suspect(text)).collect();
-        let crashes = News { suspects, entries: Vec::new() };
+        let crashes = Report { suspects, verdicts: Vec::new() };
         let message = Message { crashes, ..Message::default() };
         lines(node.feed(Event::Pushed(Box::new(message))))
     };
     let mut other = Node::ready("b");
     assert_eq!(told(&mut other, &["first", "second", "third"]), 0, "another entry VM saw the crash");
-    other.pass(millis(500));
+    other.advance(millis(500));
     assert_eq!(told(&mut other, &["first"]), 1, "it blocks that request from now on");
-    let cleared = |text: &str| Entry {
+    let cleared = |text: &str| Verdict {
         request: call(text).fingerprint,
         status: Status::Cleared { left: Duration::from_mins(10) },
     };
-    let crashes = News { suspects: Vec::new(), entries: vec![cleared("second"), cleared("first")] };
+    let crashes = Report { suspects: Vec::new(), verdicts: vec![cleared("second"), cleared("first")] };
     let message = Message { crashes, ..Message::default() };
-    assert_eq!(lines(other.feed(Event::Pushed(Box::new(message)))), 1, "it no longer blocks the first request");
+    assert_eq!(
+        lines(other.feed(Event::Pushed(Box::new(message)))),
+        1,
+        "it no longer blocks the first request"
+    );
 }
--- a/fleet/tests/demand_trend.rs
+++ b/fleet/tests/demand_trend.rs
@@ -3,18 +3,18 @@
 use std::time::Duration;
 
 use boragecove_core::time::Time;
-use boragecove_fleet::demand::{Appetite, Demand, Target, Trend};
+use boragecove_fleet::demand::{Aggregate, Demand, Target, Trend};
 
 fn target() -> Target {
     Target { service: "writer".into(), model: "m1".into(), adapter: None }
 }
 
-fn trend(appetite: &Appetite) -> Trend {
+fn trend(appetite: &Aggregate) -> Trend {
     appetite.trend(&"writer".into(), &"m1".into())
 }
 
 /// Makes `count` updates, 250 ms apart, with `waiting` requests that wait and `open` requests under way.
-fn updates(appetite: &mut Appetite, from_ms: u64, count: u64, waiting: u32, open: u32) {
+fn updates(appetite: &mut Aggregate, from_ms: u64, count: u64, waiting: u32, open: u32) {
     for number in 0..count {
         let demand = Demand { target: target(), waiting, open, ..Demand::default() };
         appetite.update(Time::from_millis(from_ms + number * 250), [&demand].into_iter());
@@ -24,23 +24,23 @@
 /// A process that begins to plan long after its start has not observed the waiting requests in between.
 #[test]
 fn first_update_adds_little_waiting_time() {
-    let mut appetite = Appetite::default();
+    let mut appetite = Aggregate::default();
     updates(&mut appetite, 60_000, 1, 1, 0);
-    assert!(trend(&appetite).starved <= Duration::from_secs(1), "{:?}", trend(&appetite).starved);
+    assert!(trend(&appetite).starved_for <= Duration::from_secs(1), "{:?}", trend(&appetite).starved_for);
 }
 
 #[test]
 fn waiting_time_accumulates() {
-    let mut appetite = Appetite::default();
+    let mut appetite = Aggregate::default();
     updates(&mut appetite, 60_000, 13, 1, 0);
-    let starved = trend(&appetite).starved;
+    let starved = trend(&appetite).starved_for;
     assert!((Duration::from_secs(3)..=Duration::from_secs(4)).contains(&starved), "{starved:?} after 3 s");
 }
 
 #[test]
 fn served_request_resets_waiting_time() {
-    let mut appetite = Appetite::default();
+    let mut appetite = Aggregate::default();
     updates(&mut appetite, 60_000, 13, 1, 0);
     updates(&mut appetite, 63_250, 1, 1, 1);
-    assert_eq!(trend(&appetite).starved, Duration::ZERO);
+    assert_eq!(trend(&appetite).starved_for, Duration::ZERO);
 }
