--- a/fleet/tests/departure_roads.rs
+++ b/fleet/tests/departure_roads.rs
@@ -9,7 +9,7 @@
 
 use arbtest::arbitrary::{self, Unstructured};
 use arbtest::arbtest;
-use boragecove_fleet::departure::{Audience, Road};
+use boragecove_fleet::departure::{Audience, Source};
 use boragecove_fleet::engine::{Entry, Row};
 use boragecove_fleet::settings::Settings;
 use node::{GATEWAY, entry, millis, row};
@@ -47,9 +47,9 @@
 fn world(vms: usize, seed: u64) -> World {
     let rows: Vec<Row> = (0..ENGINES).map(|number| row(number as u64 + 1, gateway(number))).collect();
     let mut world = World::new(vms, node::config(1), &rows, Settings::default(), seed);
-    world.paced = true;
+    world.long_polls = true;
     let (_, contact) = bounds(vms);
-    world.pass(contact * 3);
+    world.advance(contact * 3);
     assert_eq!(world.believers("g0"), vms);
     world
 }
@@ -139,12 +139,12 @@
     for vms in ALL_SIZES {
         let (mut world, mut watch) = (world(vms, 5), watch(vms));
         let leader = leader(&world);
-        world.serve(leader, false);
+        world.set_store_access(leader, false);
         watch.pass(&mut world, millis(1_300));
         world.register(leaving(0));
         watch.take(&world, "g0");
         watch.pass(&mut world, millis(300));
-        world.serve(leader, true);
+        world.set_store_access(leader, true);
         watch.pass(&mut world, bounds(vms).0 + millis(200));
         assert_kept(vms, &watch);
     }
@@ -159,7 +159,7 @@
         world.register(leaving(0));
         watch.take(&world, "g0");
         watch.pass(&mut world, Duration::from_secs(3));
-        world.drill(Duration::from_secs(4));
+        world.restore_store(Duration::from_secs(4));
         watch.drilled(&world);
         let other = other(&world);
         world.restart(other);
@@ -175,12 +175,12 @@
 fn removed_while_waited_for() {
     for seed in 0..12 {
         let (mut world, mut watch) = (world(9, seed), watch(9));
-        world.drill(Duration::from_secs(3));
+        world.restore_store(Duration::from_secs(3));
         watch.pass(&mut world, millis(1_100));
         world.deregister("g4");
         watch.take(&world, "g4");
         watch.pass(&mut world, millis(35));
-        world.drill(millis(1_200));
+        world.restore_store(millis(1_200));
         watch.drilled(&world);
         watch.pass(&mut world, Duration::from_secs(10));
         assert_kept(9, &watch);
@@ -197,7 +197,7 @@
                 let (mut world, mut watch) = (world(vms, 6 + case as u64), watch(vms));
                 let leader = leader(&world);
                 if turned_away {
-                    world.serve(leader, false);
+                    world.set_store_access(leader, false);
                     watch.pass(&mut world, millis(1_300));
                 }
                 if case % 2 == 0 {
@@ -230,10 +230,10 @@
     world.register(leaving(0));
     watch.pass(&mut world, millis(500));
     world.hear_leaving(other, "g1");
-    let known = |at: usize, road: Road| world.state(at).departures_known().get(&road).copied();
-    assert_eq!((known(leader, Road::Table), known(leader, Road::Push)), (Some(1), None));
-    assert_eq!((known(other, Road::Push), known(other, Road::Answer)), (Some(1), Some(1)));
-    assert_eq!(world.state(leader).departures_told().get(&Audience::All), Some(&1));
+    let known = |at: usize, road: Source| world.state(at).departures_learnt().get(&road).copied();
+    assert_eq!((known(leader, Source::Table), known(leader, Source::Push)), (Some(1), None));
+    assert_eq!((known(other, Source::Push), known(other, Source::Answer)), (Some(1), Some(1)));
+    assert_eq!(world.state(leader).departures_reported().get(&Audience::All), Some(&1));
 }
 
 /// The hub is lost while it pushes to the others: some have received the push, among them some of the readers.
@@ -258,8 +258,8 @@
 fn disturb(world: &mut World, kind: u8, at: usize) {
     match kind {
         0..=8 => world.disturb(kind, at),
-        9 => (0..world.len()).filter(|vm| vm % 3 == at % 3).for_each(|vm| world.serve(vm, false)),
-        10 => (0..world.len()).for_each(|vm| world.serve(vm, false)),
+        9 => (0..world.len()).filter(|vm| vm % 3 == at % 3).for_each(|vm| world.set_store_access(vm, false)),
+        10 => (0..world.len()).for_each(|vm| world.set_store_access(vm, false)),
         11 => world.reread(at),
         _ => (0..world.len()).for_each(|vm| world.reread(vm)),
     }
@@ -296,7 +296,7 @@
 ) -> arbitrary::Result<(Vec<String>, Vec<String>)> {
     let vms = *u.choose(sizes)?;
     let (mut world, mut watch) = (world(vms, u.arbitrary()?), watch(vms));
-    world.mute = mute;
+    world.silenced_departures = mute;
     let mut steps = vec![format!("{vms} entry VMs")];
     let mut gone = [false; ENGINES];
     for _ in 0..u.int_in_range(2..=9)? {
@@ -319,7 +319,7 @@
             }
             4 => {
                 let back = Duration::from_millis(u.int_in_range(0..=6_000)?);
-                world.drill(back);
+                world.restore_store(back);
                 watch.drilled(&world);
                 format!("the store is restored from {back:?} before")
             }
@@ -383,7 +383,7 @@
 fn pushes_are_needed() {
     let vms = 984;
     let (mut world, mut watch) = (world(vms, 1), watch(vms));
-    world.mute = Some(Mute::Pushes);
+    world.silenced_departures = Some(Mute::Pushes);
     world.register(leaving(0));
     watch.take(&world, "g0");
     watch.pass(&mut world, bounds(vms).0 + millis(200));
--- a/fleet/tests/departures_spread.rs
+++ b/fleet/tests/departures_spread.rs
@@ -82,7 +82,7 @@
 }
 
 fn pushed(row: Row) -> Event {
-    Event::Pushed(Box::new(Message { departures: vec![row], ..Message::default() }))
+    Event::Pushed(Box::new(Message { departure_rows: vec![row], ..Message::default() }))
 }
 
 /// A reader of the store pushes the row to the hub and its own zone only, just before the hub reads the row itself.
--- a/fleet/tests/engine/mod.rs
+++ b/fleet/tests/engine/mod.rs
@@ -88,7 +88,7 @@
                     return Receipt::Refused;
                 };
                 if adapters.contains(adapter) {
-                    return Receipt::Holds;
+                    return Receipt::Completed;
                 }
                 adapters.push(adapter.clone());
                 Receipt::Accepted
@@ -99,7 +99,7 @@
                         adapters.retain(|held| held != adapter);
                     }
                 }
-                Receipt::Holds
+                Receipt::Completed
             }
         };
         self.sequence += 1;
--- a/fleet/tests/engine_choice.rs
+++ b/fleet/tests/engine_choice.rs
@@ -6,18 +6,20 @@
 
 use boragecove_core::code::Code;
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::engine::{Held, Incarnation};
 use boragecove_fleet::event::Event;
 use boragecove_fleet::order::{Receipt, Report};
 use boragecove_fleet::record::Record;
 use boragecove_fleet::request::{Cause, End, Step};
-use node::{GATEWAY, Node, WRITER, brief, entry, listing, millis, orders, plain, row, step_of, streamed};
+use node::{
+    GATEWAY, Node, WRITER, entry, listing, millis, orders, plain, row, short_stream, step_of, streamed,
+};
 
 #[test]
 fn own_zone_first() {
     let mut node = Node::ready("a");
-    let (_, attempt) = node.sent(brief("m0"));
+    let (_, attempt) = node.sent(short_stream("m0"));
     assert_eq!(*attempt.engine, *"w1", "both engines hold the model, and w1 is in the same zone");
 }
 
@@ -26,7 +28,7 @@
     let mut node = Node::ready("a");
     let mut engines: Vec<String> = Vec::new();
     for _ in 0..8 {
-        engines.push(node.sent(brief("m0")).1.engine.to_string());
+        engines.push(node.sent(short_stream("m0")).1.engine.to_string());
     }
     assert!(engines.iter().any(|engine| engine == "w2"), "{engines:?}");
 }
@@ -35,7 +37,7 @@
 fn only_holders() {
     let mut node = Node::ready("a");
     for _ in 0..4 {
-        assert_eq!(*node.sent(brief("m2")).1.engine, *"w2");
+        assert_eq!(*node.sent(short_stream("m2")).1.engine, *"w2");
     }
 }
 
@@ -46,7 +48,7 @@
     leaving.leaving = true;
     node.feed(listing(vec![row(9, leaving)], 9, false));
     for _ in 0..4 {
-        assert_eq!(*node.sent(brief("m0")).1.engine, *"w2");
+        assert_eq!(*node.sent(short_stream("m0")).1.engine, *"w2");
     }
 }
 
@@ -60,8 +62,8 @@
     for _ in 0..4 {
         assert_ne!(node.sent(plain("/ack/1")).1.engine, first, "connecting to it has just failed");
     }
-    node.pass(millis(520));
-    node.feed(Event::Probed { engine: first.clone(), reach: Reach::Open });
+    node.advance(millis(520));
+    node.feed(Event::Probed { engine: first.clone(), reach: Port::Open });
     let mut back = false;
     for _ in 0..6 {
         back |= node.sent(plain("/ack/1")).1.engine == first;
@@ -78,11 +80,11 @@
         effects.iter().filter(is).count()
     };
     let mut silent = Node::ready("a");
-    silent.sent(brief("m0"));
-    assert_eq!(suspected(&silent.pass(millis(600))), 1, "a silent engine");
+    silent.sent(short_stream("m0"));
+    assert_eq!(suspected(&silent.advance(millis(600))), 1, "a silent engine");
     let mut told = Node::ready("a");
-    told.pass(millis(600));
-    told.feed(Event::Probed { engine: "w1".into(), reach: Reach::Silent });
+    told.advance(millis(600));
+    told.feed(Event::Probed { engine: "w1".into(), reach: Port::Silent });
     assert_eq!(suspected(&told.effects), 1, "a failed probe");
     let mut unreached = Node::ready("a");
     let (id, attempt) = unreached.sent(plain("/ack/1"));
@@ -97,11 +99,11 @@
     assert_eq!(*attempt.engine, *"w1");
     let step = node.ended(id, 1, End::Refused(Cause::Absent));
     assert!(matches!(step, Some(Step::Send(attempt)) if *attempt.engine == *"w2"));
-    assert_eq!(*node.sent(brief("m0")).1.engine, *"w2");
-    node.pass(millis(200));
+    assert_eq!(*node.sent(short_stream("m0")).1.engine, *"w2");
+    node.advance(millis(200));
     let mut back = false;
     for _ in 0..8 {
-        back |= *node.sent(brief("m0")).1.engine == *"w1";
+        back |= *node.sent(short_stream("m0")).1.engine == *"w1";
     }
     assert!(back, "the refusal is disregarded after a while");
 }
@@ -117,7 +119,7 @@
     ];
     node.feed(listing(rows, 2, true));
     node.lead();
-    node.pass(millis(300));
+    node.advance(millis(300));
     let first = node.arrive(streamed("/brief/1", "m1", Some("a7")));
     let engine = orders(&node.effects).remove(0).engine;
     node.feed(Event::Ordered {
@@ -125,7 +127,7 @@
         incarnation: Incarnation::default(),
         receipt: Some(Receipt::Accepted),
     });
-    assert!(matches!(step_of(&node.pass(millis(60)), first), Some(Step::Send(_))));
+    assert!(matches!(step_of(&node.advance(millis(60)), first), Some(Step::Send(_))));
     assert_eq!(node.ended(first, 1, End::Refused(Cause::Absent)), None, "the adapter was evicted meanwhile");
     let report = Report {
         incarnation: Incarnation::default(),
@@ -134,16 +136,16 @@
         held: vec![held("m0", &[]), held("m1", &[])],
         ..Report::default()
     };
-    node.pass(millis(20));
+    node.advance(millis(20));
     node.feed(Event::Reported { engine: engine.clone(), report: Some(report) });
-    let again = orders(&node.pass(millis(300)));
+    let again = orders(&node.advance(millis(300)));
     assert_eq!(again.len(), 1, "{again:?}");
     node.feed(Event::Ordered {
         engine: engine.clone(),
         incarnation: Incarnation::default(),
         receipt: Some(Receipt::Accepted),
     });
-    let step = step_of(&node.pass(millis(60)), first);
+    let step = step_of(&node.advance(millis(60)), first);
     assert!(matches!(&step, Some(Step::Send(attempt)) if attempt.engine == engine), "{step:?}");
 }
 
@@ -156,7 +158,7 @@
     let mut node = Node::ready("a");
     let mut refused = None;
     for _ in 0..60 {
-        let id = node.arrive(brief("m1"));
+        let id = node.arrive(short_stream("m1"));
         if let Some(Step::Refuse(refusal)) = node.step(id) {
             refused = Some(refusal);
             break;
@@ -177,7 +179,7 @@
         counts[usize::from(bad)] += 1;
         let end = if bad { End::Broken } else { End::Done };
         node.ended(id, attempt.number, end);
-        node.pass(millis(10));
+        node.advance(millis(10));
     }
     assert!(counts[1] * 3 < counts[0], "{counts:?} requests to the working and the failing engine");
 }
@@ -212,7 +214,7 @@
     for number in 0..60 {
         let id = node.arrive(plain("/list/1"));
         let Some(Step::Send(attempt)) = node.step(id) else { panic!("call {number} is refused") };
-        node.pass(millis(if number % 2 == 0 { 10 } else { 480 }));
+        node.advance(millis(if number % 2 == 0 { 10 } else { 480 }));
         node.ended(id, attempt.number, End::Done);
     }
 }
@@ -224,15 +226,15 @@
     let mut node = Node::ready("a");
     let mut lines = 0;
     for _ in 0..6 {
-        for reach in [Reach::Silent, Reach::Open] {
+        for reach in [Port::Silent, Port::Open] {
             node.feed(Event::Probed { engine: "w1".into(), reach });
             lines += engine_lines(&node.effects);
-            node.pass(millis(100));
+            node.advance(millis(100));
         }
     }
     assert_eq!(lines, 2, "one line for the suspicion and one for its end");
-    node.pass(Duration::from_secs(11));
-    node.feed(Event::Probed { engine: "w1".into(), reach: Reach::Silent });
+    node.advance(Duration::from_secs(11));
+    node.feed(Event::Probed { engine: "w1".into(), reach: Port::Silent });
     assert_eq!(engine_lines(&node.effects), 1, "a later suspicion is logged again");
 }
 
@@ -244,12 +246,12 @@
     node.feed(listing(rows.collect(), 60, false));
     let mut lines = 0;
     for number in 0..50 {
-        node.feed(Event::Probed { engine: format!("x{number}").into(), reach: Reach::Silent });
+        node.feed(Event::Probed { engine: format!("x{number}").into(), reach: Port::Silent });
         lines += engine_lines(&node.effects);
     }
     assert!(lines <= 8, "{lines} lines");
-    node.pass(Duration::from_secs(1));
-    node.feed(Event::Probed { engine: "w1".into(), reach: Reach::Silent });
+    node.advance(Duration::from_secs(1));
+    node.feed(Event::Probed { engine: "w1".into(), reach: Port::Silent });
     let counted = node.effects.iter().find_map(|effect| match effect {
         Effect::Record(Record::LeftOut { lines, .. }) => Some(*lines as usize),
         _ => None,
--- a/fleet/tests/engine_intake.rs
+++ b/fleet/tests/engine_intake.rs
@@ -11,27 +11,27 @@
 use boragecove_fleet::effect::Effect;
 use boragecove_fleet::engine::{Entry, Incarnation};
 use boragecove_fleet::event::Event;
-use boragecove_fleet::frame::{Frame, Reply, View};
-use boragecove_fleet::intake::{Advert, Intake};
-use boragecove_fleet::notice::{Asked, Notice, Start};
+use boragecove_fleet::frame::{Frame, Position, Reply};
+use boragecove_fleet::notice::{AnsweredRequest, Notice, Start};
+use boragecove_fleet::rate_limit::{Rate, Report};
 use boragecove_fleet::record::Record;
 use boragecove_fleet::request::{Attempt, End, Id, Step};
 use boragecove_fleet::schedule::Grant;
-use node::{GATEWAY, Node, brief, entry, listing, millis, plain, removed, row};
+use node::{GATEWAY, Node, entry, listing, millis, plain, removed, row, short_stream};
 
 fn start(engine: &str, born: Option<u64>) -> Start {
     Start { engine: engine.into(), incarnation: Incarnation(born) }
 }
 
-fn says(node: &mut Node, from: Start, intake: Intake, asked: Option<Asked>) {
-    let notice = Notice { intake, ..Notice::default() };
-    node.feed(Event::Noticed { from, notice, asked });
+fn says(node: &mut Node, from: Start, intake: Rate, asked: Option<AnsweredRequest>) {
+    let notice = Notice { rate_limit: intake, ..Notice::default() };
+    node.feed(Event::NoticeReceived { from, notice, asked });
 }
 
 /// Feeds an engine's answer with this rate limit to a request that was sent just now.
 fn names(node: &mut Node, engine: &str, per_s: f64) {
-    let asked = Asked { request: Id(1), at: node.now };
-    says(node, start(engine, None), Intake::Limited(per_s), Some(asked));
+    let asked = AnsweredRequest { request: Id(1), sent_at: node.now };
+    says(node, start(engine, None), Rate::PerSecond(per_s), Some(asked));
 }
 
 /// An entry VM that is the only one, and is certain of that.
@@ -48,7 +48,7 @@
     let mut version = 200 + node.now.0;
     while node.now < end {
         let step = end.since(node.now).min(millis(100));
-        let effects = node.pass(step);
+        let effects = node.advance(step);
         let store_ms = node.now.since(Time::from_millis(node::START_MS)).as_millis() as u64;
         if effects.iter().any(|effect| matches!(effect, Effect::Lease(_))) {
             version += 1;
@@ -132,7 +132,7 @@
 fn places_given_before() {
     let mut node = alone();
     only(&mut node);
-    let ids: Vec<Id> = (0..12).map(|_| node.arrive(brief("m0"))).collect();
+    let ids: Vec<Id> = (0..12).map(|_| node.arrive(short_stream("m0"))).collect();
     names(&mut node, "w1", 2.0);
     let later = ids.iter().filter_map(|id| match node.step(*id) {
         Some(Step::Send(attempt)) => Some(attempt.at.since(node.now)),
@@ -147,14 +147,14 @@
 fn place_is_void_later() {
     let mut node = alone();
     names(&mut node, "w1", 2.0);
-    let (id, attempt) = node.sent(brief("m1"));
+    let (id, attempt) = node.sent(short_stream("m1"));
     assert_eq!(attempt.send_by, Some(attempt.at + millis(300)));
     let late = attempt.at.since(node.now) + millis(350);
     renew(&mut node, late);
     let step = node.ended(id, attempt.number, End::Withheld);
     let Some(Step::Send(again)) = step else { panic!("no second reservation: {step:?}") };
     assert!(again.at >= node.now);
-    let (_, free) = node.sent(brief("m2"));
+    let (_, free) = node.sent(short_stream("m2"));
     assert_eq!(free.send_by, None, "the other engine has no limit");
 }
 
@@ -162,17 +162,17 @@
 fn ends_by_a_later_answer() {
     let mut node = alone();
     only(&mut node);
-    let before = Asked { request: Id(1), at: node.now };
-    node.pass(millis(10));
+    let before = AnsweredRequest { request: Id(1), sent_at: node.now };
+    node.advance(millis(10));
     names(&mut node, "g1", 1.0);
-    says(&mut node, start("g1", None), Intake::Open, Some(before));
-    says(&mut node, start("g1", None), Intake::Open, None);
-    let later = Asked { at: node.now + millis(5), ..before };
-    says(&mut node, start("g1", None), Intake::Unreadable, Some(later));
+    says(&mut node, start("g1", None), Rate::Unlimited, Some(before));
+    says(&mut node, start("g1", None), Rate::Unlimited, None);
+    let later = AnsweredRequest { sent_at: node.now + millis(5), ..before };
+    says(&mut node, start("g1", None), Rate::Invalid, Some(later));
     assert!(sent_in_a_second(&mut node) <= 2, "no later answer has lifted the limit");
-    let asked = Asked { request: Id(2), at: node.now };
-    node.pass(millis(10));
-    says(&mut node, start("g1", None), Intake::Open, Some(asked));
+    let asked = AnsweredRequest { request: Id(2), sent_at: node.now };
+    node.advance(millis(10));
+    says(&mut node, start("g1", None), Rate::Unlimited, Some(asked));
     assert!(sent_in_a_second(&mut node) > 40);
 }
 
@@ -181,7 +181,7 @@
     let mut node = alone();
     let mut lines = 0;
     for _ in 0..5 {
-        says(&mut node, start("g1", None), Intake::Unreadable, None);
+        says(&mut node, start("g1", None), Rate::Invalid, None);
         let line = |effect: &&Effect| matches!(effect, Effect::Record(Record::Unusable { .. }));
         lines += node.effects.iter().filter(line).count();
     }
@@ -198,9 +198,9 @@
     let mut node = alone();
     only(&mut node);
     node.feed(listing(vec![row(12, born("g1", 1_000))], 12, false));
-    says(&mut node, start("g1", Some(500)), Intake::Limited(1.0), None);
+    says(&mut node, start("g1", Some(500)), Rate::PerSecond(1.0), None);
     assert!(sent_in_a_second(&mut node) > 40, "reported by an earlier start");
-    says(&mut node, start("g1", Some(1_000)), Intake::Limited(1.0), None);
+    says(&mut node, start("g1", Some(1_000)), Rate::PerSecond(1.0), None);
     assert!(sent_in_a_second(&mut node) <= 2);
     node.feed(listing(vec![removed(13, "g1")], 13, false));
     node.feed(listing(vec![row(14, born("g1", 1_000))], 14, false));
@@ -215,16 +215,16 @@
     let mut node = alone();
     only(&mut node);
     let pause = Some(Duration::from_secs(2));
-    let notice = Notice { pause, intake: Intake::Limited(5.0), ..Notice::default() };
-    node.feed(Event::Noticed { from: start("g1", None), notice, asked: None });
+    let notice = Notice { pause, rate_limit: Rate::PerSecond(5.0), ..Notice::default() };
+    node.feed(Event::NoticeReceived { from: start("g1", None), notice, asked: None });
     assert_eq!(call(&mut node).map(|_| ()), Err(Duration::from_secs(2)));
     renew(&mut node, Duration::from_secs(2));
     // Five in that second, and those with a reservation in the half second after it.
     let sent = sent_in_a_second(&mut node);
     assert!((1..=8).contains(&sent), "{sent}");
-    let notice = Notice { leaving: true, intake: Intake::Limited(5.0), ..Notice::default() };
-    node.feed(Event::Noticed { from: start("w1", None), notice, asked: None });
-    let id = node.arrive(brief("m1"));
+    let notice = Notice { leaving: true, rate_limit: Rate::PerSecond(5.0), ..Notice::default() };
+    node.feed(Event::NoticeReceived { from: start("w1", None), notice, asked: None });
+    let id = node.arrive(short_stream("m1"));
     let sent = matches!(node.step(id), Some(Step::Send(_)));
     assert!(!sent, "the only engine with its model is leaving");
 }
@@ -235,10 +235,10 @@
 fn nobody_to_ask() {
     let mut node = Node::ready("a");
     names(&mut node, "w1", 5.0);
-    let refusal = node.refused(brief("m1"));
+    let refusal = node.refused(short_stream("m1"));
     assert_eq!(refusal.code, Code::BackendRefused);
     assert!(refusal.retry_after.is_some());
-    node.sent(brief("m2"));
+    node.sent(short_stream("m2"));
 }
 
 /// The hub accepts reports from frames, and sends each change once to every other entry VM.
@@ -246,15 +246,16 @@
 fn told_by_frames() {
     let mut hub = Node::ready("hub");
     hub.lead();
-    let told = Advert { from: start("g1", None), per_s: Some(1.0), age: millis(30), ..Advert::default() };
+    let told = Report { start: start("g1", None), per_s: Some(1.0), age: millis(30), ..Report::default() };
     let frame = Frame { vm: "b".into(), zone: "zone-a".into(), limits: vec![told], ..Frame::default() };
-    hub.feed(Event::Framed(Box::new(frame)));
+    hub.feed(Event::FrameReceived(Box::new(frame)));
     assert_eq!(hub.state.engines_limited(), 1);
     let asker = Frame { vm: "c".into(), zone: "zone-b".into(), ..Frame::default() };
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
     assert_eq!(reply.limits.len(), 1);
-    let known = View { term: reply.view.term, version: reply.limits_version };
-    let again = boragecove_fleet::reply(&mut hub.state, hub.now, &Frame { limits_known: known, ..asker });
+    let known = Position { term: reply.residency_version.term, version: reply.limits_version };
+    let again =
+        boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &Frame { limits_version: known, ..asker });
     assert!(again.limits.is_empty());
 }
 
@@ -279,11 +280,11 @@
 fn asked_for_before() {
     for earlier in [false, true] {
         let mut node = Node::ready("a");
-        node.pass(millis(10));
+        node.advance(millis(10));
         let lease = boragecove_fleet::lease::Outcome::Read(Some(node::hub_row()));
         node.lease(0, lease);
         let number = node
-            .pass(millis(400))
+            .advance(millis(400))
             .iter()
             .find_map(|effect| match effect {
                 Effect::Frame { frame, .. } => Some(frame.number),
@@ -301,14 +302,14 @@
         node.feed(Event::Replied(Some(Box::new(reply))));
         if earlier {
             names(&mut node, "w1", 1.0);
-            node.pass(millis(10));
-            let asked = Some(Asked { request: Id(1), at: node.now });
-            node.pass(millis(10));
-            says(&mut node, start("w1", None), Intake::Open, asked);
+            node.advance(millis(10));
+            let asked = Some(AnsweredRequest { request: Id(1), sent_at: node.now });
+            node.advance(millis(10));
+            says(&mut node, start("w1", None), Rate::Unlimited, asked);
         }
-        let id = node.arrive(brief("m1"));
+        let id = node.arrive(short_stream("m1"));
         assert!(
-            node.effects.iter().any(|effect| matches!(effect, Effect::Ask { .. })),
+            node.effects.iter().any(|effect| matches!(effect, Effect::Reserve { .. })),
             "no reservation was requested"
         );
         names(&mut node, "w1", 1.0);
@@ -324,7 +325,7 @@
     let mut node = alone();
     only(&mut node);
     node.feed(listing(vec![removed(12, "g1")], 12, false));
-    says(&mut node, start("g1", None), Intake::Limited(1.0), None);
+    says(&mut node, start("g1", None), Rate::PerSecond(1.0), None);
     node.feed(listing(vec![row(13, entry("g1", GATEWAY, "zone-a", &[]))], 13, false));
     assert!(sent_in_a_second(&mut node) > 40);
 }
--- a/fleet/tests/engine_limits.rs
+++ b/fleet/tests/engine_limits.rs
@@ -11,7 +11,7 @@
 use boragecove_core::time::Time;
 use boragecove_fleet::engine::{Entry, Row};
 use boragecove_fleet::settings::Settings;
-use node::{GATEWAY, WRITER, brief, entry, plain, row};
+use node::{GATEWAY, WRITER, entry, plain, row, short_stream};
 use world::{Backends, World, ZONES};
 
 /// Time after the first report from which the limit must hold: the platform's bound for entry VMs in
@@ -34,7 +34,7 @@
     let rows = engines();
     let mut world = World::new(vms, node::config(1), &rows, Settings::default(), seed);
     world.backends = Some(Backends::new(&rows));
-    world.pass(Duration::from_secs(8));
+    world.advance(Duration::from_secs(8));
     world
 }
 
@@ -49,18 +49,18 @@
                 due -= 1.0;
                 let at = world.rng.usize(0..world.len());
                 let model = ["m0", "m1", "m2", "m3"][world.rng.usize(0..4)];
-                let arrival = if streams { brief(model) } else { plain("/ack/1") };
+                let arrival = if streams { short_stream(model) } else { plain("/ack/1") };
                 world.arrive(at, &"none".into(), 0.0, arrival);
             }
         }
-        world.pass(step);
+        world.advance(step);
     }
 }
 
 /// Requests per second that reach an engine from all entry VMs, counted from `CONTACT` after `since`.
 fn per_s(world: &World, engine: &str, since: Time) -> f64 {
     let from = since + CONTACT;
-    world.reached(engine, from) as f64 / world.now.since(from).as_secs_f64()
+    world.arrivals(engine, from) as f64 / world.now.since(from).as_secs_f64()
 }
 
 /// Guards against an incident: an engine that reported a limit of 2.9 requests per second got 49 in 4 s
@@ -70,9 +70,9 @@
     let mut world = world(6, 1);
     run(&mut world, Duration::from_secs(4), 60.0, 60.0);
     let since = world.now;
-    world.need("w0", Some(2.9));
-    world.need("w6", Some(1.4));
-    world.need("g0", Some(3.0));
+    world.set_limit("w0", Some(2.9));
+    world.set_limit("w6", Some(1.4));
+    world.set_limit("g0", Some(3.0));
     run(&mut world, Duration::from_secs(12), 60.0, 60.0);
     for (engine, limit) in [("w0", 2.9), ("w6", 1.4), ("g0", 3.0)] {
         let excess = world.limit_excess(engine, CONTACT);
@@ -89,7 +89,7 @@
 
 /// Requests that an engine got from all entry VMs since a time, as a part of its limit.
 fn part(world: &World, engine: &str, limit: f64, since: Time) -> f64 {
-    world.reached(engine, since) as f64 / world.now.since(since).as_secs_f64() / limit
+    world.arrivals(engine, since) as f64 / world.now.since(since).as_secs_f64() / limit
 }
 
 /// Engines that no other engine can replace get as many requests as their limits allow, not fewer: the only
@@ -99,7 +99,7 @@
     let mut world = world(6, 2);
     let engines = [("w6", 3.0), ("g0", 8.0), ("g1", 3.0), ("g2", 1.0)];
     for (engine, limit) in engines {
-        world.need(engine, Some(limit));
+        world.set_limit(engine, Some(limit));
     }
     run(&mut world, CONTACT, 60.0, 60.0);
     let since = world.now;
@@ -116,7 +116,7 @@
 fn owner_killed() {
     for seed in 0..6 {
         let mut world = world(9, seed);
-        world.need("w6", Some(3.0));
+        world.set_limit("w6", Some(3.0));
         run(&mut world, Duration::from_secs(5), 80.0, 0.0);
         let owner = world.owner_of("w6", "zone-a");
         world.kill(owner);
@@ -135,16 +135,16 @@
 fn owner_cut_off() {
     for seed in 0..4 {
         let mut world = world(9, 20 + seed);
-        world.need("w6", Some(4.0));
+        world.set_limit("w6", Some(4.0));
         run(&mut world, Duration::from_secs(5), 80.0, 0.0);
         let owner = world.owner_of("w6", "zone-a");
         world.isolate(owner, true);
         let since = world.now;
         for _ in 0..240 {
             for at in [owner, (owner + 1) % 9, (owner + 2) % 9] {
-                world.arrive(at, &"none".into(), 0.0, brief("m3"));
+                world.arrive(at, &"none".into(), 0.0, short_stream("m3"));
             }
-            world.pass(Duration::from_millis(50));
+            world.advance(Duration::from_millis(50));
         }
         assert!(worst_excess(&world, &["w6"], CONTACT) <= 0.0, "seed {seed}");
         let got = part(&world, "w6", 4.0, since);
@@ -157,7 +157,7 @@
 #[test]
 fn leader_lost() {
     let mut world = world(9, 4);
-    world.need("w6", Some(4.0));
+    world.set_limit("w6", Some(4.0));
     run(&mut world, Duration::from_secs(5), 80.0, 0.0);
     let leader = world.leader().expect("a hub");
     world.kill(leader);
@@ -173,9 +173,9 @@
 #[test]
 fn store_away() {
     let mut world = world(9, 5);
-    world.need("w6", Some(4.0));
+    world.set_limit("w6", Some(4.0));
     run(&mut world, Duration::from_secs(5), 80.0, 0.0);
-    (0..9).for_each(|at| world.serve(at, false));
+    (0..9).for_each(|at| world.set_store_access(at, false));
     run(&mut world, Duration::from_secs(6), 80.0, 0.0);
     let since = world.now;
     run(&mut world, Duration::from_secs(8), 80.0, 0.0);
@@ -192,7 +192,7 @@
         let mut world = world(9, 6);
         let engines = ["w6", "g0", "g1", "g2"];
         for engine in engines {
-            world.need(engine, Some(2.0));
+            world.set_limit(engine, Some(2.0));
         }
         run(&mut world, Duration::from_secs(4), 60.0, 60.0);
         world.cut(zone, true);
@@ -209,7 +209,7 @@
     let mut world = world(9, 7);
     let engines = ["w0", "w6", "g0", "g1", "g2"];
     for engine in engines {
-        world.need(engine, Some(2.0));
+        world.set_limit(engine, Some(2.0));
     }
     run(&mut world, Duration::from_secs(4), 40.0, 40.0);
     run(&mut world, Duration::from_secs(4), 400.0, 400.0);
@@ -225,7 +225,7 @@
     run(&mut world, Duration::from_secs(2), 200.0, 200.0);
     let engines = [("w0", 2.9), ("w6", 1.0), ("g0", 3.0)];
     for (engine, limit) in engines {
-        world.need(engine, Some(limit));
+        world.set_limit(engine, Some(limit));
     }
     let since = world.now;
     run(&mut world, Duration::from_secs(9), 300.0, 300.0);
@@ -233,7 +233,7 @@
         let excess = world.limit_excess(engine, Duration::from_secs(5));
         assert!(excess <= 0.0, "{engine}: {excess} requests over the bound in 4 s");
         let late = since + Duration::from_secs(5);
-        let got = world.reached(engine, late) as f64;
+        let got = world.arrivals(engine, late) as f64;
         assert!(got <= limit * 4.0 + 2.0, "{engine}: {got} requests in 4 s from all entry VMs");
     }
 }
@@ -247,10 +247,10 @@
         let mut world = world(6, 30 + seed);
         run(&mut world, Duration::from_secs(1), 300.0, 0.0);
         for engine in ["w0", "w1", "w6"] {
-            world.need(engine, Some(5.0));
+            world.set_limit(engine, Some(5.0));
         }
         run(&mut world, Duration::from_secs(2), 300.0, 0.0);
-        assert_eq!(world.doubled(), 0, "seed {seed}");
+        assert_eq!(world.over_repeated(), 0, "seed {seed}");
     }
 }
 
@@ -261,7 +261,7 @@
     let mut world = world(300, 11);
     let engines = ["w0", "w6", "g0", "g1"];
     for (engine, limit) in engines.into_iter().zip([2.9, 1.0, 3.0, 8.0]) {
-        world.need(engine, Some(limit));
+        world.set_limit(engine, Some(limit));
     }
     let contact = Duration::from_secs(5);
     run(&mut world, contact, 150.0, 150.0);
@@ -290,12 +290,12 @@
     for limit in [0.0, 0.1, 3.0] {
         let mut world = world(6, 9);
         for engine in ["w6", "g0"] {
-            world.need(engine, Some(limit));
+            world.set_limit(engine, Some(limit));
         }
         run(&mut world, Duration::from_secs(8), 40.0, 60.0);
         assert!(worst_excess(&world, &["w6", "g0"], CONTACT) <= 0.0, "limit {limit}");
         for engine in ["w6", "g0"] {
-            world.need(engine, None);
+            world.set_limit(engine, None);
         }
         run(&mut world, Duration::from_secs(6), 40.0, 60.0);
         let since = world.now;
@@ -312,7 +312,7 @@
 fn limit_changes() {
     let mut world = world(6, 10);
     for limit in [8.0, 1.0, 6.0] {
-        world.need("w6", Some(limit));
+        world.set_limit("w6", Some(limit));
         run(&mut world, Duration::from_secs(4), 80.0, 0.0);
         let since = world.now;
         run(&mut world, Duration::from_secs(8), 80.0, 0.0);
@@ -328,11 +328,11 @@
         1 => world.restart(at),
         2 => world.suspend(at, true),
         3 => world.cut(at % ZONES.len(), true),
-        4 => world.serve(at, false),
+        4 => world.set_store_access(at, false),
         5 => world.isolate(at, true),
-        6 => (0..world.len()).for_each(|at| world.serve(at, false)),
+        6 => (0..world.len()).for_each(|at| world.set_store_access(at, false)),
         7 => (0..world.len()).for_each(|at| world.restart(at)),
-        8 => world.drill(Duration::from_millis(500 * (at as u64 + 1))),
+        8 => world.restore_store(Duration::from_millis(500 * (at as u64 + 1))),
         _ => world.add(),
     }
 }
@@ -351,7 +351,7 @@
                 let excess = world.limit_excess(engine, CONTACT);
                 worst = if excess > worst.0 { (excess, engine) } else { worst };
                 let limit = *u.choose(&[None, Some(0.0), Some(0.4), Some(1.4), Some(2.9), Some(12.0)])?;
-                world.need(engine, limit);
+                world.set_limit(engine, limit);
             }
             1 if u.ratio(1, 2)? => world.heal(),
             _ => {
@@ -368,7 +368,7 @@
         let excess = world.limit_excess(engine, CONTACT);
         worst = if excess > worst.0 { (excess, engine) } else { worst };
     }
-    assert_eq!(world.doubled(), 0, "requests ran twice");
+    assert_eq!(world.over_repeated(), 0, "requests ran twice");
     Ok(worst)
 }
 
@@ -389,8 +389,8 @@
 #[test]
 fn check_bites() {
     let mut world = world(6, 1);
-    world.lax = true;
-    world.need("w6", Some(1.4));
+    world.grants_immediately = true;
+    world.set_limit("w6", Some(1.4));
     run(&mut world, Duration::from_secs(8), 80.0, 0.0);
     assert!(world.limit_excess("w6", CONTACT) > 0.0);
 }
--- a/fleet/tests/engine_notices.rs
+++ b/fleet/tests/engine_notices.rs
@@ -16,7 +16,8 @@
 use boragecove_fleet::push::Push;
 use boragecove_fleet::request::{Cause, End, Step};
 use node::{
-    GATEWAY, Node, WRITER, address, brief, entry, hub_row, listing, millis, orders, plain, removed, row,
+    GATEWAY, Node, WRITER, address, entry, hub_row, listing, millis, orders, plain, removed, row,
+    short_stream,
 };
 
 fn start(engine: &str, born: Option<u64>) -> Start {
@@ -24,7 +25,7 @@
 }
 
 fn leaves(node: &mut Node, engine: &str, born: Option<u64>) {
-    node.feed(Event::Noticed {
+    node.feed(Event::NoticeReceived {
         from: start(engine, born),
         notice: Notice { leaving: true, ..Notice::default() },
         asked: None,
@@ -62,7 +63,7 @@
     node.feed(listing(vec![row(11, born("g1", 1_000))], 11, false));
     assert_eq!(reached(&mut node, "g1"), 0);
     node.feed(listing(vec![removed(12, "g1")], 12, false));
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     node.feed(listing(vec![row(13, born("g1", 1_000))], 13, false));
     assert_eq!(reached(&mut node, "g1"), 0);
 }
@@ -107,7 +108,7 @@
     let mut node = Node::ready("a");
     let mut waiting = Vec::new();
     for _ in 0..12 {
-        let (id, attempt) = node.sent(brief("m0"));
+        let (id, attempt) = node.sent(short_stream("m0"));
         if *attempt.engine == *"w1" && attempt.at > node.now {
             waiting.push(id);
         }
@@ -127,9 +128,9 @@
 #[test]
 fn hub_is_told() {
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
-    let reply = Reply { leads: true, nodes: 2, listed: 4.into(), ..Reply::default() };
+    let reply = Reply { leads: true, nodes: 2, engines_revision: 4.into(), ..Reply::default() };
     node.feed(Event::Replied(Some(Box::new(reply))));
     leaves(&mut node, "w1", None);
     let frame = node.effects.iter().find_map(|effect| match effect {
@@ -140,8 +141,8 @@
     assert_eq!(frame.departures, [start("w1", None)]);
     let mut hub = Node::ready("hub");
     hub.lead();
-    hub.feed(Event::Framed(frame));
-    let leaving = |id: &str| hub.state.engines().any(|engine| *engine.entry.id == *id && engine.leaves());
+    hub.feed(Event::FrameReceived(frame));
+    let leaving = |id: &str| hub.state.engines().any(|engine| *engine.entry.id == *id && engine.is_leaving());
     assert!(leaving("w1") && !leaving("w2"), "engines of {WRITER}");
 }
 
@@ -156,8 +157,8 @@
     hub.ended(id, attempt.number, End::Refused(Cause::Replaced));
     assert_eq!(reached(&mut hub, &gone), 0);
     let asker = Frame { vm: "b".into(), zone: "zone-a".into(), ..Frame::default() };
-    hub.feed(Event::Framed(Box::new(asker.clone())));
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
+    hub.feed(Event::FrameReceived(Box::new(asker.clone())));
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
     let row = reply.rows.iter().find(|row| row.id == gone).expect("a row for the asker");
     assert!(row.entry.as_ref().is_some_and(|entry| !entry.leaving), "the row must not be marked as leaving");
     hub.feed(listing(vec![row_of(10, &gone)], 10, false));
@@ -173,9 +174,10 @@
 #[test]
 fn told_once() {
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
-    let reply = |number| Reply { number, leads: true, nodes: 2, listed: 4.into(), ..Reply::default() };
+    let reply =
+        |number| Reply { number, leads: true, nodes: 2, engines_revision: 4.into(), ..Reply::default() };
     let frame = |effects: &[Effect]| {
         effects.iter().find_map(|effect| match effect {
             Effect::Frame { frame, .. } => Some(frame.number),
@@ -203,7 +205,7 @@
 fn told_without_a_leader() {
     for heard_before in [false, true] {
         let mut node = Node::ready("a");
-        node.pass(millis(10));
+        node.advance(millis(10));
         node.lease(0, Outcome::Read(Some(hub_row())));
         let member = |vm: &str, port| Member {
             vm: vm.into(),
@@ -212,7 +214,7 @@
             weak: false,
         };
         let members = Some(vec![member("a", 7_000), member("b", 7_002)]);
-        let reply = Reply { leads: true, nodes: 2, listed: 4.into(), members, ..Reply::default() };
+        let reply = Reply { leads: true, nodes: 2, engines_revision: 4.into(), members, ..Reply::default() };
         node.feed(Event::Replied(Some(Box::new(reply))));
         if heard_before {
             leaves(&mut node, "w1", None);
@@ -223,7 +225,7 @@
             effects.extend(node.effects.clone());
         }
         let told = effects.iter().any(|effect| {
-            matches!(effect, Effect::Push(Push { message, .. }) if message.departed == [start("w1", None)])
+            matches!(effect, Effect::Push(Push { message, .. }) if message.departing == [start("w1", None)])
         });
         assert!(told, "heard before: {heard_before}");
     }
@@ -231,7 +233,7 @@
 
 fn pauses(node: &mut Node, engine: &str, pause: Duration) {
     let notice = Notice { pause: Some(pause), ..Notice::default() };
-    node.feed(Event::Noticed { from: start(engine, None), notice, asked: None });
+    node.feed(Event::NoticeReceived { from: start(engine, None), notice, asked: None });
 }
 
 #[test]
@@ -240,9 +242,9 @@
     pauses(&mut node, "g1", Duration::from_secs(2));
     pauses(&mut node, "g1", millis(100));
     assert_eq!(reached(&mut node, "g1"), 0);
-    node.pass(millis(1_900));
+    node.advance(millis(1_900));
     assert_eq!(reached(&mut node, "g1"), 0, "the longer of two pauses counts");
-    node.pass(millis(200));
+    node.advance(millis(200));
     assert!(reached(&mut node, "g1") > 0);
 }
 
@@ -252,13 +254,13 @@
     let mut node = Node::ready("a");
     pauses(&mut node, "g1", Duration::from_secs(3));
     pauses(&mut node, "g2", Duration::from_secs(2));
-    node.pass(millis(500));
+    node.advance(millis(500));
     let refusal = node.refused(plain("/ack/1"));
     assert_eq!((refusal.code, refusal.retry_after), (Code::BackendRefused, Some(millis(1_500))));
     let refusal = node.refused(plain("/list/1"));
     assert_eq!(refusal.code.status(), 503);
     pauses(&mut node, "w1", Duration::from_secs(3));
-    assert!(node.refused(brief("m1")).retry_after.is_some(), "the only engine with its model pauses");
+    assert!(node.refused(short_stream("m1")).retry_after.is_some(), "the only engine with its model pauses");
 }
 
 /// The only engine rejects the request: its caller is not made to wait for another engine.
@@ -284,7 +286,7 @@
     pauses(&mut node, "g2", Duration::MAX);
     node.feed(listing(vec![removed(11, "g1")], 11, false));
     node.refused(plain("/ack/1"));
-    node.pass(Duration::from_mins(61));
+    node.advance(Duration::from_mins(61));
     node.sent(plain("/ack/1"));
 }
 
@@ -295,9 +297,9 @@
     node.lead();
     pauses(&mut node, "w1", millis(800));
     pauses(&mut node, "w2", millis(800));
-    let id = node.arrive(brief("m3"));
-    let effects = node.pass(millis(700));
+    let id = node.arrive(short_stream("m3"));
+    let effects = node.advance(millis(700));
     assert!(orders(&effects).is_empty(), "{effects:?}");
     assert_eq!(node.step(id), None, "it waits for its model");
-    assert!(!orders(&node.pass(millis(500))).is_empty());
+    assert!(!orders(&node.advance(millis(500))).is_empty());
 }
--- a/fleet/tests/engine_orders.rs
+++ b/fleet/tests/engine_orders.rs
@@ -13,13 +13,13 @@
 use boragecove_fleet::order::{Order, Receipt, Report};
 use boragecove_fleet::request::Step;
 use engine::Engine;
-use node::{Node, WRITER, brief, entry, listing, millis, model, orders, pool, row, step_of, streamed};
+use node::{Node, WRITER, entry, listing, millis, model, orders, pool, row, short_stream, step_of, streamed};
 
 #[test]
 fn sequence_starts_at_zero() {
     let mut node = Node::ready("a");
     node.lead();
-    let first = orders(&node.pass(millis(300)));
+    let first = orders(&node.advance(millis(300)));
     let first = first.first().expect("m3 has no copy");
     assert_eq!(first.sequence, 0);
     assert!(matches!(&first.order, Order::Load { model } | Order::Unload { model } if !model.is_empty()));
@@ -29,7 +29,7 @@
 fn adapter_ordered_once() {
     let mut node = Node::ready("a");
     node.lead();
-    node.pass(millis(300));
+    node.advance(millis(300));
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
     assert_eq!(orders(&node.effects).len(), 1);
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
@@ -40,7 +40,7 @@
 fn unanswered_order_is_resent() {
     let mut node = Node::ready("a");
     node.lead();
-    node.pass(millis(300));
+    node.advance(millis(300));
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
     let first = orders(&node.effects).remove(0);
     let engine = first.engine.clone();
@@ -52,7 +52,7 @@
 fn conflict_asks_the_engine() {
     let mut node = Node::ready("a");
     node.lead();
-    node.pass(millis(300));
+    node.advance(millis(300));
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
     let engine = orders(&node.effects).remove(0).engine;
     node.feed(Event::Ordered {
@@ -61,7 +61,7 @@
         receipt: Some(Receipt::Conflict),
     });
     let asked = node
-        .pass(millis(300))
+        .advance(millis(300))
         .iter()
         .any(|effect| matches!(effect, Effect::Report { engine: asked, .. } if *asked == engine));
     assert!(asked);
@@ -77,9 +77,10 @@
 fn refusal_as_absent_asks_the_engine() {
     let mut hub = settled();
     let absent = vec![Absent { engine: "w1".into(), model: "m0".into(), adapter: None }];
-    let mut effects =
-        hub.feed(Event::Framed(Box::new(Frame { vm: "b".into(), absent, ..Frame::default() }))).to_vec();
-    effects.extend(hub.pass(millis(300)));
+    let mut effects = hub
+        .feed(Event::FrameReceived(Box::new(Frame { vm: "b".into(), absent, ..Frame::default() })))
+        .to_vec();
+    effects.extend(hub.advance(millis(300)));
     let asked =
         effects.iter().any(|effect| matches!(effect, Effect::Report { engine, .. } if **engine == *"w1"));
     assert!(asked);
@@ -95,7 +96,7 @@
     ];
     hub.feed(listing(rows, 2, true));
     hub.lead();
-    hub.pass(millis(300));
+    hub.advance(millis(300));
     hub
 }
 
@@ -121,7 +122,7 @@
     let mut loads: Vec<Time> = Vec::new();
     let mut held: std::collections::BTreeMap<Name, Vec<String>> = std::collections::BTreeMap::new();
     for at in 0..400 {
-        let mut effects = hub.pass(millis(50));
+        let mut effects = hub.advance(millis(50));
         // A loaded model appears in the engine's entry 50 ms later.
         let rows = held.iter().map(|(id, models)| {
             let models: Vec<&str> = models.iter().map(String::as_str).collect();
@@ -161,7 +162,7 @@
     node.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
     node.feed(listing(vec![row(1, entry("w1", WRITER, "zone-a", &["m0"]))], 1, true));
     node.lead();
-    let moving = orders(&node.pass(millis(300)));
+    let moving = orders(&node.advance(millis(300)));
     assert!(matches!(moving[..], [Dispatch { order: Order::Load { .. }, .. }]), "{moving:?}");
     node.feed(Event::Ordered {
         engine: "w1".into(),
@@ -176,12 +177,12 @@
 fn closing_copy_gets_no_requests() {
     let mut node = Node::ready("a");
     node.lead();
-    let moving = orders(&node.pass(millis(300)));
+    let moving = orders(&node.advance(millis(300)));
     let Some(dispatch) = moving.iter().find(|dispatch| matches!(dispatch.order, Order::Unload { .. })) else {
         return;
     };
     let Order::Unload { model } = &dispatch.order else { return };
-    let id = node.arrive(brief(model));
+    let id = node.arrive(short_stream(model));
     assert!(!matches!(node.step(id), Some(Step::Send(attempt)) if attempt.engine == dispatch.engine));
 }
 
@@ -263,7 +264,7 @@
 fn request_waits_until_adapter_is_ready() {
     let mut node = Node::ready("a");
     node.lead();
-    node.pass(millis(300));
+    node.advance(millis(300));
     let id = node.arrive(streamed("/brief/1", "m0", Some("a7")));
     let engine = orders(&node.effects).remove(0).engine;
     node.feed(Event::Ordered {
@@ -272,7 +273,7 @@
         receipt: Some(Receipt::Accepted),
     });
     assert_eq!(node.step(id), None, "an adapter takes some ms to be loaded");
-    assert!(matches!(step_of(&node.pass(millis(50)), id), Some(Step::Send(_))));
+    assert!(matches!(step_of(&node.advance(millis(50)), id), Some(Step::Send(_))));
 }
 
 /// A queued load that waits for room counts as loading: no second engine makes room for the same model.
@@ -287,7 +288,7 @@
     ];
     hub.feed(listing(rows, 3, true));
     hub.lead();
-    let first = orders(&hub.pass(millis(300)));
+    let first = orders(&hub.advance(millis(300)));
     let [Dispatch { engine, order: Order::Unload { .. }, .. }] = &*first else {
         panic!("one engine makes room for m3: {first:?}");
     };
@@ -296,6 +297,6 @@
         incarnation: Incarnation::default(),
         receipt: Some(Receipt::Accepted),
     });
-    let more = orders(&hub.pass(millis(1_500)));
+    let more = orders(&hub.advance(millis(1_500)));
     assert_eq!(more, [], "the dropped copy still has streams, and the load of m3 is queued");
 }
--- a/fleet/tests/engine_partitions.rs
+++ b/fleet/tests/engine_partitions.rs
@@ -34,10 +34,10 @@
 fn world_with(vms: usize, seed: u64, settings: Settings) -> World {
     let rows: Vec<Row> = (0..ENGINES).map(|number| row(number as u64 + 1, gateway(number))).collect();
     let mut world = World::new(vms, node::config(1), &rows, settings, seed);
-    world.paced = true;
+    world.long_polls = true;
     world.backends = Some(Backends::new(&rows));
     let start = if vms > 100 { 12 } else { 4 };
-    world.pass(Duration::from_secs(start));
+    world.advance(Duration::from_secs(start));
     world
 }
 
@@ -54,14 +54,14 @@
             if world.rng.bool() { world.rng.usize(0..all) } else { world.rng.usize(0..some.clamp(1, all)) };
         let path = if world.rng.bool() { "/ack/1" } else { "/list/1" };
         world.arrive(at, &Name::default(), 0.0, plain(path));
-        world.pass(millis(1_000 / ASKED_PER_S));
+        world.advance(millis(1_000 / ASKED_PER_S));
     }
 }
 
 /// First tries at the entry VMs that are cut off and at the others: number served and number of all.
 fn counted(world: &World, cut: &[usize], from: Time, until: Time) -> [(usize, usize); 2] {
     let mut sums = [(0, 0); 2];
-    for (vm, (served, all)) in world.tries(from, until) {
+    for (vm, (served, all)) in world.served_and_total(from, until) {
         let sum = &mut sums[usize::from(!cut.contains(&vm))];
         *sum = (sum.0 + served, sum.1 + all);
     }
@@ -105,22 +105,22 @@
             };
             ask(&mut world, Duration::from_secs(1), 6);
             for at in &cut {
-                world.part(*at, Some(Partition { lost: Lost::All, refused }));
+                world.partition(*at, Some(Partition { lost: Lost::All, refused }));
             }
             let began = world.now;
             ask(&mut world, CUT, 6);
             let until = world.now;
             let fault = broken(&world, &cut, began + CONTACT, until - Duration::from_secs(1));
             assert_eq!(fault, None, "{vms} entry VMs, case {case}");
-            let asks_per_s = world.asks as f64 / CUT.as_secs_f64();
+            let asks_per_s = world.path_queries as f64 / CUT.as_secs_f64();
             println!("{vms} entry VMs, case {case}: {asks_per_s} probe requests/s");
             assert!(asks_per_s < 8_000.0, "{vms} entry VMs, case {case}: {asks_per_s} probe requests/s");
-            let passed: usize = cut.iter().map(|at| world.passed_on_for(*at)).sum();
+            let passed: usize = cut.iter().map(|at| world.relayed_for(*at)).sum();
             assert!(passed > 0, "{vms} entry VMs, case {case}: nothing was relayed");
-            let doubled = if refused { world.doubled() } else { world.repeated() };
+            let doubled = if refused { world.over_repeated() } else { world.repeated() };
             assert_eq!(doubled, 0, "{vms} entry VMs, case {case}: requests ran twice");
             for at in &cut {
-                world.part(*at, None);
+                world.partition(*at, None);
             }
             ask(&mut world, REJOINED, 6);
             assert_eq!(
@@ -135,9 +135,9 @@
 /// Proves that the check works: without relays, callers are refused.
 #[test]
 fn refused_without_relays() {
-    let settings = Settings { without: vec![Mechanism::Relays], ..Settings::default() };
+    let settings = Settings { disabled: vec![Mechanism::Relays], ..Settings::default() };
     let mut world = world_with(6, 1, settings);
-    world.part(1, Some(Partition { lost: Lost::All, refused: true }));
+    world.partition(1, Some(Partition { lost: Lost::All, refused: true }));
     let began = world.now;
     ask(&mut world, CUT, 6);
     let until = world.now;
@@ -150,7 +150,7 @@
     for vms in [6, 65] {
         let mut world = world(vms, 7);
         let leader = world.leader().expect("a hub");
-        world.part(leader, Some(Partition { lost: Lost::All, refused: false }));
+        world.partition(leader, Some(Partition { lost: Lost::All, refused: false }));
         ask(&mut world, Duration::from_secs(6), leader + 1);
         let after = world.leader();
         assert!(after.is_some_and(|after| after != leader), "{vms} entry VMs: hub {after:?}");
@@ -164,7 +164,7 @@
 fn somebody_leads() {
     let mut world = world(6, 8);
     for at in 0..6 {
-        world.part(at, Some(Partition { lost: Lost::All, refused: true }));
+        world.partition(at, Some(Partition { lost: Lost::All, refused: true }));
     }
     ask(&mut world, Duration::from_secs(10), 6);
     assert!(world.leader().is_some());
@@ -179,7 +179,7 @@
     let began = world.now;
     for round in 0..12 {
         let partition = Partition { lost: Lost::All, refused: false };
-        world.part(1, (round % 2 == 0).then_some(partition));
+        world.partition(1, (round % 2 == 0).then_some(partition));
         ask(&mut world, Duration::from_secs(1), 6);
     }
     let fault = broken(&world, &[1], began + CONTACT, world.now - Duration::from_secs(1));
@@ -200,19 +200,19 @@
             let cut: Vec<usize> = (0..vms).filter(parted).collect();
             for _ in 0..6 {
                 for at in &cut {
-                    world.part(*at, Some(Partition { lost: Lost::Half, refused: true }));
+                    world.partition(*at, Some(Partition { lost: Lost::Half, refused: true }));
                 }
                 ask(&mut world, Duration::from_secs(2), vms);
                 for at in &cut {
-                    world.part(*at, None);
+                    world.partition(*at, None);
                 }
                 ask(&mut world, Duration::from_secs(3), vms);
             }
-            let accused = (0..vms).filter(|at| world.state(*at).crashes().quarantined(world.now) > 0);
+            let accused = (0..vms).filter(|at| world.state(*at).crashes().quarantined_count(world.now) > 0);
             assert_eq!(accused.count(), 0, "{vms} entry VMs, zone {zone:?}");
             // If most entry VMs of all zones have lost the same engines, everyone who is asked may be among
             // them.
-            let suspected = if zone.is_some() { world.accused } else { 0 };
+            let suspected = if zone.is_some() { world.reported_crashes } else { 0 };
             assert_eq!(suspected, 0, "{vms} entry VMs, zone {zone:?}: runs are suspected");
         }
     }
@@ -239,7 +239,7 @@
             _ => (0..vms).filter(|at| at % 5 < 3).collect(),
         };
         for at in &cut {
-            world.part(*at, Some(Partition { lost, refused }));
+            world.partition(*at, Some(Partition { lost, refused }));
         }
         let began = world.now;
         steps.push(format!("{began:?}: {lost:?} lost, refused {refused}, by {:?}", &cut[..cut.len().min(6)]));
@@ -274,7 +274,7 @@
         let running: Vec<usize> = cut.iter().copied().filter(|at| world.calm_since(*at).is_some()).collect();
         faults.extend(broken(&world, &running, from.max(began + CONTACT), until - Duration::from_secs(1)));
         for at in &cut {
-            world.part(*at, None);
+            world.partition(*at, None);
         }
         world.heal();
         ask(&mut world, REJOINED, 6);
@@ -286,7 +286,7 @@
         }
     }
     // A request whose connection was reset may run again if it is retryable.
-    let doubled = if reset { world.doubled() } else { world.repeated() };
+    let doubled = if reset { world.over_repeated() } else { world.repeated() };
     if doubled > 0 {
         faults.push(format!("{doubled} requests ran twice"));
     }
@@ -296,7 +296,7 @@
             late.first().map(|late| format!("g{number} left at {since:?} but was sent a request: {late:?}")),
         );
     }
-    let accused = (0..vms).filter(|at| world.state(*at).crashes().quarantined(world.now) > 0).count();
+    let accused = (0..vms).filter(|at| world.state(*at).crashes().quarantined_count(world.now) > 0).count();
     if accused > 0 {
         faults.push(format!("{accused} entry VMs quarantine requests"));
     }
--- a/fleet/tests/engine_restarts.rs
+++ b/fleet/tests/engine_restarts.rs
@@ -10,23 +10,23 @@
 use boragecove_core::time::Time;
 use boragecove_fleet::config::Service;
 use boragecove_fleet::effect::{Dispatch, Effect};
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::engine::{Entry, Held, Incarnation, Residency};
 use boragecove_fleet::event::Event;
-use boragecove_fleet::frame::{Reply, Resident, View};
+use boragecove_fleet::frame::{Position, Reply, Resident};
 use boragecove_fleet::lease::Outcome;
 use boragecove_fleet::order::{Order, Receipt, Report};
 use boragecove_fleet::record::Record;
 use boragecove_fleet::request::Step;
 use engine::Engine;
-use node::{Node, WRITER, brief, entry, listing, millis, orders, row, streamed};
+use node::{Node, WRITER, entry, listing, millis, orders, row, short_stream, streamed};
 
 fn started(id: &str, at: u64, models: &[&str]) -> Entry {
     Entry { incarnation: Incarnation(Some(at)), ..entry(id, WRITER, "zone-a", models) }
 }
 
 fn engine_of(node: &mut Node, model: &str) -> Option<Name> {
-    let id = node.arrive(brief(model));
+    let id = node.arrive(short_stream(model));
     match node.step(id) {
         Some(Step::Send(attempt)) => Some(attempt.engine),
         _ => None,
@@ -38,10 +38,10 @@
 fn earlier_holdings_are_void() {
     let mut node = Node::ready("a");
     node.feed(listing(vec![row(9, started("w1", 100, &["m0", "m1"]))], 9, false));
-    let residency = Residency::of(&started("w1", 100, &["m0", "m3"]).held);
+    let residency = Residency::from_held(&started("w1", 100, &["m0", "m3"]).held);
     let told = |incarnation| Reply {
         leads: true,
-        view: View { term: 3, version: 8 },
+        residency_version: Position { term: 3, version: 8 },
         residencies: vec![Resident { engine: "w1".into(), incarnation, residency: residency.clone() }],
         ..Reply::default()
     };
@@ -65,10 +65,10 @@
     for id in ["w1", "w9"] {
         let mut node = Node::ready("a");
         node.feed(listing(vec![row(9, started("w1", 100, &["m0"]))], 9, false));
-        let residency = Residency::of(&started(id, 700, &["m3"]).held);
+        let residency = Residency::from_held(&started(id, 700, &["m3"]).held);
         let told = |number, at| Reply {
             leads: true,
-            view: View { term: 3, version: number },
+            residency_version: Position { term: 3, version: number },
             residencies: vec![Resident {
                 engine: id.into(),
                 incarnation: Incarnation(Some(at)),
@@ -101,7 +101,7 @@
 fn trusted_anew() {
     let mut node = Node::ready("a");
     node.feed(listing(vec![row(9, started("w1", 100, &["m1"]))], 9, false));
-    node.feed(Event::Probed { engine: "w1".into(), reach: Reach::Silent });
+    node.feed(Event::Probed { engine: "w1".into(), reach: Port::Silent });
     assert_eq!(engine_of(&mut node, "m1"), None);
     node.feed(listing(vec![row(10, started("w1", 700, &["m1"]))], 10, false));
     assert_eq!(engine_of(&mut node, "m1").as_deref(), Some("w1"));
@@ -193,7 +193,7 @@
     let mut node = Node::ready("a");
     node.feed(listing(vec![row(9, started("w1", 100, &["m0", "m1"]))], 9, false));
     node.lead();
-    let sent = orders(&node.pass(millis(300)));
+    let sent = orders(&node.advance(millis(300)));
     let sent = sent.into_iter().find(|dispatch| *dispatch.engine == *"w1").expect("m2 or m3 comes to w1");
     let asked = node.feed(listing(vec![row(12, started("w1", 700, &[]))], 12, false));
     assert!(asked.iter().any(|effect| matches!(effect, Effect::Report { engine, .. } if **engine == *"w1")));
@@ -227,7 +227,7 @@
     node.feed(Event::Configured(Arc::new(config)));
     node.feed(listing(vec![row(1, started("w1", 100, &["m0", "m1"]))], 1, true));
     node.lead();
-    node.pass(millis(300));
+    node.advance(millis(300));
     for (adapter, receipt) in [("a1", Some(Receipt::Accepted)), ("a2", Some(Receipt::Accepted)), ("a3", None)]
     {
         node.arrive(streamed("/brief/1", "m1", Some(adapter)));
@@ -259,7 +259,7 @@
     );
     let engine = Name::from("w1");
     node.feed(Event::Ordered { engine, incarnation: Incarnation(Some(700)), receipt: None });
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.feed(Event::Reported { engine: "w1".into(), report: Some(report(2)) });
     node.arrive(streamed("/brief/1", "m1", Some("a7")));
     let sent = adapter_order(&node.effects).expect("whichever order arrives first invalidates the other");
--- a/fleet/tests/evacuated_zones.rs
+++ b/fleet/tests/evacuated_zones.rs
@@ -11,24 +11,24 @@
 use arbtest::arbtest;
 use boragecove_fleet::effect::Effect;
 use boragecove_fleet::engine::{Entry, Row};
-use boragecove_fleet::evacuation::{Listing, Word};
+use boragecove_fleet::evacuation::{Listing, Status};
 use boragecove_fleet::event::Event;
 use boragecove_fleet::request::{End, Step};
 use boragecove_fleet::revision::Revision;
 use boragecove_fleet::settings::Settings;
 use links::{LARGE, Links, SMALL};
-use node::{GATEWAY, Node, WRITER, brief, config, entry, exchange, hub_row, millis, plain, row};
+use node::{GATEWAY, Node, WRITER, config, entry, exchange, hub_row, millis, plain, row, short_stream};
 use world::{Backends, World, ZONES};
 
 /// Required limit on the time from the operator's write until no request is sent to the zone any more.
 const BOUND: Duration = Duration::from_secs(5);
 
-fn word(zone: &str, version: impl Into<Revision>, evacuated: bool) -> Word {
-    Word { zone: zone.into(), revision: version.into(), evacuated }
+fn word(zone: &str, version: impl Into<Revision>, evacuated: bool) -> Status {
+    Status { zone: zone.into(), revision: version.into(), evacuated }
 }
 
-fn read(words: Vec<Word>, version: impl Into<Revision>, whole: bool) -> Event {
-    Event::Evacuations(Listing { words, version: version.into(), whole })
+fn read(words: Vec<Status>, version: impl Into<Revision>, whole: bool) -> Event {
+    Event::Evacuations(Listing { zones: words, version: version.into(), whole })
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let mut node = Node::ready("a");
     let mut later = None;
     for _ in 0..40 {
-        let id = node.arrive(brief("m1"));
+        let id = node.arrive(short_stream("m1"));
         if let Some(Step::Send(attempt)) = node.step(id)
             && attempt.at > node.now
         {
@@ -68,7 +68,7 @@
             _ => None,
         })
         .collect();
-    assert!(matches!(steps.first(), Some(Step::Wait)), "{steps:?}");
+    assert!(matches!(steps.first(), Some(Step::Hold)), "{steps:?}");
 }
 
 /// An older revision has no effect, whether it comes from a delta or a complete read.
@@ -95,7 +95,7 @@
         if rewritten {
             node.feed(read(vec![word("zone-a", (1, 9), true)], (1, 9), false));
         }
-        node.pass(Duration::from_secs(3));
+        node.advance(Duration::from_secs(3));
         assert_eq!(node.state.evacuated().count(), usize::from(rewritten));
     }
 }
@@ -152,7 +152,7 @@
     let rows = engines();
     let mut world = World::new(vms, node::config(1), &rows, Settings::default(), seed);
     world.backends = Some(Backends::new(&rows));
-    world.pass(Duration::from_secs(6));
+    world.advance(Duration::from_secs(6));
     world
 }
 
@@ -161,9 +161,9 @@
     while world.now < end {
         let at = world.rng.usize(0..world.len());
         let model = ["m0", "m1", "m2"][world.rng.usize(0..3)];
-        let arrival = if world.rng.bool() { brief(model) } else { plain("/ack/1") };
+        let arrival = if world.rng.bool() { short_stream(model) } else { plain("/ack/1") };
         world.arrive(at, &"none".into(), 0.0, arrival);
-        world.pass(Duration::from_millis(20));
+        world.advance(Duration::from_millis(20));
     }
 }
 
@@ -175,7 +175,7 @@
         let leader = world.leader().expect("a hub");
         match kind {
             0 => world.kill(leader),
-            1 => world.serve(leader, false),
+            1 => world.set_store_access(leader, false),
             _ => world.cut(leader % ZONES.len(), true),
         }
         let zone = (leader + 1) % ZONES.len();
@@ -187,13 +187,13 @@
         run(&mut world, Duration::from_secs(6));
         let since = world.now;
         run(&mut world, Duration::from_secs(3));
-        assert!(world.reached(&format!("g{zone}"), since) > 0, "the zone gets work again");
+        assert!(world.arrivals(&format!("g{zone}"), since) > 0, "the zone gets work again");
     }
 }
 
 fn play(u: &mut Unstructured<'_>, deaf: bool) -> arbitrary::Result<usize> {
     let mut world = world(u.int_in_range(4..=13)?, u.arbitrary()?);
-    world.deaf = deaf;
+    world.ignores_evacuations = deaf;
     for _ in 0..u.int_in_range(2..=6)? {
         let at = u.int_in_range(0..=world.len() - 1)?;
         match u.int_in_range(0..=9)? {
@@ -203,7 +203,7 @@
             5 => world.restart(at),
             6 => world.suspend(at, true),
             7 => world.cut(at % ZONES.len(), true),
-            8 => world.serve(at, false),
+            8 => world.set_store_access(at, false),
             _ => world.heal(),
         }
         run(&mut world, Duration::from_millis(u.int_in_range(200..=6_000)?));
@@ -228,7 +228,7 @@
 #[test]
 fn check_bites() {
     let mut world = world(6, 1);
-    world.deaf = true;
+    world.ignores_evacuations = true;
     world.evacuate(0, true);
     run(&mut world, Duration::from_secs(9));
     assert!(world.sent_to_evacuated(BOUND) > 0);
--- a/fleet/tests/frame_bytes.rs
+++ b/fleet/tests/frame_bytes.rs
@@ -6,9 +6,9 @@
 
 use boragecove_fleet::engine::{Entry, Incarnation, Load};
 use boragecove_fleet::event::Event;
-use boragecove_fleet::frame::{EngineLoad, Frame, Reply, View};
-use boragecove_fleet::intake::Advert;
+use boragecove_fleet::frame::{EngineLoad, Frame, Position, Reply};
 use boragecove_fleet::notice::Start;
+use boragecove_fleet::rate_limit::Report;
 use node::{Node, WRITER, entry, listing, row};
 
 /// Engines of the largest deployment.
@@ -37,15 +37,16 @@
         let vm = format!("front-hall-a-{number}");
         let frame = Frame {
             vm: vm.as_str().into(),
-            listed: 500.into(),
+            engines_revision: 500.into(),
             config: 1,
             loads: loads.collect(),
             ..Frame::default()
         };
-        hub.feed(Event::Framed(Box::new(frame)));
+        hub.feed(Event::FrameReceived(Box::new(frame)));
     }
-    let asker = Frame { vm: "front-hall-a-1".into(), listed: 500.into(), config: 1, ..Frame::default() };
-    let mut known = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
+    let asker =
+        Frame { vm: "front-hall-a-1".into(), engines_revision: 500.into(), config: 1, ..Frame::default() };
+    let mut known = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
     known.residencies.clear();
     let bytes = rmp_serde::to_vec(&known).expect("encodes").len();
     println!("reply of {bytes} bytes");
@@ -66,30 +67,34 @@
         (0..ENGINES).map(|number| row(100 + number as u64, entry(&id(number), WRITER, "zone-a", &["m0"])));
     hub.feed(listing(rows.collect(), 500, false));
     let bytes_of = |hub: &mut Node, asker: &Frame| {
-        let reply = boragecove_fleet::reply(&mut hub.state, hub.now, asker);
-        let known = View { term: reply.view.term, version: reply.limits_version };
+        let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, asker);
+        let known = Position { term: reply.residency_version.term, version: reply.limits_version };
         (rmp_serde::to_vec(&reply).expect("encodes").len(), known)
     };
-    let asker = Frame { vm: "front-hall-a-1".into(), listed: 500.into(), config: 1, ..Frame::default() };
+    let asker =
+        Frame { vm: "front-hall-a-1".into(), engines_revision: 500.into(), config: 1, ..Frame::default() };
     let (without, _) = bytes_of(&mut hub, &asker);
-    let advert = |number: usize| Advert {
-        from: Start { engine: id(number).as_str().into(), incarnation: Incarnation(Some(1_767_465_654_898)) },
+    let advert = |number: usize| Report {
+        start: Start {
+            engine: id(number).as_str().into(),
+            incarnation: Incarnation(Some(1_767_465_654_898)),
+        },
         per_s: Some(2.9 + number as f64 / 100.0),
         age: Duration::from_millis(120),
-        ..Advert::default()
+        ..Report::default()
     };
     let rows = (0..ENGINES).map(|number| {
         let incarnation = Incarnation(Some(1_767_465_654_898));
         row(600 + number as u64, Entry { incarnation, ..entry(&id(number), WRITER, "zone-a", &["m0"]) })
     });
     hub.feed(listing(rows.collect(), 800, false));
-    let asker = Frame { listed: 800.into(), ..asker };
+    let asker = Frame { engines_revision: 800.into(), ..asker };
     let limits = (0..ENGINES).map(advert).collect();
     let told = Frame { vm: "front-hall-a-2".into(), limits, ..Frame::default() };
-    hub.feed(Event::Framed(Box::new(told)));
+    hub.feed(Event::FrameReceived(Box::new(told)));
     let (with, known) = bytes_of(&mut hub, &asker);
     let each = (with - without) / ENGINES;
-    let (after, _) = bytes_of(&mut hub, &Frame { limits_known: known, ..asker });
+    let (after, _) = bytes_of(&mut hub, &Frame { limits_version: known, ..asker });
     println!("{each} bytes for each change, {} in addition", after.abs_diff(without));
     assert!(each < 60, "{each} bytes for each change");
     assert!(after < without + 80, "{after} bytes without a change, {without} without any limit");
@@ -111,23 +116,29 @@
         let engines = (0..20).map(|at| (number * 37 + at * 151) % MANY);
         let loads = engines.map(|engine| EngineLoad { engine: id(engine).as_str().into(), load }).collect();
         let vm = format!("front-hall-a-{number}").as_str().into();
-        hub.feed(Event::Framed(Box::new(Frame {
+        hub.feed(Event::FrameReceived(Box::new(Frame {
             vm,
-            listed: 5_000.into(),
+            engines_revision: 5_000.into(),
             config: 1,
             loads,
             ..Frame::default()
         })));
     }
     let size = |reply: &Reply| rmp_serde::to_vec(reply).expect("encodes").len();
-    let hub_ids = hub.state.engine_ids();
+    let hub_ids = hub.state.engines_digest();
     let mut loads_of = |label: &str, listed: u64, engines: u64| {
         let vm = "front-hall-a-1".into();
-        let asker = Frame { vm, listed: listed.into(), config: 1, engines, ..Frame::default() };
-        let mut reply = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
+        let asker = Frame {
+            vm,
+            engines_revision: listed.into(),
+            config: 1,
+            engines_digest: engines,
+            ..Frame::default()
+        };
+        let mut reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
         let all = size(&reply);
-        let told = reply.loads.len() + reply.placed.len() / 3;
-        (reply.loads, reply.placed) = (Vec::new(), Vec::new());
+        let told = reply.loads_by_name.len() + reply.loads_by_position.len() / 3;
+        (reply.loads_by_name, reply.loads_by_position) = (Vec::new(), Vec::new());
         let loads = all - size(&reply);
         reply.rows.clear();
         let rows = all - loads - size(&reply);
--- a/fleet/tests/hub_frames.rs
+++ b/fleet/tests/hub_frames.rs
@@ -7,30 +7,32 @@
 
 use boragecove_fleet::effect::Effect;
 use boragecove_fleet::engine::Load;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::{EngineLoad, Frame, Reason, Reply};
 use boragecove_fleet::lease::{Call, Outcome};
 use boragecove_fleet::record::Record;
 use boragecove_fleet::request::End;
-use node::{Node, WRITER, address, brief, config, entry, exchange, hub_row, listing, millis, removed, row};
+use node::{
+    Node, WRITER, address, config, entry, exchange, hub_row, listing, millis, removed, row, short_stream,
+};
 
 fn frame(vm: &str, open: u32) -> Frame {
     let load = Load { open, reading_us: 0 };
     let loads = vec![EngineLoad { engine: "w1".into(), load }];
-    Frame { vm: vm.into(), config: 1, listed: 4.into(), loads, ..Frame::default() }
+    Frame { vm: vm.into(), config: 1, engines_revision: 4.into(), loads, ..Frame::default() }
 }
 
 /// An entry VM that knows another process as the hub.
 fn follower() -> Node {
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     node
 }
 
 fn reply() -> Reply {
-    Reply { leads: true, nodes: 3, listed: 4.into(), ..Reply::default() }
+    Reply { leads: true, nodes: 3, engines_revision: 4.into(), ..Reply::default() }
 }
 
 fn follows(effects: &[Effect]) -> Option<bool> {
@@ -44,11 +46,14 @@
 fn others_without_the_asker() {
     let mut hub = Node::ready("hub");
     hub.lead();
-    hub.feed(Event::Framed(Box::new(frame("b", 3))));
-    hub.feed(Event::Framed(Box::new(frame("c", 5))));
-    hub.feed(Event::Framed(Box::new(frame("b", 2))));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame("b", 2));
-    assert_eq!(told.loads, [EngineLoad { engine: "w1".into(), load: Load { open: 5, reading_us: 0 } }]);
+    hub.feed(Event::FrameReceived(Box::new(frame("b", 3))));
+    hub.feed(Event::FrameReceived(Box::new(frame("c", 5))));
+    hub.feed(Event::FrameReceived(Box::new(frame("b", 2))));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("b", 2));
+    assert_eq!(
+        told.loads_by_name,
+        [EngineLoad { engine: "w1".into(), load: Load { open: 5, reading_us: 0 } }]
+    );
     assert_eq!(told.nodes, 3);
     assert!(told.leads);
 }
@@ -58,27 +63,36 @@
 #[test]
 fn loads_by_position() {
     let others =
-        |node: &Node| -> Vec<u32> { node.state.engines().map(|engine| engine.others.open).collect() };
+        |node: &Node| -> Vec<u32> { node.state.engines().map(|engine| engine.others_load.open).collect() };
     let mut hub = Node::ready("hub");
     hub.lead();
-    hub.feed(Event::Framed(Box::new(frame("b", 3))));
+    hub.feed(Event::FrameReceived(Box::new(frame("b", 3))));
     let load = Load { open: 9, reading_us: 1_250 };
     let loads = vec![EngineLoad { engine: "g2".into(), load }];
-    hub.feed(Event::Framed(Box::new(Frame { vm: "c".into(), listed: 4.into(), loads, ..Frame::default() })));
+    hub.feed(Event::FrameReceived(Box::new(Frame {
+        vm: "c".into(),
+        engines_revision: 4.into(),
+        loads,
+        ..Frame::default()
+    })));
     let mut asker = follower();
-    let sent = asker.pass(millis(200)).into_iter().rev().find_map(|effect| match effect {
+    let sent = asker.advance(millis(200)).into_iter().rev().find_map(|effect| match effect {
         Effect::Frame { frame, .. } => Some(frame),
         _ => None,
     });
     let sent = sent.expect("a frame");
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &sent);
-    assert!(told.loads.is_empty() && told.placed.len() == 6, "{told:?}");
-    let by_name = boragecove_fleet::reply(&mut hub.state, hub.now, &Frame { engines: 0, ..*sent.clone() });
-    assert!(by_name.loads.len() == 2 && by_name.placed.is_empty(), "{by_name:?}");
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &sent);
+    assert!(told.loads_by_name.is_empty() && told.loads_by_position.len() == 6, "{told:?}");
+    let by_name = boragecove_fleet::reply_to_frame(
+        &mut hub.state,
+        hub.now,
+        &Frame { engines_digest: 0, ..*sent.clone() },
+    );
+    assert!(by_name.loads_by_name.len() == 2 && by_name.loads_by_position.is_empty(), "{by_name:?}");
     asker.feed(Event::Replied(Some(Box::new(told.clone()))));
     let taken = others(&asker);
     assert_eq!(taken.iter().sum::<u32>(), 12);
-    let reading = asker.state.engines().map(|engine| engine.others.reading_us).max();
+    let reading = asker.state.engines().map(|engine| engine.others_load.reading_us).max();
     assert_eq!(reading, Some(2_000), "in ms, rounded up");
     asker.feed(Event::Replied(Some(Box::new(by_name))));
     assert_eq!(others(&asker), taken);
@@ -92,10 +106,10 @@
 fn silent_ones_are_forgotten() {
     let mut hub = Node::ready("hub");
     hub.lead();
-    hub.feed(Event::Framed(Box::new(frame("b", 7))));
-    hub.pass(Duration::from_secs(3));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame("c", 0));
-    assert_eq!(told.loads, []);
+    hub.feed(Event::FrameReceived(Box::new(frame("b", 7))));
+    hub.advance(Duration::from_secs(3));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("c", 0));
+    assert_eq!(told.loads_by_name, []);
 }
 
 #[test]
@@ -104,11 +118,11 @@
     hub.lead();
     hub.feed(Event::Configured(Arc::new(config(8))));
     hub.feed(listing(vec![row(12, entry("w9", WRITER, "zone-c", &["m3"]))], 12, false));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame("b", 0));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("b", 0));
     assert_eq!(told.config.as_ref().map(|config| config.version), Some(8));
     assert_eq!(told.rows.len(), 1);
     let mut asker = follower();
-    asker.pass(millis(200));
+    asker.advance(millis(200));
     asker.feed(Event::Replied(Some(Box::new(told))));
     assert_eq!(asker.state.config().map(|config| config.version), Some(8));
     assert!(asker.state.engines().any(|engine| *engine.entry.id == *"w9"));
@@ -119,8 +133,11 @@
     let mut hub = Node::ready("hub");
     hub.lead();
     hub.feed(Event::Configured(Arc::new(config(8))));
-    let told =
-        boragecove_fleet::reply(&mut hub.state, hub.now, &Frame { vm: "b".into(), ..Frame::default() });
+    let told = boragecove_fleet::reply_to_frame(
+        &mut hub.state,
+        hub.now,
+        &Frame { vm: "b".into(), ..Frame::default() },
+    );
     let bytes = rmp_serde::to_vec(&told).expect("encodes");
     let read: Reply = rmp_serde::from_slice(&bytes).expect("decodes");
     assert_eq!(read, told);
@@ -129,7 +146,7 @@
 #[test]
 fn store_is_left_to_the_hub() {
     let mut node = follower();
-    assert_eq!(follows(&node.pass(Duration::from_secs(1))), Some(true), "no reply of the hub");
+    assert_eq!(follows(&node.advance(Duration::from_secs(1))), Some(true), "no reply of the hub");
     node.feed(Event::Replied(Some(Box::new(reply()))));
     assert_eq!(follows(&node.effects), Some(false));
 }
@@ -140,13 +157,17 @@
     let mut hub = Node::ready("hub");
     hub.lead();
     let mut node = Node::bare("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     let effects = node.lease(0, Outcome::Read(Some(hub_row()))).to_vec();
     let asked = effects.into_iter().find_map(|effect| match effect {
         Effect::Frame { frame, .. } => Some(frame),
         _ => None,
     });
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &asked.expect("should send a frame at once"));
+    let told = boragecove_fleet::reply_to_frame(
+        &mut hub.state,
+        hub.now,
+        &asked.expect("should send a frame at once"),
+    );
     node.feed(Event::Replied(Some(Box::new(told))));
     assert!(node.effects.iter().any(|effect| matches!(effect, Effect::Ready(true))));
     assert_eq!(follows(&node.effects), None, "should not follow the store");
@@ -158,10 +179,10 @@
 #[test]
 fn starts_by_the_next_hub() {
     let mut node = Node::bare("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     node.feed(Event::Replied(Some(Box::new(Reply { nodes: 1, ..Reply::default() }))));
-    let looks = node.pass(millis(40));
+    let looks = node.advance(millis(40));
     assert!(looks.iter().any(|effect| matches!(effect, Effect::Lease(Call::Read))), "{looks:?}");
     let mut next = hub_row();
     next.row.address = address(7_009);
@@ -173,8 +194,8 @@
 #[test]
 fn starts_without_a_hub() {
     let mut node = Node::bare("a");
-    assert_eq!(follows(&node.pass(millis(300))), None, "the hub may still answer");
-    assert_eq!(follows(&node.pass(millis(600))), Some(true));
+    assert_eq!(follows(&node.advance(millis(300))), None, "the hub may still answer");
+    assert_eq!(follows(&node.advance(millis(600))), Some(true));
 }
 
 /// Guards against a late change after the loss of a hub in a fleet of hundreds of entry VMs, whose frames are seconds
@@ -184,16 +205,16 @@
 #[test]
 fn lost_hub_at_size() {
     let mut node = follower();
-    node.pass(millis(200));
+    node.advance(millis(200));
     node.feed(Event::Replied(Some(Box::new(Reply { nodes: 300, ..reply() }))));
     let begin = node.now;
     while node.now.since(begin) < millis(2_500) {
-        let effects = node.pass(millis(10));
+        let effects = node.advance(millis(10));
         if follows(&effects) == Some(true) {
             return;
         }
         if effects.iter().any(|effect| matches!(effect, Effect::Frame { .. })) {
-            node.pass(millis(400));
+            node.advance(millis(400));
             node.feed(Event::Replied(None));
             if follows(&node.effects) == Some(true) {
                 return;
@@ -208,11 +229,11 @@
 fn fewer_looks_of_many() {
     let looks = |nodes: u32| {
         let mut node = follower();
-        node.pass(millis(200));
+        node.advance(millis(200));
         node.feed(Event::Replied(Some(Box::new(Reply { nodes, ..reply() }))));
         let mut looks = 0;
         for _ in 0..200 {
-            let effects = node.pass(millis(50));
+            let effects = node.advance(millis(50));
             if effects.iter().any(|effect| matches!(effect, Effect::Lease(_))) {
                 looks += 1;
                 node.lease(0, Outcome::Unknown);
@@ -254,9 +275,9 @@
 #[test]
 fn stale_hub_is_not_trusted() {
     let mut node = follower();
-    node.pass(millis(200));
+    node.advance(millis(200));
     node.feed(Event::Replied(Some(Box::new(reply()))));
-    node.pass(millis(200));
+    node.advance(millis(200));
     let stale = Reply { store_age: millis(1_100), ..reply() };
     node.feed(Event::Replied(Some(Box::new(stale))));
     assert_eq!(follows(&node.effects), Some(true), "the store has not answered the hub for too long");
@@ -265,18 +286,18 @@
 #[test]
 fn silent_hub_is_not_trusted() {
     let mut node = follower();
-    node.pass(millis(200));
+    node.advance(millis(200));
     node.feed(Event::Replied(Some(Box::new(reply()))));
-    let effects = node.pass(Duration::from_secs(1));
+    let effects = node.advance(Duration::from_secs(1));
     assert_eq!(follows(&effects), Some(true));
 }
 
 #[test]
 fn one_lost_frame_changes_nothing() {
     let mut node = follower();
-    node.pass(millis(200));
+    node.advance(millis(200));
     node.feed(Event::Replied(Some(Box::new(reply()))));
-    node.pass(millis(200));
+    node.advance(millis(200));
     node.feed(Event::Replied(None));
     assert_eq!(follows(&node.effects), None, "the hub replied a short time ago");
 }
@@ -286,11 +307,11 @@
 fn fewer_frames_of_many() {
     let frames = |nodes: u32| {
         let mut node = follower();
-        node.pass(millis(200));
+        node.advance(millis(200));
         node.feed(Event::Replied(Some(Box::new(Reply { nodes, ..reply() }))));
         let mut sent = 0;
         for _ in 0..200 {
-            let effects = node.pass(millis(50));
+            let effects = node.advance(millis(50));
             if effects.iter().any(|effect| matches!(effect, Effect::Frame { .. })) {
                 sent += 1;
                 node.feed(Event::Replied(Some(Box::new(Reply { nodes, ..reply() }))));
@@ -309,18 +330,18 @@
     hub.lead();
     let suspicious = Frame { suspects: vec!["w2".into()], ..frame("b", 0) };
     let probed = |hub: &mut Node| {
-        let effects = hub.feed(Event::Framed(Box::new(suspicious.clone())));
+        let effects = hub.feed(Event::FrameReceived(Box::new(suspicious.clone())));
         effects.iter().any(|effect| matches!(effect, Effect::Probe { engine, .. } if **engine == *"w2"))
     };
     assert!(!probed(&mut hub), "it has sent no request to this engine");
-    let (id, attempt) = hub.sent(brief("m2"));
+    let (id, attempt) = hub.sent(short_stream("m2"));
     hub.ended(id, attempt.number, End::Done);
     hub.now = hub.now + millis(600);
     assert!(probed(&mut hub), "should probe an engine that it uses");
-    let (_, attempt) = hub.sent(brief("m2"));
+    let (_, attempt) = hub.sent(short_stream("m2"));
     assert_eq!(*attempt.engine, *"w2", "should get work until the probe fails");
-    hub.feed(Event::Probed { engine: "w2".into(), reach: Reach::Silent });
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame("c", 0));
+    hub.feed(Event::Probed { engine: "w2".into(), reach: Port::Silent });
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("c", 0));
     assert_eq!(told.suspects, [boragecove_core::name::Name::from("w2")]);
 }
 
@@ -331,13 +352,13 @@
     let mut hub = Node::ready("hub");
     hub.lead();
     let asked = hub.now;
-    hub.feed(Event::Declared { version: 40.into(), config: 1, asked });
+    hub.feed(Event::OperatorTableRead { version: 40.into(), config: 1, asked });
     let mut node = follower();
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame("a", 0));
+    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("a", 0));
     node.feed(Event::Replied(Some(Box::new(told))));
-    let effects = node.pass(Duration::from_secs(2));
+    let effects = node.advance(Duration::from_secs(2));
     let followed = effects.iter().find_map(|effect| match effect {
-        Effect::Follow(Some(how)) => Some((how.listed, how.declared)),
+        Effect::Follow(Some(how)) => Some((how.engines_version, how.operator_version)),
         _ => None,
     });
     assert_eq!(followed, Some((4.into(), 40.into())));
@@ -350,14 +371,14 @@
     hub.lead();
     hub.feed(Event::Configured(Arc::new(config(8))));
     let asked = hub.now;
-    hub.feed(Event::Declared { version: 40.into(), config: 1, asked });
+    hub.feed(Event::OperatorTableRead { version: 40.into(), config: 1, asked });
     let mut node = follower();
-    let mut told = boragecove_fleet::reply(&mut hub.state, hub.now, &frame("a", 0));
+    let mut told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("a", 0));
     told.config = None;
     node.feed(Event::Replied(Some(Box::new(told))));
-    let effects = node.pass(Duration::from_secs(2));
+    let effects = node.advance(Duration::from_secs(2));
     let declared = effects.iter().find_map(|effect| match effect {
-        Effect::Follow(Some(how)) => Some(how.declared),
+        Effect::Follow(Some(how)) => Some(how.operator_version),
         _ => None,
     });
     assert_eq!(declared, Some(0.into()));
@@ -373,7 +394,11 @@
     hub.feed(Event::Configured(Arc::new(config(1))));
     hub.feed(listing(vec![row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"]))], 12, true));
     hub.lead();
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &Frame { listed: 4.into(), ..frame("a", 0) });
+    let told = boragecove_fleet::reply_to_frame(
+        &mut hub.state,
+        hub.now,
+        &Frame { engines_revision: 4.into(), ..frame("a", 0) },
+    );
     node.feed(Event::Replied(Some(Box::new(told))));
     let left: Vec<String> = node.state.engines().map(|engine| engine.entry.id.to_string()).collect();
     assert_eq!(left, ["w1"]);
@@ -389,7 +414,11 @@
     hub.feed(listing(rows, 20, true));
     let mut node = follower();
     node.feed(listing(vec![row(9, entry("w9", WRITER, "zone-a", &["m0"]))], 9, false));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &Frame { listed: 9.into(), ..frame("a", 0) });
+    let told = boragecove_fleet::reply_to_frame(
+        &mut hub.state,
+        hub.now,
+        &Frame { engines_revision: 9.into(), ..frame("a", 0) },
+    );
     node.feed(Event::Replied(Some(Box::new(told))));
     let left: Vec<String> = node.state.engines().map(|engine| engine.entry.id.to_string()).collect();
     assert_eq!(left, ["w1"]);
@@ -401,7 +430,11 @@
     let mut hub = Node::ready("hub");
     hub.lead();
     hub.feed(listing(vec![row(6, entry("w1", WRITER, "zone-a", &["m2"]))], 6, false));
-    let told = boragecove_fleet::reply(&mut hub.state, hub.now, &Frame { listed: 5.into(), ..frame("a", 0) });
+    let told = boragecove_fleet::reply_to_frame(
+        &mut hub.state,
+        hub.now,
+        &Frame { engines_revision: 5.into(), ..frame("a", 0) },
+    );
     assert_eq!(told.rows.len(), 1);
 }
 
@@ -411,7 +444,7 @@
 #[test]
 fn nothing_to_know_yet() {
     let mut node = Node::bare("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     let mut calls = 1;
     let mut frames = 0;
     node.lease(0, Outcome::Read(Some(hub_row())));
@@ -428,7 +461,7 @@
                 let reply = Reply { number, leads: true, nodes: 2, ..Reply::default() };
                 node.feed(Event::Replied(Some(Box::new(reply)))).to_vec()
             }
-            None => node.pass(millis(10)),
+            None => node.advance(millis(10)),
         };
     }
     assert!(calls <= 2, "{calls} calls to the store");
@@ -448,14 +481,17 @@
     let start = |vm: &str, since: usize, hub: &mut Node| {
         let mut node = Node::bare(vm);
         node.now = hub.now;
-        node.pass(millis(10));
+        node.advance(millis(10));
         let effects = node.lease(0, Outcome::Read(Some(hub_row()))).to_vec();
         let asked = effects.into_iter().find_map(|effect| match effect {
             Effect::Frame { frame, .. } => Some(frame),
             _ => None,
         });
-        let told =
-            boragecove_fleet::reply(&mut hub.state, hub.now, &asked.expect("should send a frame at once"));
+        let told = boragecove_fleet::reply_to_frame(
+            &mut hub.state,
+            hub.now,
+            &asked.expect("should send a frame at once"),
+        );
         assert!(told.rows.len() == since && told.whole && !told.rows_packed.is_empty());
         node.feed(Event::Replied(Some(Box::new(told))));
         node
@@ -477,10 +513,10 @@
     let told = exchange(&mut hub, &mut second);
     assert_eq!(told.rows.len(), 2);
     assert!(knows(&second, "late") && !knows(&second, "m7"));
-    hub.pass(Duration::from_secs(1));
+    hub.advance(Duration::from_secs(1));
     let third = start("c", 0, &mut hub);
     assert!(third.state.engines().any(|engine| *engine.entry.id == *"late"), "the snapshot should be new");
-    let told = hub.state.told_whole()[&Reason::RowsAtStart];
+    let told = hub.state.full_snapshots()[&Reason::RowsAtStart];
     assert!(told.answers == 3 && told.bytes > 0, "{told:?}");
 }
 
@@ -491,12 +527,12 @@
 fn starts_wait_before_many_engines() {
     let reads_after = |engines: u32| {
         let mut node = Node::bare("a");
-        node.pass(millis(10));
+        node.advance(millis(10));
         let mut hub = hub_row();
         hub.row.engines = engines;
         node.lease(0, Outcome::Read(Some(hub)));
         let begin = node.now;
-        while follows(&node.pass(millis(50))).is_none() {
+        while follows(&node.advance(millis(50))).is_none() {
             assert!(node.now.since(begin) < Duration::from_secs(9), "should read the store");
         }
         node.now.since(begin)
@@ -510,8 +546,13 @@
 #[test]
 fn unreadable_rows() {
     let mut node = follower();
-    node.pass(millis(200));
-    let word = Reply { listed: 9.into(), whole: true, rows_packed: b"garbled".as_slice().into(), ..reply() };
+    node.advance(millis(200));
+    let word = Reply {
+        engines_revision: 9.into(),
+        whole: true,
+        rows_packed: b"garbled".as_slice().into(),
+        ..reply()
+    };
     let told = node.feed(Event::Replied(Some(Box::new(word)))).to_vec();
     let said = |effect: &Effect| matches!(effect, Effect::Record(Record::Unusable { what: "engines", .. }));
     assert!(told.iter().any(said));
--- a/fleet/tests/key_withdrawal.rs
+++ b/fleet/tests/key_withdrawal.rs
@@ -47,7 +47,7 @@
 fn world(seed: u64, revocation: Option<Duration>) -> World {
     let settings = Settings { revocation, ..Settings::default() };
     let mut world = World::new(VMS, config(1, false), &engines(), settings, seed);
-    world.pass(Duration::from_secs(3));
+    world.advance(Duration::from_secs(3));
     world
 }
 
@@ -55,7 +55,7 @@
 fn run(world: &mut World, time: Duration) {
     let end = world.now + time;
     while world.now < end {
-        world.pass(Duration::from_millis(200));
+        world.advance(Duration::from_millis(200));
         for at in 0..VMS {
             for (number, name) in [(1, "stays"), (2, "goes")] {
                 let arrival = Arrival { key: Some(digest(number)), ..plain("/ack/1") };
@@ -80,13 +80,13 @@
         1 => world.kill(leader),
         2 => world.suspend(at, true),
         3 => world.suspend(leader, true),
-        4 => world.serve(at, false),
-        5 => world.serve(leader, false),
+        4 => world.set_store_access(at, false),
+        5 => world.set_store_access(leader, false),
         6 => world.restart(at),
-        7 => (0..VMS).filter(|vm| vm % 3 != 0).for_each(|vm| world.serve(vm, false)),
+        7 => (0..VMS).filter(|vm| vm % 3 != 0).for_each(|vm| world.set_store_access(vm, false)),
         8 => world.cut(at % ZONES.len(), true),
         9 => (0..VMS).for_each(|vm| world.restart(vm)),
-        _ => world.drill(Duration::from_millis(u.int_in_range(0..=5_000)?)),
+        _ => world.restore_store(Duration::from_millis(u.int_in_range(0..=5_000)?)),
     }
     Ok(())
 }
@@ -140,12 +140,12 @@
 /// limit was exceeded.
 fn withdrawal_lost(blind: bool) -> Duration {
     let mut world = world(8, Some(BOUND));
-    world.blind = blind;
+    world.hides_era = blind;
     run(&mut world, Duration::from_secs(3));
     let withdrawn = world.now;
     world.declare(config(2, true));
     run(&mut world, millis(4_400));
-    world.drill(Duration::from_secs(6));
+    world.restore_store(Duration::from_secs(6));
     (0..VMS).for_each(|vm| world.restart(vm));
     run(&mut world, Duration::from_secs(4));
     let served = world.outcomes.iter().rev().find(|done| *done.workspace == *"stays").expect("some");
@@ -165,7 +165,7 @@
 fn nobody_in_touch_is_refused() {
     let mut world = world(5, Some(BOUND));
     for at in (0..VMS).filter(|at| Some(*at) != world.leader()).take(6).collect::<Vec<_>>() {
-        world.serve(at, false);
+        world.set_store_access(at, false);
     }
     run(&mut world, Duration::from_secs(12));
     let refused: Vec<_> = world.outcomes.iter().filter(|done| done.refused.is_some()).collect();
--- a/fleet/tests/lapsed_entries.rs
+++ b/fleet/tests/lapsed_entries.rs
@@ -34,13 +34,13 @@
 fn lapse_around_an_outage() {
     let mut node = Node::ready("a");
     node.feed(Event::StoreUp(false));
-    node.pass(millis(300));
+    node.advance(millis(300));
     node.feed(Event::StoreUp(true));
     node.feed(listing(vec![removed(9, "w1"), removed(10, "w2")], 10, false));
     assert!(known(&node, "w1"), "a healthy engine registers again within two seconds");
-    node.pass(millis(500));
+    node.advance(millis(500));
     node.feed(listing(vec![row(11, entry("w1", WRITER, "zone-a", &["m0"]))], 11, false));
-    node.pass(Duration::from_secs(2));
+    node.advance(Duration::from_secs(2));
     assert!(known(&node, "w1"), "w1 registered again");
     assert!(!known(&node, "w2"), "w2 did not");
 }
@@ -76,9 +76,9 @@
         matches!(effect, Effect::Record(Record::PassedOver { rows: 1, version: 7, known: 9, .. }))
     });
     assert!(told);
-    assert_eq!(node.state.rows_passed_over(), 1);
+    assert_eq!(node.state.stale_rows_skipped(), 1);
     node.feed(listing(vec![row(9, entry("w1", WRITER, "zone-a", &["m0"]))], 9, true));
-    assert_eq!(node.state.rows_passed_over(), 1, "a row that is read again is not older");
+    assert_eq!(node.state.stale_rows_skipped(), 1, "a row that is read again is not older");
 }
 
 /// Only the holder of the lease logs each changed engine; the others log the revision that they have read. When every entry VM logged each
@@ -107,10 +107,10 @@
     let mut hub = Node::ready("hub");
     hub.lead();
     let mut asker = Node::ready("a");
-    asker.pass(millis(10));
+    asker.advance(millis(10));
     asker.lease(0, Outcome::Read(Some(hub_row())));
     hub.feed(Event::StoreUp(false));
-    hub.pass(millis(300));
+    hub.advance(millis(300));
     hub.feed(Event::StoreUp(true));
     hub.feed(listing(vec![removed(9, "w1"), removed(10, "w2")], 10, false));
     exchange(&mut hub, &mut asker);
--- a/fleet/tests/links/mod.rs
+++ b/fleet/tests/links/mod.rs
@@ -14,15 +14,15 @@
 use boragecove_core::time::Time;
 use boragecove_fleet::State;
 use boragecove_fleet::config::Config;
-use boragecove_fleet::crash::Kept;
+use boragecove_fleet::crash::Quarantine;
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::{Event, Listing};
 use boragecove_fleet::frame::{Frame, Reply};
-use boragecove_fleet::lease::{Answer, Call, Outcome, Row, Seen};
+use boragecove_fleet::lease::{Answer, Call, Outcome, Row, Versioned};
 use boragecove_fleet::path::Relay;
 use boragecove_fleet::push::Push;
-use boragecove_fleet::request::{Arrival, Attempt, End, Events, Id, Step};
+use boragecove_fleet::request::{Arrival, Attempt, End, Id, Step, Timing};
 use boragecove_fleet::schedule::Grant;
 use boragecove_fleet::settings::Settings;
 use boragecove_fleet::state::Identity;
@@ -54,7 +54,7 @@
     /// Effects for requests that `wanted` has not returned yet, with their entry VMs.
     wanted: Vec<(usize, Effect)>,
     /// The quarantine in the lease row.
-    quarantine: Vec<Kept>,
+    quarantine: Vec<Quarantine>,
 }
 
 struct Vm {
@@ -123,7 +123,7 @@
             links.feed(at, Event::Configured(Arc::clone(config)));
             links.feed(
                 at,
-                Event::Listed(Listing { rows: Vec::new(), version: 1.into(), whole: true, as_of: None }),
+                Event::EnginesRead(Listing { rows: Vec::new(), version: 1.into(), whole: true, as_of: None }),
             );
         }
         links
@@ -210,7 +210,7 @@
     /// A request arrives at an entry VM, and the engine that it is sent to crashes.
     pub fn crash_under(&mut self, at: usize, request: Id, arrival: Arrival) {
         let mut effects = self.apply(at, Event::Arrive { request, arrival: Box::new(arrival) });
-        if effects.iter().any(|effect| matches!(effect, Effect::Ask { .. })) {
+        if effects.iter().any(|effect| matches!(effect, Effect::Reserve { .. })) {
             effects = self.apply(at, Event::Granted { request, grant: Some(Grant::After(Duration::ZERO)) });
         }
         let attempt = effects.iter().find_map(|effect| match effect {
@@ -218,11 +218,11 @@
             _ => None,
         });
         let Attempt { number, engine, .. } = attempt.expect("an attempt");
-        self.feed(at, Event::Ended { request, attempt: number, end: End::Lost, events: Events::default() });
-        self.feed(at, Event::Probed { engine: engine.clone(), reach: Reach::Closed });
-        self.feed(at, Event::ProbedIndirectly { engine: engine.clone(), reach: Some(Reach::Closed) });
+        self.feed(at, Event::Ended { request, attempt: number, end: End::Lost, events: Timing::default() });
+        self.feed(at, Event::Probed { engine: engine.clone(), reach: Port::Closed });
+        self.feed(at, Event::ProbedIndirectly { engine: engine.clone(), reach: Some(Port::Closed) });
         let by = Relay { vm: "vm-other".into(), address: SocketAddr::from(([10, 0, 0, 9], 7_000)) };
-        self.feed(at, Event::PathSeen { engine, by, reach: Some(Reach::Closed) });
+        self.feed(at, Event::PathSeen { engine, by, reach: Some(Port::Closed) });
     }
 
     fn tick(&mut self) {
@@ -282,8 +282,8 @@
         let Transfer { from, to, limit, load, .. } = transfer;
         match load {
             Load::Frame(frame) => {
-                self.feed(to, Event::Framed(frame.clone()));
-                let reply = boragecove_fleet::reply(&mut self.vms[to].state, self.now, &frame);
+                self.feed(to, Event::FrameReceived(frame.clone()));
+                let reply = boragecove_fleet::reply_to_frame(&mut self.vms[to].state, self.now, &frame);
                 self.send(to, from, size(&reply), limit, Load::Reply(Box::new(reply)));
             }
             Load::Reply(reply) => self.feed(to, Event::Replied(Some(reply))),
@@ -295,7 +295,7 @@
         match &transfer.load {
             Load::Frame(_) => self.feed(transfer.from, Event::Replied(None)),
             Load::Reply(_) => self.feed(transfer.to, Event::Replied(None)),
-            Load::Push(push) => self.feed(transfer.from, Event::Missed(push.clone())),
+            Load::Push(push) => self.feed(transfer.from, Event::PushFailed(push.clone())),
         }
     }
 
@@ -316,7 +316,7 @@
                 self.feed(at, Event::Lease(answer));
             }
             Effect::Step { .. }
-            | Effect::Ask { .. }
+            | Effect::Reserve { .. }
             | Effect::Probe { .. }
             | Effect::IndirectProbe { .. }
             | Effect::AskPath { .. } => self.wanted.push((at, effect)),
@@ -351,9 +351,11 @@
         };
         let outcome = match call {
             Call::Write { row, .. } if row.holder == *"vm-0" => Outcome::Written(1),
-            Call::Write { .. } => Outcome::Conflict(Some(Seen { version: 1.into(), row: row(u64::MAX) })),
+            Call::Write { .. } => {
+                Outcome::Conflict(Some(Versioned { version: 1.into(), row: row(u64::MAX) }))
+            }
             Call::Read if self.now == Time::from_millis(START_MS) => Outcome::Read(None),
-            Call::Read => Outcome::Read(Some(Seen { version: 1.into(), row: row(u64::MAX) })),
+            Call::Read => Outcome::Read(Some(Versioned { version: 1.into(), row: row(u64::MAX) })),
         };
         Answer { store_ms: Some(now_ms), era: Some(0), outcome }
     }
--- a/fleet/tests/load_spread.rs
+++ b/fleet/tests/load_spread.rs
@@ -1,6 +1,6 @@
 //! Entry VMs with the same outdated load figures do not all pick the same engine.
 
-use boragecove_fleet::spread::{Unseen, draw};
+use boragecove_fleet::spread::{Estimate, draw};
 use fastrand::Rng;
 
 /// Entry VMs of the users' first site after it grew.
@@ -36,7 +36,7 @@
         let step_ms = RUN_MS / SLOTS;
         let costs: Vec<f64> = known[node].iter().map(|load| load * step_ms + rng.f64()).collect();
         let requests = if spread { RATE * (now - told + EPOCH_MS / 2.0) } else { 0.0 };
-        let engine = draw(&costs, Unseen { requests, step_ms }, rng.f64()).expect("engines");
+        let engine = draw(&costs, Estimate { requests, step_ms }, rng.f64()).expect("engines");
         known[node][engine] += 1.0;
         let wait = (open[engine].len() as f64 - SLOTS).max(0.0) * step_ms;
         open[engine].push(now + wait + RUN_MS);
@@ -60,14 +60,14 @@
 fn fresh_word() {
     let costs = [30.0, 10.0, 20.0];
     for drawn in [0.0, 0.5, 0.999] {
-        assert_eq!(draw(&costs, Unseen::default(), drawn), Some(1), "no unseen load: the cheapest engine");
+        assert_eq!(draw(&costs, Estimate::default(), drawn), Some(1), "no unseen load: the cheapest engine");
     }
 }
 
 #[test]
 fn cheapest_first() {
     let costs = [30.0, 10.0, 20.0];
-    let unseen = Unseen { requests: 2.0, step_ms: 10.0 };
+    let unseen = Estimate { requests: 2.0, step_ms: 10.0 };
     // The common level is 25: the engine at 10 gets three quarters of the load, the one at 20 the rest, the one at 30 nothing.
     assert_eq!(draw(&costs, unseen, 0.7), Some(1));
     assert_eq!(draw(&costs, unseen, 0.8), Some(2));
@@ -76,5 +76,5 @@
 
 #[test]
 fn no_engine() {
-    assert_eq!(draw(&[], Unseen { requests: 5.0, step_ms: 1.0 }, 0.5), None);
+    assert_eq!(draw(&[], Estimate { requests: 5.0, step_ms: 1.0 }, 0.5), None);
 }
--- a/fleet/tests/model_placement.rs
+++ b/fleet/tests/model_placement.rs
@@ -10,41 +10,41 @@
 use boragecove_fleet::config::Pool;
 use boragecove_fleet::demand::Trend;
 use boragecove_fleet::engine::Phase;
-use boragecove_fleet::place::{Move, Spot, View, moves};
+use boragecove_fleet::place::{Candidate, Input, Move, plan_moves};
 use node::{millis, model, pool};
 
 const NOW: Time = Time::from_millis(100_000);
 
-fn spot(engine: &str, zone: &str, models: &[&str]) -> Spot {
-    Spot {
+fn spot(engine: &str, zone: &str, models: &[&str]) -> Candidate {
+    Candidate {
         engine: engine.into(),
         usable: true,
         idle: true,
         copies: models.iter().map(|name| (Name::from(*name), Phase::Ready)).collect(),
-        young: Vec::new(),
+        recently_loaded: Vec::new(),
         free_mb: 200.0 - 70.0 * models.len() as f64,
         zone: zone.into(),
-        ..Spot::default()
+        ..Candidate::default()
     }
 }
 
 fn trend(busy: f64, reading: f64) -> Trend {
-    Trend { busy, reading, asked: Some(NOW), ..Trend::default() }
+    Trend { concurrency: busy, reading_load: reading, last_requested: Some(NOW), ..Trend::default() }
 }
 
-fn view<'a>(pool: &'a Pool, spots: Vec<Spot>, demand: &[(&str, Trend)]) -> View<'a> {
+fn view<'a>(pool: &'a Pool, spots: Vec<Candidate>, demand: &[(&str, Trend)]) -> Input<'a> {
     let demand: BTreeMap<Name, Trend> =
         demand.iter().map(|(name, trend)| (Name::from(*name), *trend)).collect();
-    View {
+    Input {
         pool,
-        spots,
+        engines: spots,
         demand,
-        cold_left: 4,
-        cold_running: 0,
-        watched: Duration::from_secs(20),
-        every: millis(250),
+        cold_loads_left: 4,
+        cold_loads_running: 0,
+        observed_for: Duration::from_secs(20),
+        interval: millis(250),
         now: NOW,
-        without: &[],
+        disabled: &[],
     }
 }
 
@@ -56,7 +56,7 @@
 fn missing_model_comes_first() {
     let pool = pool();
     let spots = vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"])];
-    let steps = moves(view(&pool, spots, &[("m0", trend(1.0, 0.01)), ("m1", trend(6.0, 0.1))]));
+    let steps = plan_moves(view(&pool, spots, &[("m0", trend(1.0, 0.01)), ("m1", trend(6.0, 0.1))]));
     assert_eq!(steps.first().and_then(|step| step.load.as_deref()), Some("m3"), "{steps:?}");
 }
 
@@ -64,7 +64,7 @@
 fn last_copy_stays() {
     let pool = pool();
     let spots = vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m2", "m3"])];
-    let steps = moves(view(&pool, spots, &[("m0", trend(60.0, 0.9))]));
+    let steps = plan_moves(view(&pool, spots, &[("m0", trend(60.0, 0.9))]));
     assert!(steps.iter().all(|step| step.drop.is_none()), "each is the only copy of its model: {steps:?}");
 }
 
@@ -79,7 +79,7 @@
         spot("w4", "a", &["m0", "m1"]),
     ];
     let demand = [("m0", trend(1.0, 0.01)), ("m2", trend(30.0, 0.6))];
-    let steps = moves(view(&pool, spots, &demand));
+    let steps = plan_moves(view(&pool, spots, &demand));
     assert!(loads(&steps, "m2") >= 2, "{steps:?}");
     assert!(steps.iter().all(|step| step.drop.as_deref() != Some("m2")));
 }
@@ -90,7 +90,7 @@
     let pool = pool();
     let spots = vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"])];
     let demand = [("m0", trend(60.0, 0.8)), ("m1", trend(1.0, 0.01)), ("m2", trend(1.0, 0.01))];
-    let steps = moves(view(&pool, spots, &demand));
+    let steps = plan_moves(view(&pool, spots, &demand));
     assert!(steps.iter().all(|step| step.drop.as_deref() != Some("m0")), "{steps:?}");
 }
 
@@ -99,7 +99,7 @@
 fn other_zone_first() {
     let pool = pool();
     let spots = vec![spot("w1", "a", &["m0", "m3"]), spot("w2", "a", &["m1"]), spot("w3", "b", &["m2"])];
-    let steps = moves(view(&pool, spots, &[("m0", trend(6.0, 0.1))]));
+    let steps = plan_moves(view(&pool, spots, &[("m0", trend(6.0, 0.1))]));
     let placed = steps.iter().find(|step| step.load.as_deref() == Some("m0")).map(|step| &*step.engine);
     assert_eq!(placed, Some("w3"), "{steps:?}");
 }
@@ -111,8 +111,8 @@
     near.cached.disk = vec!["m0".into()];
     let spots = vec![spot("w1", "a", &["m0", "m3"]), near, spot("w3", "b", &["m2"])];
     let mut view = view(&pool, spots, &[("m0", trend(6.0, 0.1))]);
-    view.cold_left = 0;
-    let steps = moves(view);
+    view.cold_loads_left = 0;
+    let steps = plan_moves(view);
     let placed = steps.iter().find(|step| step.load.as_deref() == Some("m0")).map(|step| &*step.engine);
     assert_eq!(placed, Some("w2"), "the weight store's rate is used up: {steps:?}");
 }
@@ -120,13 +120,13 @@
 #[test]
 fn unused_copy_is_dropped() {
     let pool = pool();
-    let idle = Trend { asked: None, ..Trend::default() };
+    let idle = Trend { last_requested: None, ..Trend::default() };
     let spots =
         vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"]), spot("w3", "c", &["m3"])];
     let demand = [("m0", idle), ("m1", trend(0.1, 0.0)), ("m2", trend(0.1, 0.0)), ("m3", trend(0.1, 0.0))];
     let mut view = view(&pool, spots, &demand);
-    view.cold_left = 0;
-    let steps = moves(view);
+    view.cold_loads_left = 0;
+    let steps = plan_moves(view);
     let dropped: Vec<&Move> = steps.iter().filter(|step| step.drop.as_deref() == Some("m0")).collect();
     assert!(matches!(dropped[..], [Move { load: None, .. }]), "one of two unused copies: {steps:?}");
 }
@@ -139,8 +139,8 @@
         vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"]), spot("w3", "c", &["m3"])];
     let mut view = view(&pool, spots, &[]);
     view.demand.clear();
-    view.watched = Duration::ZERO;
-    assert!(moves(view).iter().all(|step| step.drop.is_none()));
+    view.observed_for = Duration::ZERO;
+    assert!(plan_moves(view).iter().all(|step| step.drop.is_none()));
 }
 
 #[test]
@@ -148,7 +148,7 @@
     let mut pool = pool();
     pool.models[3] = model("m3", 40.0);
     let spots = vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"])];
-    let steps = moves(view(&pool, spots, &[("m0", trend(60.0, 0.8))]));
+    let steps = plan_moves(view(&pool, spots, &[("m0", trend(60.0, 0.8))]));
     assert!(steps.iter().any(|step| step.load.as_deref() == Some("m3") && step.drop.is_none()), "{steps:?}");
 }
 
@@ -165,14 +165,14 @@
     let demand =
         [("m0", trend(9.0, 0.2)), ("m1", trend(8.0, 0.2)), ("m2", trend(7.0, 0.2)), ("m3", trend(1.0, 0.0))];
     let mut first = view(&pool, spots.clone(), &demand);
-    first.cold_left = 20;
-    let steps = moves(first);
+    first.cold_loads_left = 20;
+    let steps = plan_moves(first);
     let loaded: Vec<&str> = steps.iter().filter_map(|step| step.load.as_deref()).collect();
     assert_eq!(loaded, ["m0", "m1", "m3"], "the two models needed most, and one from a disk");
     let mut later = view(&pool, spots, &demand);
-    later.cold_left = 20;
-    later.cold_running = 2;
-    let steps = moves(later);
+    later.cold_loads_left = 20;
+    later.cold_loads_running = 2;
+    let steps = plan_moves(later);
     let loaded: Vec<&str> = steps.iter().filter_map(|step| step.load.as_deref()).collect();
     assert_eq!(loaded, ["m3"], "no further load from the weight store until one has finished");
 }
@@ -190,15 +190,15 @@
     ];
     let demand = [("m0", trend(2.0, 0.05)), ("m1", trend(0.2, 0.0)), ("m2", trend(0.2, 0.0))];
     let mut new = view(&pool, spots.clone(), &demand);
-    new.watched = millis(400);
-    assert!(moves(new).iter().all(|step| step.drop.is_none()));
+    new.observed_for = millis(400);
+    assert!(plan_moves(new).iter().all(|step| step.drop.is_none()));
     let mut waited_for = view(&pool, spots.clone(), &demand);
-    waited_for.watched = millis(400);
+    waited_for.observed_for = millis(400);
     let asked = Trend { waiting: 1, ..trend(1.0, 0.0) };
     waited_for.demand.insert("m3".into(), asked);
-    let steps = moves(waited_for);
+    let steps = plan_moves(waited_for);
     assert_eq!(loads(&steps, "m3"), 1, "a request waits for m3: {steps:?}");
-    let steps = moves(view(&pool, spots, &demand));
+    let steps = plan_moves(view(&pool, spots, &demand));
     assert_eq!(loads(&steps, "m3"), 1, "demand has been observed for long enough: {steps:?}");
 }
 
@@ -209,11 +209,15 @@
     let models = (0..60).map(|number| model(&format!("m{number}"), 70.0)).collect();
     let pool = Pool { loads_per_s: 30.0, models, ..pool() };
     let spots = || (0..40).map(|number| spot(&format!("w{number}"), "a", &[])).collect();
-    let missing = View { cold_left: 150, ..view(&pool, spots(), &[]) };
-    assert_eq!(moves(missing).len(), 8, "30 loads per second, four plans per second");
+    let missing = Input { cold_loads_left: 150, ..view(&pool, spots(), &[]) };
+    assert_eq!(plan_moves(missing).len(), 8, "30 loads per second, four plans per second");
     let pool = Pool { loads_per_s: 2.0, ..pool };
-    let missing = View { cold_left: 10, ..view(&pool, spots(), &[]) };
-    assert_eq!(moves(missing).len(), 4, "a slow store is limited by its rate and its number of parallel loads");
+    let missing = Input { cold_loads_left: 10, ..view(&pool, spots(), &[]) };
+    assert_eq!(
+        plan_moves(missing).len(),
+        4,
+        "a slow store is limited by its rate and its number of parallel loads"
+    );
 }
 
 /// An engine with a rate limit serves few requests. A model with demand gets a copy at another engine; a model
@@ -221,12 +225,12 @@
 #[test]
 fn copies_at_rate_limited_engine() {
     let pool = pool();
-    let limited = |spot: Spot| Spot { limited: true, ..spot };
+    let limited = |spot: Candidate| Candidate { rate_limited: true, ..spot };
     let spots =
         vec![limited(spot("w1", "a", &["m1", "m2"])), spot("w2", "b", &["m0"]), spot("w3", "c", &["m3"])];
-    let idle = Trend { asked: None, ..Trend::default() };
+    let idle = Trend { last_requested: None, ..Trend::default() };
     let demand = [("m0", trend(0.5, 0.01)), ("m1", trend(2.0, 0.05)), ("m2", idle), ("m3", trend(0.5, 0.01))];
-    let steps = moves(view(&pool, spots, &demand));
+    let steps = plan_moves(view(&pool, spots, &demand));
     assert_eq!(loads(&steps, "m1"), 1, "{steps:?}");
     assert_eq!(loads(&steps, "m2"), 0, "{steps:?}");
     assert!(steps.iter().all(|step| *step.engine != *"w1"), "w1 gets no orders: {steps:?}");
@@ -238,12 +242,12 @@
 fn only_copy_beside_rate_limited_one_is_kept() {
     let pool = pool();
     let spots = |limited| {
-        let first = Spot { limited, ..spot("w1", "a", &["m0", "m1"]) };
+        let first = Candidate { rate_limited: limited, ..spot("w1", "a", &["m0", "m1"]) };
         vec![first, spot("w2", "b", &["m0", "m2"])]
     };
     let demand = [("m0", trend(1.0, 0.1)), ("m3", trend(0.5, 0.02))];
     let dropped = |limited| {
-        let steps = moves(view(&pool, spots(limited), &demand));
+        let steps = plan_moves(view(&pool, spots(limited), &demand));
         steps.iter().any(|step| step.drop.as_deref() == Some("m0"))
     };
     assert!(dropped(false), "one of two copies is replaced");
@@ -254,13 +258,13 @@
 #[test]
 fn loading_copy_does_not_count_as_ready() {
     let pool = pool();
-    let idle = Trend { asked: None, ..Trend::default() };
+    let idle = Trend { last_requested: None, ..Trend::default() };
     let mut spots =
         vec![spot("w1", "a", &["m0", "m1"]), spot("w2", "b", &["m0", "m2"]), spot("w3", "c", &["m3"])];
     spots[1].copies[0].1 = Phase::Loading;
     let demand = [("m0", idle), ("m1", trend(0.1, 0.0)), ("m2", trend(0.1, 0.0)), ("m3", trend(0.1, 0.0))];
     let mut view = view(&pool, spots, &demand);
-    view.cold_left = 0;
-    let steps = moves(view);
+    view.cold_loads_left = 0;
+    let steps = plan_moves(view);
     assert!(steps.iter().all(|step| step.drop.as_deref() != Some("m0")), "{steps:?}");
 }
--- a/fleet/tests/node/mod.rs
+++ b/fleet/tests/node/mod.rs
@@ -9,13 +9,13 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 use boragecove_fleet::State;
-use boragecove_fleet::config::{Config, Kind, Limits, Model, Pool, Route, Service, Share};
+use boragecove_fleet::config::{Config, Destination, Kind, Limits, Model, Pool, Route, Service};
 use boragecove_fleet::effect::{Dispatch, Effect};
 use boragecove_fleet::engine::{Cached, Entry, Held, Incarnation, Row};
 use boragecove_fleet::event::{Event, Listing};
 use boragecove_fleet::frame::Reply;
 use boragecove_fleet::lease;
-use boragecove_fleet::request::{Arrival, Attempt, End, Events, Fingerprint, Id, Prompt, Refusal, Step};
+use boragecove_fleet::request::{Arrival, Attempt, End, Fingerprint, Id, Prompt, Refusal, Step, Timing};
 use boragecove_fleet::revision::Revision;
 use boragecove_fleet::settings::Settings;
 use boragecove_fleet::state::Identity;
@@ -62,7 +62,7 @@
         pause: millis(150),
         priority: 1,
         attempts,
-        split: vec![Share { service: service.into(), weight: 1 }],
+        split: vec![Destination { service: service.into(), weight: 1 }],
         public: false,
         ..Route::default()
     }
@@ -140,15 +140,15 @@
 }
 
 pub fn listing(rows: Vec<Row>, version: impl Into<Revision>, whole: bool) -> Event {
-    Event::Listed(Listing { rows, version: version.into(), whole, as_of: None })
+    Event::EnginesRead(Listing { rows, version: version.into(), whole, as_of: None })
 }
 
 /// The same as the response to a call made at `asked`.
 pub fn listed(asked: Time, rows: Vec<Row>, version: impl Into<Revision>, whole: bool) -> Event {
-    Event::Listed(Listing { rows, version: version.into(), whole, as_of: Some(asked) })
+    Event::EnginesRead(Listing { rows, version: version.into(), whole, as_of: Some(asked) })
 }
 
-pub fn brief(model: &str) -> Arrival {
+pub fn short_stream(model: &str) -> Arrival {
     streamed("/brief/1", model, None)
 }
 
@@ -156,7 +156,7 @@
     Arrival {
         host: HOST.into(),
         path: path.into(),
-        patience: Some(Duration::from_secs(8)),
+        caller_timeout: Some(Duration::from_secs(8)),
         prompt: Some(Prompt {
             model: model.into(),
             adapter: adapter.map(Name::from),
@@ -179,7 +179,7 @@
     Arrival {
         host: HOST.into(),
         path: path.into(),
-        patience: Some(Duration::from_secs(3)),
+        caller_timeout: Some(Duration::from_secs(3)),
         prompt: None,
         fingerprint: Fingerprint::of(HOST, path, b""),
         key: None,
@@ -188,7 +188,7 @@
 }
 
 /// A row of the lease with another process as its holder.
-pub fn hub_row() -> lease::Seen {
+pub fn hub_row() -> lease::Versioned {
     let row = lease::Row {
         holder: "hub".into(),
         address: address(7_001),
@@ -204,16 +204,16 @@
         repeats: None,
         builds: None,
     };
-    lease::Seen { version: 9.into(), row }
+    lease::Versioned { version: 9.into(), row }
 }
 
 impl Node {
     /// A process without any data. It may repeat all its requests, since another test covers the limit (`repeat_budget`).
     pub fn bare(vm: &str) -> Self {
-        Self::with(vm, Settings { repeat_ratio: 20.0, ..Settings::default() })
+        Self::with_settings(vm, Settings { repeat_ratio: 20.0, ..Settings::default() })
     }
 
-    pub fn with(vm: &str, settings: Settings) -> Self {
+    pub fn with_settings(vm: &str, settings: Settings) -> Self {
         let now = Time::from_millis(START_MS);
         Self { state: State::new(identity(vm), settings, 7, now), now, effects: Vec::new(), drawn: 0 }
     }
@@ -239,7 +239,7 @@
     }
 
     /// Advances the clock in steps of 10 ms. Returns all effects.
-    pub fn pass(&mut self, time: Duration) -> Vec<Effect> {
+    pub fn advance(&mut self, time: Duration) -> Vec<Effect> {
         let end = self.now + time;
         let mut all = Vec::new();
         while self.now < end {
@@ -282,16 +282,16 @@
 
     /// An attempt ends. Returns the next step for its request.
     pub fn ended(&mut self, request: Id, attempt: u32, end: End) -> Option<Step> {
-        self.feed(Event::Ended { request, attempt, end, events: Events::default() });
+        self.feed(Event::Ended { request, attempt, end, events: Timing::default() });
         self.step(request)
     }
 
     /// Makes it the holder of the lease, which had no holder before.
     pub fn lead(&mut self) {
-        self.pass(millis(10));
+        self.advance(millis(10));
         self.lease(0, lease::Outcome::Read(None));
         self.lease(5, lease::Outcome::Written(100));
-        assert!(self.state.lease().orders(self.now).is_some(), "should be the leader");
+        assert!(self.state.lease().ordering_term(self.now).is_some(), "should be the leader");
     }
 
     /// The store answers a call about the lease.
@@ -329,15 +329,15 @@
 
 /// The hub answers the next frame of an entry VM, and the entry VM applies the reply. Returns the reply.
 pub fn exchange(hub: &mut Node, asker: &mut Node) -> Reply {
-    let wanted = asker.pass(millis(200));
+    let wanted = asker.advance(millis(200));
     let sent = wanted.into_iter().rev().find_map(|effect| match effect {
         Effect::Frame { frame, .. } => Some(frame),
         _ => None,
     });
     let sent = sent.expect("a frame");
-    hub.pass(millis(200));
-    hub.feed(Event::Framed(sent.clone()));
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &sent);
+    hub.advance(millis(200));
+    hub.feed(Event::FrameReceived(sent.clone()));
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &sent);
     asker.feed(Event::Replied(Some(Box::new(reply.clone()))));
     reply
 }
--- a/fleet/tests/one_lost.rs
+++ b/fleet/tests/one_lost.rs
@@ -12,7 +12,7 @@
 use boragecove_fleet::engine::{Entry, Row};
 use boragecove_fleet::settings::Settings;
 use node::{GATEWAY, entry, millis, plain, row};
-use world::losses::{Loss, Road};
+use world::losses::{Channel, Loss};
 use world::{Backends, World, ZONES};
 
 const ENGINES: usize = 9;
@@ -40,11 +40,11 @@
 /// A fleet in which all entry VMs know the engines and have sent their first frames.
 fn world(vms: usize, seed: u64) -> World {
     let rows: Vec<Row> = (0..ENGINES).map(|number| row(number as u64 + 1, gateway(number))).collect();
-    let settings = Settings { departure: bound(vms), config: bound(vms), ..Settings::default() };
+    let settings = Settings { departure_bound: bound(vms), config_bound: bound(vms), ..Settings::default() };
     let mut world = World::new(vms, node::config(1), &rows, settings, seed);
-    world.paced = true;
+    world.long_polls = true;
     world.backends = Some(Backends::new(&rows));
-    world.pass(bound(vms).0 * 3);
+    world.advance(bound(vms).0 * 3);
     world
 }
 
@@ -54,7 +54,7 @@
     while world.now < end {
         let vm = world.rng.usize(0..world.len());
         world.arrive(vm, &"".into(), 0.0, plain("/list/1"));
-        world.pass(EVERY);
+        world.advance(EVERY);
     }
 }
 
@@ -92,7 +92,7 @@
     }
     pass(world, (taken + bound.0).since(world.now));
     // For an entry VM that stalled only the requests that it sends count.
-    let wrong = |vm: &usize| Some(*vm) != still && world.believes_in(*vm, &engine);
+    let wrong = |vm: &usize| Some(*vm) != still && world.would_send_to(*vm, &engine);
     let wrong = (0..world.len()).filter(wrong).map(|vm| format!("vm {vm} would still send to {engine}"));
     let mut faults: Vec<String> = wrong.collect();
     pass(world, Duration::from_secs(2));
@@ -110,7 +110,7 @@
     let any = u.int_in_range(0..=world.len() - 1)?;
     let vm = if u.arbitrary()? { world.leader().unwrap_or(any) } else { any };
     if u.ratio(2, 3)? {
-        return Ok(Fault::Loss(Loss { road: *u.choose(&Road::ALL)?, vm }));
+        return Ok(Fault::Loss(Loss { channel: *u.choose(&Channel::ALL)?, vm }));
     }
     let before = Duration::from_millis(u.int_in_range(0..=400)?);
     let after = Duration::from_millis(u.int_in_range(0..=4_000)?);
@@ -130,8 +130,8 @@
 fn play(u: &mut Unstructured<'_>, sizes: &[usize], broken: Broken) -> arbitrary::Result<Vec<String>> {
     let vms = *u.choose(sizes)?;
     let mut world = world(vms, u.arbitrary()?);
-    world.patient = broken.patient;
-    world.credulous = broken.credulous;
+    world.long_poll_patience = broken.patient;
+    world.trusts_stale_state = broken.credulous;
     let mut faults = Vec::new();
     for _ in 0..u.int_in_range(1..=4)? {
         let (number, fault) = (u.int_in_range(0..=ENGINES - 1)?, fault(u, &world)?);
@@ -178,7 +178,7 @@
     for vms in [9, 65, 300, 984] {
         let mut world = world(vms, 7);
         for number in 0..6 {
-            let fault = Fault::Loss(Loss { road: Road::Push, vm: world.framed });
+            let fault = Fault::Loss(Loss { channel: Channel::Push, vm: world.last_frame_from });
             let late = leave(&mut world, number, fault, Duration::ZERO);
             assert!(late.is_empty(), "{vms} entry VMs, {fault:?}: {late:#?}");
         }
@@ -207,18 +207,18 @@
         let seconds = 10;
         let count = |world: &mut World| {
             let before = world.calls;
-            world.pass(Duration::from_secs(seconds));
+            world.advance(Duration::from_secs(seconds));
             (world.calls - before) as f64 / seconds as f64
         };
         let calm = count(&mut world);
         let leader = world.leader().expect("a leader");
-        world.serve(leader, false);
-        world.pass(Duration::from_secs(3));
+        world.set_store_access(leader, false);
+        world.advance(Duration::from_secs(3));
         let turned_away = count(&mut world);
         println!(
             "{vms} entry VMs: {calm:.1} calls per second, {turned_away:.1} if the store rejects the leader"
         );
-        assert!(calm <= 2.0 / bound(vms).wait().as_secs_f64(), "{vms} entry VMs: {calm}");
+        assert!(calm <= 2.0 / bound(vms).long_poll_timeout().as_secs_f64(), "{vms} entry VMs: {calm}");
         // Nine entry VMs read each of two tables for all, and the leader retries.
         assert!(turned_away <= 9.0 * 2.0 / 0.5 + 20.0, "{vms} entry VMs: {turned_away}");
     }
--- a/fleet/tests/part_storm.rs
+++ b/fleet/tests/part_storm.rs
@@ -144,7 +144,10 @@
             let settings = Settings { waves, read: millis(read), lasts, ..settings.clone() };
             scope.spawn(move || {
                 let outcome = play(settings);
-                assert_eq!(outcome.wronged, 0, "a wave every {gap} ms, reading for up to {read} ms: {outcome:?}");
+                assert_eq!(
+                    outcome.wronged, 0,
+                    "a wave every {gap} ms, reading for up to {read} ms: {outcome:?}"
+                );
             });
         }
     });
--- a/fleet/tests/planned_stop.rs
+++ b/fleet/tests/planned_stop.rs
@@ -8,7 +8,7 @@
 use boragecove_fleet::event::Event;
 use boragecove_fleet::lease::Call;
 use boragecove_fleet::request::End;
-use node::{Node, brief, millis, plain};
+use node::{Node, millis, plain, short_stream};
 
 fn exits(effects: &[Effect]) -> bool {
     effects.iter().any(|effect| matches!(effect, Effect::Exit))
@@ -33,10 +33,10 @@
     node.feed(Event::Stop);
     assert!(node.effects.iter().any(|effect| matches!(effect, Effect::Ready(false))));
     let (late, second) = node.sent(plain("/ack/2"));
-    assert!(!exits(&node.pass(millis(2_400))));
+    assert!(!exits(&node.advance(millis(2_400))));
     node.ended(late, second.number, End::Done);
-    node.pass(millis(200));
-    let refusal = node.refused(brief("m0"));
+    node.advance(millis(200));
+    let refusal = node.refused(short_stream("m0"));
     assert_eq!(refusal.code, Code::Stopping);
     assert_eq!(refusal.code.status(), 503);
     assert!(!exits(&node.effects), "a request is still in flight");
@@ -49,13 +49,13 @@
 #[test]
 fn calls_that_fit_are_served() {
     let mut node = Node::ready("a");
-    let (_long, _attempt) = node.sent(brief("m0"));
+    let (_long, _attempt) = node.sent(short_stream("m0"));
     node.feed(Event::Stop);
-    node.pass(millis(4_000));
+    node.advance(millis(4_000));
     let (call, attempt) = node.sent(plain("/ack/1"));
-    assert_eq!(node.refused(brief("m0")).code, Code::Stopping, "a stream may last longer");
+    assert_eq!(node.refused(short_stream("m0")).code, Code::Stopping, "a stream may last longer");
     node.ended(call, attempt.number, End::Done);
-    node.pass(millis(700));
+    node.advance(millis(700));
     assert_eq!(
         node.refused(plain("/ack/2")).code,
         Code::Stopping,
@@ -73,5 +73,5 @@
         .iter()
         .any(|effect| matches!(effect, Effect::Lease(Call::Write { row, .. }) if row.released));
     assert!(released);
-    assert!(node.state.lease().orders(node.now).is_none());
+    assert!(node.state.lease().ordering_term(node.now).is_none());
 }
--- a/fleet/tests/prompt_parts.rs
+++ b/fleet/tests/prompt_parts.rs
@@ -8,9 +8,9 @@
 use std::time::Duration;
 
 use boragecove_core::code::Code;
-use boragecove_fleet::crash::{Entry, Kept, News, Status, Suspect};
+use boragecove_fleet::crash::{Quarantine, Report, Status, Suspect, Verdict};
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::Frame;
 use boragecove_fleet::lease::{self, Outcome};
@@ -66,9 +66,9 @@
     }
 
     fn finish(&mut self, id: Id, attempt: &Attempt) -> Vec<Effect> {
-        let mut effects = self.node.pass(millis(30));
+        let mut effects = self.node.advance(millis(30));
         effects.extend(self.node.feed(began(id)).to_vec());
-        effects.extend(self.node.pass(millis(350)));
+        effects.extend(self.node.advance(millis(350)));
         effects.extend(self.node.feed(began(id)).to_vec());
         self.node.ended(id, attempt.number, End::Done);
         effects.extend(self.node.effects.clone());
@@ -83,12 +83,12 @@
     }
 
     fn lose(&mut self, id: Id, attempt: &Attempt) -> Vec<Effect> {
-        self.node.pass(millis(50));
+        self.node.advance(millis(50));
         self.node.ended(id, attempt.number, End::Lost);
         let mut effects = self.node.effects.clone();
-        self.node.feed(Event::Probed { engine: attempt.engine.clone(), reach: Reach::Closed });
+        self.node.feed(Event::Probed { engine: attempt.engine.clone(), reach: Port::Closed });
         effects.extend(self.node.effects.clone());
-        self.node.pass(millis(10));
+        self.node.advance(millis(10));
         effects
     }
 
@@ -97,7 +97,7 @@
         let mut effects = Vec::new();
         for _ in 0..3 {
             effects.extend(self.answer("m0", &["other"]));
-            effects.extend(self.node.pass(JUDGED / 3));
+            effects.extend(self.node.advance(JUDGED / 3));
         }
         effects
     }
@@ -165,7 +165,7 @@
     for _ in 0..3 {
         scene.crash("m0", &["f", BAD]);
         scene.answer("m0", &["f"]);
-        scene.node.pass(Duration::from_mins(3));
+        scene.node.advance(Duration::from_mins(3));
     }
     scene.others();
     assert!(scene.is_refused("m0", &["g", BAD]));
@@ -189,7 +189,7 @@
     for _ in 0..3 {
         let arrival = scene.request("m0", &["f", BAD]);
         let (id, attempt) = scene.sent(arrival);
-        scene.node.pass(millis(30));
+        scene.node.advance(millis(30));
         scene.node.feed(began(id));
         scene.lose(id, &attempt);
     }
@@ -206,7 +206,7 @@
         let arrival = scene.request("m0", &["c"]);
         let (id, attempt) = scene.sent(arrival);
         scene.node.feed(began(id));
-        scene.node.pass(millis(400));
+        scene.node.advance(millis(400));
         scene.lose(id, &attempt);
     }
     scene.others();
@@ -220,7 +220,7 @@
     for _ in 0..4 {
         scene.crash("m0", &["f", BAD]);
     }
-    scene.node.pass(Duration::from_secs(5));
+    scene.node.advance(Duration::from_secs(5));
     assert!(!scene.is_refused("m0", &["f", BAD]));
     scene.answer("m0", &["f"]);
     scene.others();
@@ -269,7 +269,7 @@
     let answered = scene.request("m0", &["g", BAD]);
     let (answered, _) = scene.sent(answered);
     scene.node.feed(began(answered));
-    scene.node.pass(millis(100));
+    scene.node.advance(millis(100));
     for _ in 0..3 {
         scene.crash("m0", &["f", BAD]);
     }
@@ -303,12 +303,12 @@
     let suspect = |at: u64| Suspect {
         request: Fingerprint::default(),
         engine: Some(format!("gone-{at}").into()),
-        sent: millis(100 + at * 1_000),
-        broke: millis(50 + at * 1_000),
+        sent_ago: millis(100 + at * 1_000),
+        broken_ago: millis(50 + at * 1_000),
         parts: Arc::new([Fingerprint::of_part("c")]),
-        begun: false,
+        answer_begun: false,
     };
-    let crashes = News { suspects: (0..3).rev().map(suspect).collect(), entries: Vec::new() };
+    let crashes = Report { suspects: (0..3).rev().map(suspect).collect(), verdicts: Vec::new() };
     scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
     // An answer that has just begun, and continues later.
     scene.node.feed(began(id));
@@ -323,13 +323,13 @@
 fn older_answer_lifts_nothing() {
     let mut scene = Scene::new();
     scene.answer("m0", &["f", BAD]);
-    let entries = vec![Entry {
+    let entries = vec![Verdict {
         request: Fingerprint::of_part(BAD),
         status: Status::Cleared { left: Duration::from_mins(9) },
     }];
     scene.convict();
     assert!(scene.is_refused("m0", &["f", BAD]));
-    let crashes = News { suspects: Vec::new(), entries };
+    let crashes = Report { suspects: Vec::new(), verdicts: entries };
     scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
     assert!(scene.is_refused("m0", &["f", BAD]));
 }
@@ -339,13 +339,13 @@
 fn one_crash_after_the_quarantine() {
     let mut scene = Scene::new();
     scene.convict();
-    scene.node.pass(Duration::from_mins(10));
+    scene.node.advance(Duration::from_mins(10));
     scene.answer("m0", &["f"]);
     assert!(!scene.is_refused("m0", &["f", BAD]));
     scene.crash("m0", &["f", BAD]);
     scene.others();
     assert!(scene.is_refused("m0", &["f", BAD]));
-    scene.node.pass(Duration::from_mins(50));
+    scene.node.advance(Duration::from_mins(50));
     assert!(scene.is_refused("m0", &["f", BAD]), "for longer than the first time");
 }
 
@@ -357,22 +357,22 @@
     scene.node.lead();
     let effects = scene.convict();
     let frame = Frame { vm: "b".into(), ..Frame::default() };
-    let reply = boragecove_fleet::reply(&mut scene.node.state, scene.node.now, &frame);
+    let reply = boragecove_fleet::reply_to_frame(&mut scene.node.state, scene.node.now, &frame);
     let part = Fingerprint::of_part(BAD);
-    let quarantined = |entry: &Entry| matches!(entry.status, Status::Quarantined { .. });
-    assert!(reply.crashing.iter().any(|entry| entry.request == part && quarantined(entry)));
+    let quarantined = |entry: &Verdict| matches!(entry.status, Status::Quarantined { .. });
+    assert!(reply.crash_entries.iter().any(|entry| entry.request == part && quarantined(entry)));
     // The holder had written its row before the quarantine.
     scene.node.lease(3_000, Outcome::Written(101));
-    let effects = [effects, scene.node.pass(Duration::from_secs(2))].concat();
+    let effects = [effects, scene.node.advance(Duration::from_secs(2))].concat();
     let row = effects.iter().rev().find_map(|effect| match effect {
         Effect::Lease(lease::Call::Write { row, .. }) => Some(row.clone()),
         _ => None,
     });
     let row = row.expect("the lease is renewed");
-    assert!(row.quarantine.iter().any(|kept: &Kept| kept.request == part));
+    assert!(row.quarantine.iter().any(|kept: &Quarantine| kept.request == part));
     let mut other = Node::bare("c");
-    other.pass(millis(10));
-    other.lease(3_000, Outcome::Read(Some(lease::Seen { version: 9.into(), row })));
+    other.advance(millis(10));
+    other.lease(3_000, Outcome::Read(Some(lease::Versioned { version: 9.into(), row })));
     other.feed(Event::Configured(Arc::new(config(1))));
     other.feed(listing(vec![row_of("w1")], 4, true));
     let arrival = scene.request("m0", &["g", BAD]);
@@ -390,15 +390,15 @@
     let suspect = |number: u64| Suspect {
         request: Fingerprint::of(HOST, "/", &number.to_le_bytes()),
         engine: Some("gone".into()),
-        sent: millis(100),
-        broke: millis(50),
+        sent_ago: millis(100),
+        broken_ago: millis(50),
         parts: Arc::new([Fingerprint::of_part("c")]),
-        begun: false,
+        answer_begun: false,
     };
     for number in 0..5 {
-        let crashes = News { suspects: vec![suspect(number)], entries: Vec::new() };
+        let crashes = Report { suspects: vec![suspect(number)], verdicts: Vec::new() };
         scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
-        scene.node.pass(millis(500));
+        scene.node.advance(millis(500));
     }
     scene.others();
     assert!(!scene.is_refused("m0", &["c"]));
@@ -413,16 +413,16 @@
         let suspect = Suspect {
             request: Fingerprint::of(HOST, "/", &at.to_le_bytes()),
             engine: Some(format!("gone-{at}").into()),
-            sent: millis(100),
-            broke: millis(50),
+            sent_ago: millis(100),
+            broken_ago: millis(50),
             parts: Arc::new([Fingerprint::of_part(&format!("p{at}"))]),
-            begun: false,
+            answer_begun: false,
         };
-        let crashes = News { suspects: vec![suspect], entries: Vec::new() };
+        let crashes = Report { suspects: vec![suspect], verdicts: Vec::new() };
         scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
     }
     assert!(scene.is_refused("m0", &["f", BAD]));
-    assert!(scene.node.state.crashes().parts_known() <= 4_096);
+    assert!(scene.node.state.crashes().tracked_parts() <= 4_096);
 }
 
 /// An entry VM that observes a successful answer with a part that others suspect informs them once.
@@ -436,19 +436,19 @@
         address: node::address(7_002).into(),
         ..Frame::default()
     };
-    scene.node.feed(Event::Framed(Box::new(frame)));
+    scene.node.feed(Event::FrameReceived(Box::new(frame)));
     scene.crash("m0", &["c"]);
     scene.crash("m0", &["c"]);
     scene.answer("m0", &["c"]);
-    let effects = scene.node.pass(Duration::from_secs(1));
+    let effects = scene.node.advance(Duration::from_secs(1));
     let cleared = |message: &Message| {
-        let sound = |entry: &&Entry| matches!(entry.status, Status::Cleared { .. });
-        message.crashes.entries.iter().filter(sound).count()
+        let sound = |entry: &&Verdict| matches!(entry.status, Status::Cleared { .. });
+        message.crashes.verdicts.iter().filter(sound).count()
     };
     let told: usize = pushed(&effects).iter().map(cleared).sum();
     assert_eq!(told, 2, "the part, and its combination with the model");
     scene.answer("m0", &["c"]);
-    let effects = scene.node.pass(Duration::from_secs(1));
+    let effects = scene.node.advance(Duration::from_secs(1));
     assert_eq!(pushed(&effects).iter().map(cleared).sum::<usize>(), 0);
 }
 
@@ -476,9 +476,9 @@
     }
     let wakes =
         |effects: &[Effect]| effects.iter().filter(|effect| matches!(effect, Effect::WakeAt(_))).count();
-    let accused = wakes(&scene.node.pass(Duration::from_secs(2)));
-    scene.node.pass(Duration::from_mins(11));
-    let forgotten = wakes(&scene.node.pass(Duration::from_secs(2)));
+    let accused = wakes(&scene.node.advance(Duration::from_secs(2)));
+    scene.node.advance(Duration::from_mins(11));
+    let forgotten = wakes(&scene.node.advance(Duration::from_secs(2)));
     // One wake-up each 50 ms, and two for each suspected engine.
     assert!(
         accused <= forgotten + 40 + 2 * 8,
@@ -493,10 +493,10 @@
     let suspect = |parts: usize| Suspect {
         request: Fingerprint::of(HOST, "/", b"x"),
         engine: Some("i-173f3c536b".into()),
-        sent: millis(100),
-        broke: millis(50),
+        sent_ago: millis(100),
+        broken_ago: millis(50),
         parts: (0..2 * parts).map(|at| Fingerprint::of_part(&at.to_string())).collect(),
-        begun: false,
+        answer_begun: false,
     };
     let bytes = |parts| rmp_serde::to_vec(&suspect(parts)).expect("encodes").len();
     println!("{} {} {}", bytes(0), bytes(2), bytes(16));
@@ -509,5 +509,5 @@
     let older = (Fingerprint::of(HOST, "/", b"x"), Some("i-1"), millis(100), millis(50));
     let bytes = rmp_serde::to_vec(&older).expect("encodes");
     let suspect: Suspect = rmp_serde::from_slice(&bytes).expect("decodes");
-    assert_eq!((suspect.parts.len(), suspect.begun), (0, false));
+    assert_eq!((suspect.parts.len(), suspect.answer_begun), (0, false));
 }
--- a/fleet/tests/prompt_spacing.rs
+++ b/fleet/tests/prompt_spacing.rs
@@ -13,8 +13,8 @@
 use boragecove_fleet::lease::Outcome;
 use boragecove_fleet::members::Member;
 use boragecove_fleet::request::{Attempt, Id, Step};
-use boragecove_fleet::schedule::{Ask, Grant, Need, Schedule};
-use node::{Node, WRITER, address, brief, entry, hub_row, listing, millis, removed, row};
+use boragecove_fleet::schedule::{Cost, Grant, ReservationRequest, Schedule};
+use node::{Node, WRITER, address, entry, hub_row, listing, millis, removed, row, short_stream};
 
 /// A load of prompts at the engines of a popular model.
 #[derive(Clone, Copy)]
@@ -31,9 +31,9 @@
 }
 
 impl Load {
-    fn need(self) -> Need {
+    fn need(self) -> Cost {
         let route = Route { pause: self.window, target: millis(500), ..Route::default() };
-        Need::new(self.read, self.event, &route)
+        Cost::new(self.read, self.event, &route)
     }
 }
 
@@ -77,7 +77,7 @@
         } else {
             rng.usize(0..load.engines)
         };
-        let wait = if spaced { schedules[engine].take(now, load.need()) } else { Duration::ZERO };
+        let wait = if spaced { schedules[engine].reserve(now, load.need()) } else { Duration::ZERO };
         at_engines[engine].push(now + wait);
         waited += wait;
         count += 1;
@@ -116,10 +116,10 @@
     let now = Time::from_millis(1_000_000);
     let mut schedule = Schedule::default();
     for _ in 0..40 {
-        schedule.take(now, SLOW.need());
+        schedule.reserve(now, SLOW.need());
     }
     let before = schedule.wait(now);
-    schedule.take(now, SLOW.need());
+    schedule.reserve(now, SLOW.need());
     assert_eq!(schedule.wait(now).saturating_sub(before), SLOW.read);
 }
 
@@ -131,16 +131,22 @@
 /// A process that has got these members from the hub.
 fn among(members: Vec<Member>) -> Node {
     let mut node = Node::ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
-    let reply = Reply { leads: true, nodes: 3, listed: 4.into(), members: Some(members), ..Reply::default() };
+    let reply = Reply {
+        leads: true,
+        nodes: 3,
+        engines_revision: 4.into(),
+        members: Some(members),
+        ..Reply::default()
+    };
     node.feed(Event::Replied(Some(Box::new(reply))));
     node
 }
 
-fn asked(node: &Node) -> Option<(u16, Id, Ask)> {
+fn asked(node: &Node) -> Option<(u16, Id, ReservationRequest)> {
     node.effects.iter().find_map(|effect| match effect {
-        Effect::Ask { address, request, ask } => Some((address.port(), *request, ask.clone())),
+        Effect::Reserve { address, request, ask } => Some((address.port(), *request, ask.clone())),
         _ => None,
     })
 }
@@ -155,7 +161,7 @@
 #[test]
 fn owner_is_asked() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
-    let id = node.arrive(brief("m1"));
+    let id = node.arrive(short_stream("m1"));
     assert_eq!(node.step(id), None, "it has no reservation yet");
     let (port, request, ask) = asked(&node).expect("w1 is in zone-a, where b is the only one");
     assert_eq!((port, request, &*ask.engine), (7_002, id, "w1"));
@@ -167,17 +173,17 @@
 #[test]
 fn silent_owner_stops_nothing() {
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
-    let id = node.arrive(brief("m1"));
+    let id = node.arrive(short_stream("m1"));
     node.feed(Event::Granted { request: id, grant: None });
     assert_eq!(sent(&node, id).at, node.now, "the local schedule is empty");
-    let next = node.arrive(brief("m1"));
+    let next = node.arrive(short_stream("m1"));
     assert!(sent(&node, next).at > node.now, "the local schedule is used");
-    node.pass(millis(450));
-    node.feed(Event::Heard("w1".into()));
-    node.pass(millis(450));
-    node.feed(Event::Heard("w1".into()));
-    node.pass(millis(200));
-    node.arrive(brief("m1"));
+    node.advance(millis(450));
+    node.feed(Event::EngineActive("w1".into()));
+    node.advance(millis(450));
+    node.feed(Event::EngineActive("w1".into()));
+    node.advance(millis(200));
+    node.arrive(short_stream("m1"));
     assert!(asked(&node).is_some(), "after a while the owner is asked again");
 }
 
@@ -185,7 +191,7 @@
 #[test]
 fn full_schedule_is_left() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
-    let id = node.arrive(brief("m0"));
+    let id = node.arrive(short_stream("m0"));
     assert_eq!(asked(&node).expect("asks").0, 7_002);
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(millis(400))) });
     let (port, _, ask) = asked(&node).expect("asks for the next engine");
@@ -198,7 +204,7 @@
 #[test]
 fn no_place_in_time() {
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
-    let id = node.arrive(brief("m1"));
+    let id = node.arrive(short_stream("m1"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(Duration::from_secs(5))) });
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(Duration::from_secs(5))) });
     let Some(Step::Refuse(refusal)) = node.step(id) else { panic!("not refused: {:?}", node.effects) };
@@ -211,7 +217,7 @@
 #[test]
 fn places_are_near() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
-    let id = node.arrive(brief("m0"));
+    let id = node.arrive(short_stream("m0"));
     assert!(asked(&node).expect("asks").2.wait_max <= Duration::from_secs(1));
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(Duration::from_secs(3))) });
     assert!(asked(&node).expect("asks for the next engine").2.wait_max <= Duration::from_secs(1));
@@ -221,7 +227,7 @@
 #[test]
 fn place_at_a_lost_engine() {
     let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
-    let id = node.arrive(brief("m0"));
+    let id = node.arrive(short_stream("m0"));
     assert_eq!(&*asked(&node).expect("asks").2.engine, "w1");
     node.feed(listing(vec![removed(9, "w1")], 9, false));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
@@ -232,8 +238,8 @@
 #[test]
 fn caller_leaves_while_asking() {
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
-    let id = node.arrive(brief("m1"));
-    node.feed(Event::Gone(id));
+    let id = node.arrive(short_stream("m1"));
+    node.feed(Event::CallerGone(id));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
     assert_eq!(node.step(id), None);
     assert_eq!(node.state.open(), 0);
@@ -243,14 +249,19 @@
 #[test]
 fn places_are_given() {
     let mut owner = Node::ready("a");
-    let need = Need { work: millis(35), space: millis(50), target: millis(500) };
-    let ask = Ask { engine: "w1".into(), need, wait_max: millis(60), ..Ask::default() };
+    let need = Cost { prefill: millis(35), spacing: millis(50), target: millis(500) };
+    let ask = ReservationRequest {
+        engine: "w1".into(),
+        cost: need,
+        wait_max: millis(60),
+        ..ReservationRequest::default()
+    };
     let mut grant = || boragecove_fleet::grant(&mut owner.state, owner.now, &ask);
     assert_eq!(grant(), Grant::After(Duration::ZERO));
     assert_eq!(grant(), Grant::After(millis(50)));
     assert_eq!(grant(), Grant::Busy(millis(100)), "the wait would be too long");
     assert_eq!(grant(), Grant::Busy(millis(100)), "the denied request has reserved nothing");
-    let unknown = Ask { engine: "new".into(), ..ask.clone() };
+    let unknown = ReservationRequest { engine: "new".into(), ..ask.clone() };
     assert_eq!(boragecove_fleet::grant(&mut owner.state, owner.now, &unknown), Grant::After(Duration::ZERO));
 }
 
@@ -282,7 +293,7 @@
 fn new_engine_is_used() {
     let mut node = among(vec![member("b", "zone-a", 7_002)]);
     node.feed(listing(vec![row(9, entry("w9", WRITER, "zone-a", &["m3"]))], 9, false));
-    let id = node.arrive(brief("m3"));
+    let id = node.arrive(short_stream("m3"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
     assert_eq!(*sent(&node, id).engine, *"w9");
 }
--- a/fleet/tests/reading_speed.rs
+++ b/fleet/tests/reading_speed.rs
@@ -31,9 +31,9 @@
         let model = Name::from("m0");
         for _ in 0..80 {
             let tokens = rng.u32(300..4_000);
-            speed.learn(&SERVICE.into(), &model, tokens, first_event(&mut rng, tokens, per_ms));
+            speed.learn_prefill(&SERVICE.into(), &model, tokens, first_event(&mut rng, tokens, per_ms));
         }
-        let found = speed.work(SERVICE, "m0", 2_000).as_secs_f64() * 1_000.0;
+        let found = speed.prefill_time(SERVICE, "m0", 2_000).as_secs_f64() * 1_000.0;
         let truth = 2_000.0 / per_ms;
         assert!(
             (found / truth - 1.0).abs() < 0.25,
@@ -47,9 +47,9 @@
 fn new_models_are_like_others() {
     let mut speed = Speed::default();
     for _ in 0..40 {
-        speed.learn(&SERVICE.into(), &"m0".into(), 1_000, millis(18));
+        speed.learn_prefill(&SERVICE.into(), &"m0".into(), 1_000, millis(18));
     }
-    let (known, other) = (speed.work(SERVICE, "m0", 1_000), speed.work(SERVICE, "m1", 1_000));
+    let (known, other) = (speed.prefill_time(SERVICE, "m0", 1_000), speed.prefill_time(SERVICE, "m1", 1_000));
     assert!(other < known * 2, "{other:?} and {known:?}");
 }
 
@@ -58,12 +58,12 @@
 fn bursts_are_not_believed() {
     let mut speed = Speed::default();
     for _ in 0..40 {
-        speed.learn(&SERVICE.into(), &"m0".into(), 1_000, millis(48));
+        speed.learn_prefill(&SERVICE.into(), &"m0".into(), 1_000, millis(48));
     }
-    let before = speed.work(SERVICE, "m0", 1_000);
+    let before = speed.prefill_time(SERVICE, "m0", 1_000);
     for _ in 0..20 {
-        speed.learn(&SERVICE.into(), &"m0".into(), 1_000, millis(900));
+        speed.learn_prefill(&SERVICE.into(), &"m0".into(), 1_000, millis(900));
     }
-    let after = speed.work(SERVICE, "m0", 1_000);
+    let after = speed.prefill_time(SERVICE, "m0", 1_000);
     assert!(after < before.mul_f64(1.5), "{after:?} after {before:?}");
 }
--- a/fleet/tests/repeat_budget.rs
+++ b/fleet/tests/repeat_budget.rs
@@ -39,9 +39,9 @@
     };
     let rows: Vec<Row> = (0..ENGINES).map(|number| row(number as u64 + 1, wide(number))).collect();
     let mut world = World::new(vms, node::config(1), &rows, settings, seed);
-    world.paced = true;
+    world.long_polls = true;
     world.backends = Some(Backends::new(&rows));
-    world.pass(Duration::from_secs(if vms > 100 { 8 } else { 3 }));
+    world.advance(Duration::from_secs(if vms > 100 { 8 } else { 3 }));
     world.shed(SHED);
     world
 }
@@ -100,20 +100,20 @@
     let steps = |world: &mut World, every: Duration, step: &mut dyn FnMut(&mut World, u32)| {
         let mut number = 0;
         while every * number < length * 5 / 2 {
-            world.ask(every, per_s);
+            world.generate_load(every, per_s);
             step(world, number);
             number += 1;
         }
     };
-    world.ask(length / 2, per_s);
+    world.generate_load(length / 2, per_s);
     match trouble {
-        Trouble::Calm => world.ask(length, per_s),
+        Trouble::Calm => world.generate_load(length, per_s),
         Trouble::Killed(part, every) => steps(world, millis(every), &mut |world, _| kill(world, part)),
         Trouble::InTurn => {
             let every = length.div_f64(world.len() as f64).max(millis(5));
             for _ in 0..2 {
                 for at in 0..world.len() {
-                    world.ask(every, per_s);
+                    world.generate_load(every, per_s);
                     world.restart(at);
                 }
             }
@@ -129,9 +129,9 @@
         }),
         Trouble::CutThenRestarted => {
             (0..ZONES.len()).for_each(|zone| world.cut(zone, true));
-            world.ask(SECOND * 4, per_s);
+            world.generate_load(SECOND * 4, per_s);
             kill(world, 1.0);
-            world.ask(SECOND * 4, per_s);
+            world.generate_load(SECOND * 4, per_s);
             (0..ZONES.len()).for_each(|zone| world.cut(zone, false));
             kill(world, 1.0);
         }
@@ -141,15 +141,15 @@
             }
         }),
         Trouble::StoreAway => {
-            (0..world.len()).for_each(|at| world.serve(at, false));
+            (0..world.len()).for_each(|at| world.set_store_access(at, false));
             steps(world, SECOND * 3, &mut |world, _| kill(world, 1.0));
-            (0..world.len()).for_each(|at| world.serve(at, true));
+            (0..world.len()).for_each(|at| world.set_store_access(at, true));
         }
         Trouble::Replaced => {
             let before = world.len();
             let every = length.div_f64(before as f64).max(millis(5));
             for at in 0..before {
-                world.ask(every, per_s);
+                world.generate_load(every, per_s);
                 world.add();
                 if at % 2 == 0 {
                     world.kill(at);
@@ -158,7 +158,7 @@
         }
     }
     world.heal();
-    world.ask(length, per_s);
+    world.generate_load(length, per_s);
 }
 
 /// Plays a fault and returns the worst window.
@@ -203,12 +203,12 @@
 /// earned retries.
 fn worst_of_leaders(forgetful: bool) -> Window {
     let mut world = world(9, 3);
-    world.forgetful = forgetful;
+    world.forgets_shares = forgetful;
     world.shed(0.0);
-    world.ask(settings().repeat_window, 40.0);
+    world.generate_load(settings().repeat_window, 40.0);
     world.shed(SHED);
     for _ in 0..8 {
-        world.ask(SECOND * 2, 40.0);
+        world.generate_load(SECOND * 2, 40.0);
         if let Some(leader) = world.leader() {
             world.restart(leader);
         }
@@ -231,7 +231,7 @@
 fn ratio_is_needed() {
     let loose = Settings { repeat_ratio: 0.4, repeat_slack: 116.0, ..settings() };
     let mut world = world_with(9, 3, loose);
-    world.ask(settled(&settings()), 100.0);
+    world.generate_load(settled(&settings()), 100.0);
     let worst = world.repeats().worst(&settings());
     assert!(worst.part() > 1.0, "twice the allowed ratio was not detected: {worst:?}");
 }
@@ -240,7 +240,7 @@
 fn used(vms: usize, per_s: f64) -> f64 {
     let mut world = world(vms, 5);
     world.shed(SHED_CALM);
-    world.ask(settled(&settings()) * 2, per_s);
+    world.generate_load(settled(&settings()) * 2, per_s);
     let used = world.repeats().used(world.now, &settings());
     println!("{vms} entry VMs, {per_s} requests/s: {used:.2} of the allowed retries are used");
     used
@@ -262,7 +262,7 @@
     let mut world = world(vms, u.arbitrary()?);
     let per_s = *u.choose(&[30.0, 100.0, 300.0])?;
     let mut steps = vec![format!("{vms} entry VMs, {per_s} requests/s")];
-    world.ask(millis(u.int_in_range(0..=10_000)?), per_s);
+    world.generate_load(millis(u.int_in_range(0..=10_000)?), per_s);
     for _ in 0..u.int_in_range(1..=24)? {
         let (kind, at) = (u.int_in_range(0..=13)?, u.int_in_range(0..=world.len() - 1)?);
         steps.push(format!("{:?}: {kind}, vm {at}", world.now));
@@ -274,10 +274,10 @@
             kind => world.disturb(kind, at),
         }
         let per_s = per_s * f64::from(u.int_in_range(1..=4)?) / 4.0;
-        world.ask(millis(u.int_in_range(0..=3_000)?), per_s);
+        world.generate_load(millis(u.int_in_range(0..=3_000)?), per_s);
     }
     world.heal();
-    world.ask(settled(&settings()), per_s);
+    world.generate_load(settled(&settings()), per_s);
     Ok((steps, world.repeats().worst(&settings())))
 }
 
--- a/fleet/tests/request_attempts.rs
+++ b/fleet/tests/request_attempts.rs
@@ -3,12 +3,12 @@
 mod node;
 
 use boragecove_core::code::Code;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::lease;
 use boragecove_fleet::request::{Attempt, Cause, End, Id, Refusal, Step};
 use boragecove_fleet::settings::Settings;
-use node::{Node, began, brief, millis, plain, step_of, streamed};
+use node::{Node, began, millis, plain, short_stream, step_of, streamed};
 
 fn again(step: Option<Step>) -> Attempt {
     match step {
@@ -40,7 +40,7 @@
     let (id, first) = node.sent(plain("/ack/1"));
     let second = again(node.ended(id, first.number, End::Refused(Cause::Busy)));
     assert_ne!(second.engine, first.engine);
-    assert_eq!(node.ended(id, second.number, End::Done), Some(Step::Pass));
+    assert_eq!(node.ended(id, second.number, End::Done), Some(Step::Forward));
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let after = node.ended(id, second.number, End::Refused(Cause::Busy));
     // No third engine is left, so the request waits briefly for one.
     assert_eq!(after, None);
-    let effects = node.pass(millis(600));
+    let effects = node.advance(millis(600));
     let refusal = refusal(step_of(&effects, id));
     assert_eq!(refusal.code.status(), 503);
     assert!(refusal.retry_after.is_some());
@@ -67,7 +67,7 @@
         None,
         "the request waits for a third engine"
     );
-    let effects = node.pass(millis(600));
+    let effects = node.advance(millis(600));
     let refusal = refusal(step_of(&effects, id));
     assert_eq!(refusal.code.status(), 502, "the first attempt may have run");
 }
@@ -80,7 +80,7 @@
     assert_ne!(second.engine, first.engine);
     assert_eq!(
         node.ended(id, second.number, End::Failed),
-        Some(Step::Pass),
+        Some(Step::Forward),
         "the engine's own failure is forwarded"
     );
 }
@@ -97,7 +97,7 @@
 #[test]
 fn stream_is_not_resumed() {
     let mut node = Node::ready("a");
-    let (id, first) = node.sent(brief("m0"));
+    let (id, first) = node.sent(short_stream("m0"));
     node.feed(began(id));
     let refusal = refusal(node.ended(id, first.number, End::Broken));
     assert_eq!(refusal.code, Code::BackendFailed);
@@ -115,7 +115,7 @@
 fn deadline_says_what_is_known() {
     let mut node = Node::ready("a");
     let (id, _) = node.sent(plain("/ack/1"));
-    let effects = node.pass(millis(3_050));
+    let effects = node.advance(millis(3_050));
     assert_eq!(refusal(step_of(&effects, id)).code, Code::DeadlinePassed);
     assert_eq!(node.state.open(), 0);
 }
@@ -124,7 +124,7 @@
 fn hanging_idempotent_moves_on() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
-    let effects = node.pass(millis(1_300));
+    let effects = node.advance(millis(1_300));
     let second = again(step_of(&effects, id));
     assert_ne!(second.engine, first.engine);
 }
@@ -136,11 +136,11 @@
     let (id, first) = node.sent(streamed("/digest/1", "m0", None));
     node.feed(began(id));
     for _ in 0..8 {
-        let effects = node.pass(millis(500));
+        let effects = node.advance(millis(500));
         assert_eq!(step_of(&effects, id), None);
-        node.feed(Event::Probed { engine: first.engine.clone(), reach: Reach::Open });
+        node.feed(Event::Probed { engine: first.engine.clone(), reach: Port::Open });
     }
-    assert_eq!(node.ended(id, first.number, End::Done), Some(Step::Pass));
+    assert_eq!(node.ended(id, first.number, End::Done), Some(Step::Forward));
 }
 
 #[test]
@@ -148,21 +148,24 @@
     let mut node = Node::ready("a");
     let (id, first) = node.sent(streamed("/digest/1", "m0", None));
     node.feed(began(id));
-    node.pass(millis(600));
-    node.feed(Event::Probed { engine: first.engine.clone(), reach: Reach::Silent });
-    let second = again(step_of(&node.pass(millis(600)), id));
+    node.advance(millis(600));
+    node.feed(Event::Probed { engine: first.engine.clone(), reach: Port::Silent });
+    let second = again(step_of(&node.advance(millis(600)), id));
     assert_ne!(second.engine, first.engine);
 }
 
 #[test]
 fn gone_frees_the_engine() {
     let mut node = Node::ready("a");
-    let (id, attempt) = node.sent(brief("m0"));
+    let (id, attempt) = node.sent(short_stream("m0"));
     let open = |node: &Node| {
-        node.state.engines().find(|engine| engine.entry.id == attempt.engine).map(|engine| engine.own.open)
+        node.state
+            .engines()
+            .find(|engine| engine.entry.id == attempt.engine)
+            .map(|engine| engine.own_load.open)
     };
     assert_eq!(open(&node), Some(1));
-    node.feed(Event::Gone(id));
+    node.feed(Event::CallerGone(id));
     assert_eq!(open(&node), Some(0));
     assert_eq!(node.state.open(), 0);
 }
@@ -184,9 +187,9 @@
         let (id, first): (Id, Attempt) = node.sent(plain("/list/1"));
         if let Some(Step::Send(_)) = node.ended(id, first.number, End::Failed) {
             repeats += 1;
-            node.feed(Event::Gone(id));
+            node.feed(Event::CallerGone(id));
         }
-        let wanted = node.pass(millis(20));
+        let wanted = node.advance(millis(20));
         if !node::lease_calls(&wanted).is_empty() {
             node.lease(u64::from(number) * 20 + 20, lease::Outcome::Written(u64::from(number) + 101));
         }
@@ -217,9 +220,9 @@
         let (id, first): (Id, Attempt) = node.sent(plain("/list/1"));
         if let Some(Step::Send(_)) = node.ended(id, first.number, End::Failed) {
             repeats += 1;
-            node.feed(Event::Gone(id));
+            node.feed(Event::CallerGone(id));
         }
-        node.pass(millis(20));
+        node.advance(millis(20));
     }
     // The process has earned 0.35 of a fifth of 200, and has a part of one at the beginning.
     assert!((14..=15).contains(&repeats), "{repeats} repeats of 200 requests");
@@ -234,9 +237,9 @@
     assert_eq!(first.send_by, None, "the first attempt is not a repeat");
     let second = again(node.ended(id, first.number, End::Failed));
     assert_eq!(second.send_by, Some(node.now + millis(500)));
-    node.pass(millis(400));
-    node.feed(Event::Heard(second.engine.clone()));
-    node.pass(millis(300));
+    node.advance(millis(400));
+    node.feed(Event::EngineActive(second.engine.clone()));
+    node.advance(millis(300));
     // It was not sent in time, and its permit has expired: it needs another one.
     let third = again(node.ended(id, second.number, End::Withheld));
     assert_eq!(third.send_by, Some(node.now + millis(500)));
@@ -252,7 +255,7 @@
     let (one, first) = node.sent(plain("/list/1"));
     let second = again(node.ended(one, first.number, End::Failed));
     node.ended(one, second.number, End::Withheld);
-    node.feed(Event::Gone(one));
+    node.feed(Event::CallerGone(one));
     let allowed = node.state.repeats().get("own").copied();
     let (two, third) = node.sent(plain("/list/2"));
     let fourth = again(node.ended(two, third.number, End::Failed));
--- a/fleet/tests/request_homes.rs
+++ b/fleet/tests/request_homes.rs
@@ -11,10 +11,10 @@
 use boragecove_core::name::Name;
 use boragecove_fleet::config::{Config, Route};
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::{Entry, Reach};
+use boragecove_fleet::engine::{Entry, Port};
 use boragecove_fleet::event::Event;
-use boragecove_fleet::homes::Homes;
-use boragecove_fleet::request::{Cause, End, Events, Id, Step};
+use boragecove_fleet::regions::Regions;
+use boragecove_fleet::request::{Cause, End, Id, Step, Timing};
 use boragecove_fleet::schedule::Grant;
 use boragecove_fleet::settings::Settings;
 use node::{GATEWAY, Node, WRITER, config, entry, listing, millis, plain, removed, row};
@@ -26,8 +26,8 @@
     Settings { regions: BTreeMap::from(regions), ..Settings::default() }
 }
 
-fn homes(regions: &[&str]) -> Homes {
-    Homes::of(regions.iter().copied().map(Name::from))
+fn homes(regions: &[&str]) -> Regions {
+    Regions::new(regions.iter().copied().map(Name::from))
 }
 
 /// A configuration in which one route allows only some regions.
@@ -35,7 +35,7 @@
     let mut config = config(version);
     let of = |known: &&mut Arc<Route>| *known.name == *route;
     let route = config.routes.iter_mut().find(of).expect("a route");
-    Arc::make_mut(route).homes = homes(regions);
+    Arc::make_mut(route).allowed_regions = homes(regions);
     config
 }
 
@@ -45,7 +45,7 @@
 
 /// An entry VM with engines of both services in two regions.
 fn ready(config: Config) -> Node {
-    let mut node = Node::with("a", settings());
+    let mut node = Node::with_settings("a", settings());
     node.feed(Event::Configured(Arc::new(config)));
     let rows = vec![
         row(1, writer("w1", "zone-a")),
@@ -85,10 +85,10 @@
     let (north, south) = (homes(&["north"]), homes(&["south"]));
     let region = Name::from("north");
     assert!(north.permit(Some(&region)).is_some());
-    assert!(north.and(&south).permit(Some(&region)).is_none());
-    assert!(north.and(&Homes::default()).permit(Some(&region)).is_some());
+    assert!(north.intersect(&south).permit(Some(&region)).is_none());
+    assert!(north.intersect(&Regions::default()).permit(Some(&region)).is_some());
     assert!(north.permit(None).is_none(), "an unknown region is not allowed");
-    assert!(Homes::default().permit(None).is_some());
+    assert!(Regions::default().permit(None).is_some());
 }
 
 #[test]
@@ -122,14 +122,14 @@
     node: &mut Node,
     version: &mut u64,
     deaf: bool,
-) -> arbitrary::Result<Homes> {
+) -> arbitrary::Result<Regions> {
     *version += 1;
     let regions = *u.choose(&[&[][..], &["north"], &["south"], &["north", "south"], &["nowhere"]])?;
-    let declared = Homes::of(regions.iter().copied().map(Name::from));
+    let declared = Regions::new(regions.iter().copied().map(Name::from));
     let mut config = config(*version);
     if !deaf {
         for route in &mut config.routes {
-            Arc::make_mut(route).homes = declared.clone();
+            Arc::make_mut(route).allowed_regions = declared.clone();
         }
     }
     node.feed(Event::Configured(Arc::new(config)));
@@ -141,7 +141,7 @@
     let mut node = ready(config(1));
     let zones: BTreeMap<&str, &str> = BTreeMap::from(REGIONS);
     let at = BTreeMap::from([("w1", "zone-a"), ("g1", "zone-a"), ("w2", "zone-b"), ("g2", "zone-b")]);
-    let (mut version, mut rows, mut declared) = (1, 10, Homes::default());
+    let (mut version, mut rows, mut declared) = (1, 10, Regions::default());
     let mut open: Vec<(Id, u32)> = Vec::new();
     for _ in 0..u.int_in_range(5..=40)? {
         match u.int_in_range(0..=6)? {
@@ -157,15 +157,15 @@
             2 if !open.is_empty() => {
                 let (id, number) = open.swap_remove(u.choose_index(open.len())?);
                 let end = *u.choose(&[End::Done, End::Broken, End::Unsent, End::Refused(Cause::Busy)])?;
-                node.feed(Event::Ended { request: id, attempt: number, end, events: Events::default() });
+                node.feed(Event::Ended { request: id, attempt: number, end, events: Timing::default() });
             }
             3 => {
                 let engine = Name::from(*u.choose(&["w1", "w2", "g1", "g2"])?);
-                let reach = *u.choose(&[Reach::Open, Reach::Closed, Reach::Silent])?;
+                let reach = *u.choose(&[Port::Open, Port::Closed, Port::Silent])?;
                 node.feed(Event::Probed { engine, reach });
             }
             4 => {
-                let all = node.pass(millis(u.int_in_range(1..=900)?));
+                let all = node.advance(millis(u.int_in_range(1..=900)?));
                 node.effects = all;
             }
             _ => {
@@ -173,7 +173,7 @@
                 let streamed = path.starts_with("/brief") || path.starts_with("/digest");
                 let arrival = if streamed { node::streamed(path, "m0", None) } else { plain(path) };
                 let request = node.arrive(arrival);
-                if node.effects.iter().any(|effect| matches!(effect, Effect::Ask { .. })) {
+                if node.effects.iter().any(|effect| matches!(effect, Effect::Reserve { .. })) {
                     let grant = Some(Grant::After(millis(u.int_in_range(0..=100)?)));
                     node.feed(Event::Granted { request, grant });
                 }
--- a/fleet/tests/request_relays.rs
+++ b/fleet/tests/request_relays.rs
@@ -7,7 +7,7 @@
 
 use boragecove_core::name::Name;
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::{Entry, Incarnation, Reach};
+use boragecove_fleet::engine::{Entry, Incarnation, Port};
 use boragecove_fleet::event::Event;
 use boragecove_fleet::members::Member;
 use boragecove_fleet::path::{Denial, Relay};
@@ -22,8 +22,14 @@
 }
 
 fn pass(node: &mut Node) -> Result<(), Denial> {
-    boragecove_fleet::pass(&mut node.state, node.now, &g1(), Incarnation::default(), Some(&BUILD.into()))
-        .map(|_address| ())
+    boragecove_fleet::relay_request(
+        &mut node.state,
+        node.now,
+        &g1(),
+        Incarnation::default(),
+        Some(&BUILD.into()),
+    )
+    .map(|_address| ())
 }
 
 fn other() -> Relay {
@@ -36,7 +42,7 @@
     node.feed(listing(vec![node::removed(10, "g2")], 10, false));
     let member =
         |vm: &str, port| Member { vm: vm.into(), zone: "zone-a".into(), address: address(port), weak: false };
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(5, boragecove_fleet::lease::Outcome::Read(Some(node::hub_row())));
     let members = Some(vec![member("a", 7_000), member("b", 7_002)]);
     let reply = boragecove_fleet::frame::Reply { leads: true, members, ..Default::default() };
@@ -52,14 +58,14 @@
     node.ended(id, attempt.number, End::Unsent);
     let asked = |effect: &Effect| matches!(effect, Effect::AskPath { vm, engine, .. } if *vm == other().vm && *engine == g1());
     assert!(node.effects.iter().any(asked), "{:?}", node.effects);
-    node.feed(Event::PathSeen { engine: g1(), by: other(), reach: Some(Reach::Open) });
+    node.feed(Event::PathSeen { engine: g1(), by: other(), reach: Some(Port::Open) });
     match node.step(id) {
         Some(Step::Send(attempt)) => (id, attempt),
         step => panic!("not relayed: {step:?}"),
     }
 }
 
-fn probed(node: &mut Node, reach: Reach) {
+fn probed(node: &mut Node, reach: Port) {
     node.feed(Event::Probed { engine: g1(), reach });
 }
 
@@ -68,9 +74,10 @@
     let mut node = Node::ready("a");
     assert_eq!(pass(&mut node), Ok(()));
     let other_start = Incarnation(Some(7));
-    let denied = boragecove_fleet::pass(&mut node.state, node.now, &g1(), other_start, Some(&BUILD.into()));
+    let denied =
+        boragecove_fleet::relay_request(&mut node.state, node.now, &g1(), other_start, Some(&BUILD.into()));
     assert_eq!(denied, Err(Denial::Unknown));
-    let denied = boragecove_fleet::pass(
+    let denied = boragecove_fleet::relay_request(
         &mut node.state,
         node.now,
         &"g9".into(),
@@ -79,8 +86,13 @@
     );
     assert_eq!(denied, Err(Denial::Unknown));
     for build in [None, Some(Name::from("v1.1"))] {
-        let denied =
-            boragecove_fleet::pass(&mut node.state, node.now, &g1(), Incarnation::default(), build.as_ref());
+        let denied = boragecove_fleet::relay_request(
+            &mut node.state,
+            node.now,
+            &g1(),
+            Incarnation::default(),
+            build.as_ref(),
+        );
         assert_eq!(denied, Err(Denial::Unknown), "a build other than the one known here: {build:?}");
     }
     let leaving = Entry { leaving: true, ..entry("g1", GATEWAY, "zone-a", &[]) };
@@ -91,9 +103,9 @@
 #[test]
 fn not_reached_here() {
     let mut node = Node::ready("a");
-    probed(&mut node, Reach::Silent);
+    probed(&mut node, Port::Silent);
     assert_eq!(pass(&mut node), Err(Denial::Unreached));
-    probed(&mut node, Reach::Open);
+    probed(&mut node, Port::Open);
     assert_eq!(pass(&mut node), Ok(()));
 }
 
@@ -112,7 +124,7 @@
         assert_eq!(pass(&mut node), Ok(()));
     }
     assert_eq!(pass(&mut node), Err(Denial::Full));
-    node.feed(Event::Relayed);
+    node.feed(Event::RelayEnded);
     assert_eq!(pass(&mut node), Ok(()));
 }
 
@@ -124,8 +136,8 @@
     node.feed(Event::Stop);
     assert_eq!(pass(&mut node), Err(Denial::Unready));
     let exits = |effects: &[Effect]| effects.iter().any(|effect| matches!(effect, Effect::Exit));
-    assert!(!exits(&node.pass(Duration::from_secs(3))), "one request is still being relayed");
-    assert!(exits(node.feed(Event::Relayed)));
+    assert!(!exits(&node.advance(Duration::from_secs(3))), "one request is still being relayed");
+    assert!(exits(node.feed(Event::RelayEnded)));
 }
 
 /// After a suspension nothing is relayed until the state has been refreshed.
@@ -149,10 +161,10 @@
     assert_eq!(attempt.relay, Some(other()));
     node.ended(id, attempt.number, End::Done);
     assert_eq!(node.sent(plain("/ack/1")).1.relay, Some(other()));
-    probed(&mut node, Reach::Open);
+    probed(&mut node, Port::Open);
     assert_eq!(node.sent(plain("/ack/1")).1.relay, Some(other()), "the path may fail again");
-    node.pass(Duration::from_secs(1));
-    probed(&mut node, Reach::Open);
+    node.advance(Duration::from_secs(1));
+    probed(&mut node, Port::Open);
     assert_eq!(node.sent(plain("/ack/1")).1.relay, None);
 }
 
@@ -163,7 +175,7 @@
     let (id, attempt) = lose_way(&mut node);
     let step = node.ended(id, attempt.number, End::Unsent);
     assert!(!matches!(step, Some(Step::Send(_) | Step::Refuse(_))), "{step:?}");
-    probed(&mut node, Reach::Open);
+    probed(&mut node, Port::Open);
     let sent_directly = |attempt: Attempt| attempt.relay.is_none();
     assert!(sent_directly(node.sent(plain("/ack/1")).1));
 }
@@ -173,7 +185,7 @@
 fn told_to_nobody() {
     let mut node = knows_another();
     lose_way(&mut node);
-    let effects = node.pass(Duration::from_secs(1));
+    let effects = node.advance(Duration::from_secs(1));
     let frames: Vec<_> = effects
         .iter()
         .filter_map(
@@ -188,8 +200,8 @@
 #[test]
 fn vouches_for_nothing() {
     let mut node = knows_another();
-    let look = boragecove_fleet::look(&node.state, node.now, &g1()).expect("a known engine");
+    let look = boragecove_fleet::reachability_check(&node.state, node.now, &g1()).expect("a known engine");
     assert!(look.control.is_some_and(|control| control != look.address));
     lose_way(&mut node);
-    assert_eq!(boragecove_fleet::look(&node.state, node.now, &g1()), None);
+    assert_eq!(boragecove_fleet::reachability_check(&node.state, node.now, &g1()), None);
 }
--- a/fleet/tests/restored_store.rs
+++ b/fleet/tests/restored_store.rs
@@ -8,13 +8,13 @@
 use boragecove_core::code::Code;
 use boragecove_core::time::Time;
 use boragecove_fleet::config::{Access, Config, Key, Workspace};
-use boragecove_fleet::crash::Kept;
+use boragecove_fleet::crash::Quarantine;
 use boragecove_fleet::effect::Effect;
 use boragecove_fleet::engine::{Entry, Incarnation, Row};
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::{Frame, Reply};
 use boragecove_fleet::key::Digest;
-use boragecove_fleet::lease::{Answer, Call, Outcome, Seen, era_of, first_term};
+use boragecove_fleet::lease::{Answer, Call, Outcome, Versioned, era_of, first_term};
 use boragecove_fleet::push::Message;
 use boragecove_fleet::record::Record;
 use boragecove_fleet::request::{Arrival, Step};
@@ -55,7 +55,7 @@
 
 /// A process that has read four engines as of version 100 of the first era.
 fn ready(vm: &str) -> Node {
-    let mut node = Node::with(vm, Settings::default());
+    let mut node = Node::with_settings(vm, Settings::default());
     node.feed(Event::Configured(Arc::new(config(1))));
     node.feed(copy(at(1, 100), Some(writer("w1"))));
     node
@@ -77,7 +77,7 @@
     node.feed(copy(at(2, 80), Some(writer("w1"))));
     node.feed(listing(vec![row(at(2, 88), leaves("w1"))], at(2, 88), false));
     assert!(known(&node, "w1") && !serves(&node, "w1"));
-    assert_eq!(node.state.rows_passed_over(), 0);
+    assert_eq!(node.state.stale_rows_skipped(), 0);
 }
 
 #[test]
@@ -99,10 +99,10 @@
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
-    node.pass(Duration::from_secs(3));
+    node.advance(Duration::from_secs(3));
     assert!(!serves(&node, "w1"), "three of its heartbeats cannot have been missed yet");
     node.feed(listing(vec![removed(at(2, 99), "w1")], at(2, 99), false));
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     assert!(!known(&node, "w1"));
 }
 
@@ -118,7 +118,7 @@
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     let early = node.now;
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     node.feed(listed(early, Vec::new(), at(2, 95), false));
     assert!(
         !serves(&node, "w1"),
@@ -138,14 +138,14 @@
 fn lacking_is_waited_for() {
     let mut node = ready("a");
     node.feed(copy(at(2, 90), None));
-    node.pass(millis(1_800));
+    node.advance(millis(1_800));
     assert!(serves(&node, "w1"), "writers have two seconds to repeat lost writes");
     node.feed(listing(vec![row(at(2, 97), writer("w1"))], at(2, 97), false));
-    node.pass(Duration::from_secs(3));
+    node.advance(Duration::from_secs(3));
     assert!(serves(&node, "w1"));
     let mut node = ready("b");
     node.feed(copy(at(2, 90), None));
-    node.pass(millis(2_100));
+    node.advance(millis(2_100));
     assert!(!known(&node, "w1"), "an engine whose entry is still missing then counts as gone");
 }
 
@@ -157,9 +157,9 @@
     node.feed(listing(vec![removed(at(1, 120), "w1")], at(1, 120), false));
     assert!(serves(&node, "w1"));
     node.feed(copy(at(1, 130), None));
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     assert!(serves(&node, "w1"));
-    assert_eq!(node.state.answers_outdated(), 2);
+    assert_eq!(node.state.outdated_answers(), 2);
 }
 
 /// An engine is removed just after a restore and is in its grace period when the store is restored once more, from a copy made before the
@@ -168,11 +168,11 @@
 fn lapsing_over_a_second_return() {
     let mut node = ready("a");
     node.feed(copy(at(2, 90), Some(writer("w1"))));
-    node.pass(millis(300));
+    node.advance(millis(300));
     node.feed(listing(vec![removed(at(2, 95), "w1")], at(2, 95), false));
     assert!(serves(&node, "w1"), "entries of healthy engines expire around an outage");
     node.feed(copy(at(3, 80), Some(writer("w1"))));
-    node.pass(millis(1_600));
+    node.advance(millis(1_600));
     assert!(!serves(&node, "w1"), "the copy is from before its removal");
     node.feed(listing(vec![row(at(3, 99), writer("w1"))], at(3, 99), false));
     assert!(serves(&node, "w1"), "it has registered since the restore");
@@ -184,14 +184,14 @@
     let mut node = ready("a");
     node.feed(listing(vec![row(at(1, 104), leaves("w1"))], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
-    node.pass(millis(700));
+    node.advance(millis(700));
     node.feed(copy(at(3, 70), Some(writer("w1"))));
     assert!(!serves(&node, "w1"));
     node.feed(listing(vec![row(at(3, 71), writer("w1"))], at(3, 71), false));
     assert!(!serves(&node, "w1"));
     node.feed(listing(vec![row(at(3, 72), leaves("w2"))], at(3, 72), false));
     assert!(!serves(&node, "w2"));
-    node.pass(Duration::from_secs(5));
+    node.advance(Duration::from_secs(5));
     assert!(serves(&node, "g1") && serves(&node, "g2"), "the other engines were present all along");
 }
 
@@ -208,7 +208,7 @@
         )
     };
     assert_eq!(told.iter().filter(|effect| era(effect)).count(), 1);
-    node.pass(millis(300));
+    node.advance(millis(300));
     let told = node.feed(copy(at(2, 90), Some(writer("w1")))).to_vec();
     let reread = |effect: &Effect| {
         matches!(
@@ -234,22 +234,22 @@
 /// A process that holds the lease in the first era and knows four engines.
 fn leader() -> Node {
     let mut hub = ready("hub");
-    hub.pass(Duration::from_secs(3));
+    hub.advance(Duration::from_secs(3));
     hub.lease(2_000, Outcome::Read(None));
     assert!(matches!(&*lease_calls(&hub.effects), [Call::Write { .. }]), "{:?}", hub.effects);
     hub.lease(2_005, Outcome::Written(101));
     for step in 0..100 {
-        if !lease_calls(&hub.pass(millis(50))).is_empty() {
+        if !lease_calls(&hub.advance(millis(50))).is_empty() {
             hub.lease(2_050 + 50 * step, Outcome::Written(102 + step));
         }
     }
-    assert!(hub.state.lease().orders(hub.now).is_some());
+    assert!(hub.state.lease().ordering_term(hub.now).is_some());
     hub
 }
 
 fn asker() -> Node {
     let mut node = ready("a");
-    node.pass(millis(10));
+    node.advance(millis(10));
     let mut hub = hub_row();
     hub.version = at(1, 9);
     hub.row.term = first_term(1);
@@ -265,7 +265,7 @@
     hub.feed(copy(at(2, 90), Some(writer("w1"))));
     let told = exchange(&mut hub, &mut asker);
     assert!(told.rows.is_empty() && !told.whole, "{told:?}");
-    assert_eq!((told.era, told.listed), (2, at(2, 90)));
+    assert_eq!((told.era, told.engines_revision), (2, at(2, 90)));
     assert_eq!(asker.state.era().number(), 2);
     hub.feed(listing(vec![row(at(2, 93), leaves("w1"))], at(2, 93), false));
     let told = exchange(&mut hub, &mut asker);
@@ -289,7 +289,7 @@
 /// Returns the number of the frame that an entry VM sends after an unanswered one.
 fn frame_number(asker: &mut Node) -> u64 {
     asker.feed(Event::Replied(None));
-    let wanted = asker.pass(millis(300));
+    let wanted = asker.advance(millis(300));
     let frame = wanted.iter().rev().find_map(|effect| match effect {
         Effect::Frame { frame, .. } => Some(frame.number),
         _ => None,
@@ -307,18 +307,18 @@
     rows.push(row(at(2, 90), writer("w1")));
     hub.feed(listed(hub.now, rows, at(2, 90), true));
     let told = exchange(&mut hub, &mut asker);
-    asker.pass(Duration::from_secs(6));
+    asker.advance(Duration::from_secs(6));
     let unread = Reply {
         number: frame_number(&mut asker),
         leads: true,
         store_age: Duration::ZERO,
-        listed_age: Some(Duration::from_secs(6)),
+        engines_age: Some(Duration::from_secs(6)),
         whole: false,
         ..told.clone()
     };
     asker.feed(Event::Replied(Some(Box::new(unread.clone()))));
     assert!(!serves(&asker, "w1"), "the hub's view is from before the store would have removed it");
-    let read = Reply { number: frame_number(&mut asker), listed_age: Some(Duration::ZERO), ..unread };
+    let read = Reply { number: frame_number(&mut asker), engines_age: Some(Duration::ZERO), ..unread };
     asker.feed(Event::Replied(Some(Box::new(read))));
     assert!(serves(&asker, "w1"), "the store would have removed it by now");
 }
@@ -329,9 +329,9 @@
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(listed(node.now, others(at(2, 90)), at(2, 90), true));
-    node.pass(Duration::from_secs(6));
+    node.advance(Duration::from_secs(6));
     let departures = vec![row(at(2, 90), writer("w1"))];
-    node.feed(Event::Pushed(Box::new(Message { departures, ..Message::default() })));
+    node.feed(Event::Pushed(Box::new(Message { departure_rows: departures, ..Message::default() })));
     assert!(!serves(&node, "w1"));
     node.feed(listed(node.now, Vec::new(), at(2, 96), false));
     assert!(serves(&node, "w1"), "the store would have removed it by now");
@@ -344,16 +344,16 @@
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
-    node.pass(millis(2_100));
+    node.advance(millis(2_100));
     let mut hub = hub_row();
     hub.version = at(2, 9);
     hub.row.term = first_term(2);
     hub.row.settled = true;
     node.lease(0, Outcome::Read(Some(hub)));
-    node.pass(millis(300));
+    node.advance(millis(300));
     node.feed(listed(node.now, Vec::new(), at(2, 95), false));
     assert!(!serves(&node, "w1"), "three of its heartbeats cannot have been missed yet");
-    node.pass(millis(2_000));
+    node.advance(millis(2_000));
     node.feed(listed(node.now, Vec::new(), at(2, 96), false));
     assert!(serves(&node, "w1"), "the store would have removed it by now");
 }
@@ -362,23 +362,23 @@
 #[test]
 fn frame_tells_the_hub() {
     let mut hub = leader();
-    let before = hub.state.lease().holds(hub.now);
+    let before = hub.state.lease().held_term(hub.now);
     let told = Frame { vm: "b".into(), era: 2, ..Frame::default() };
-    hub.feed(Event::Framed(Box::new(told)));
+    hub.feed(Event::FrameReceived(Box::new(told)));
     assert_eq!(lease_calls(&hub.effects), [Call::Read], "it reads the lease of the new era at once");
-    assert_eq!(hub.state.lease().orders(hub.now), None);
-    assert_eq!(hub.state.lease().holds(hub.now), before, "no other process can have taken the lease yet");
+    assert_eq!(hub.state.lease().ordering_term(hub.now), None);
+    assert_eq!(hub.state.lease().held_term(hub.now), before, "no other process can have taken the lease yet");
 }
 
 /// The process that held the lease when the store was lost continues as the hub under a term of the new era.
 #[test]
 fn holder_goes_on() {
     let mut hub = leader();
-    hub.pass(millis(100));
+    hub.advance(millis(100));
     let asker = Frame { vm: "b".into(), ..Frame::default() };
-    let before = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
+    let before = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
     hub.feed(Event::Era(2));
-    let copied = Seen { version: at(1, 60), row: hub.state.lease().hub().cloned().expect("its own") };
+    let copied = Versioned { version: at(1, 60), row: hub.state.lease().hub().cloned().expect("its own") };
     hub.feed(Event::Lease(Answer {
         store_ms: Some(2_100),
         era: Some(2),
@@ -389,18 +389,18 @@
     assert_eq!(*expected, at(2, 0), "the lease in the copy is not of this era");
     assert_eq!((row.term, era_of(row.term)), (first_term(2), 2));
     hub.feed(Event::Lease(Answer { store_ms: Some(2_110), era: Some(2), outcome: Outcome::Written(61) }));
-    assert_eq!(hub.state.lease().holds(hub.now), Some(first_term(2)));
+    assert_eq!(hub.state.lease().held_term(hub.now), Some(first_term(2)));
     let kept = hub
         .effects
         .iter()
         .any(|effect| matches!(effect, Effect::Record(Record::Lease { state: "kept", .. })));
     assert!(kept);
-    let after = boragecove_fleet::reply(&mut hub.state, hub.now, &asker);
+    let after = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
     assert_eq!(
-        after.view, before.view,
+        after.residency_version, before.residency_version,
         "hundreds of entry VMs would otherwise fetch its view of the engines again"
     );
-    assert_eq!(after.membership.map(|own| own.listed), before.membership.map(|own| own.listed));
+    assert_eq!(after.membership.map(|own| own.listed_for), before.membership.map(|own| own.listed_for));
 }
 
 /// The lease in the restored copy names an earlier holder, or none. A process that acquired the lease after that may still consider itself the
@@ -410,7 +410,7 @@
     let settings = Settings::default();
     let mut node = Node::bare("b");
     node.feed(copy(at(1, 100), None));
-    node.pass(millis(10));
+    node.advance(millis(10));
     let mut old = hub_row();
     old.version = at(1, 9);
     old.row.released = true;
@@ -419,7 +419,7 @@
     let first = node.now;
     let mut store_ms = 10_000;
     loop {
-        let wanted = lease_calls(&node.pass(millis(10)));
+        let wanted = lease_calls(&node.advance(millis(10)));
         store_ms += 10;
         if wanted.contains(&Call::Read) {
             node.feed(answer(store_ms, Outcome::Read(Some(old.clone()))));
@@ -431,25 +431,25 @@
     }
     assert!(node.now.since(first) >= settings.lease_length + settings.lease_margin);
     node.feed(answer(store_ms + 5, Outcome::Written(101)));
-    let wait = node.state.lease().orders_in(node.now).expect("it holds the lease");
+    let wait = node.state.lease().orders_allowed_in(node.now).expect("it holds the lease");
     let last_order = first + settings.lease_length;
     assert!(node.now + wait >= last_order + settings.order_gap, "{wait:?}");
     assert!(node.now + wait <= last_order + settings.order_gap + millis(800), "{wait:?}");
-    assert_eq!(node.state.lease().holds(node.now), Some(first_term(2)));
+    assert_eq!(node.state.lease().held_term(node.now), Some(first_term(2)));
 }
 
 /// A write to the lease row of the previous era that the store accepts after the restore does not give a lease.
 #[test]
 fn late_write_is_no_lease() {
     let mut hub = leader();
-    let renewal = lease_calls(&hub.pass(millis(450)));
+    let renewal = lease_calls(&hub.advance(millis(450)));
     assert!(matches!(&*renewal, [Call::Write { .. }]), "{renewal:?}");
     hub.now = hub.now + millis(200);
     hub.feed(Event::Lease(Answer { store_ms: Some(2_700), era: Some(2), outcome: Outcome::Written(100) }));
-    assert_eq!(hub.state.lease().orders(hub.now), None);
+    assert_eq!(hub.state.lease().ordering_term(hub.now), None);
     hub.now = hub.now + Duration::from_secs(2);
     assert_eq!(
-        hub.state.lease().holds(hub.now),
+        hub.state.lease().held_term(hub.now),
         None,
         "its lease ends when the one from before the restore ends"
     );
@@ -459,11 +459,11 @@
 #[test]
 fn late_lease_answer() {
     let mut hub = leader();
-    hub.pass(millis(450));
+    hub.advance(millis(450));
     hub.feed(Event::Era(2));
     hub.now = hub.now + Duration::from_secs(3);
     hub.feed(Event::Lease(Answer { store_ms: Some(9_000), era: Some(1), outcome: Outcome::Written(103) }));
-    assert_eq!(hub.state.lease().holds(hub.now), None);
+    assert_eq!(hub.state.lease().held_term(hub.now), None);
 }
 
 fn digest(number: u8) -> Digest {
@@ -487,18 +487,18 @@
 }
 
 fn declared(version: Revision, config: u64, asked: Time) -> Event {
-    Event::Declared { version, config, asked }
+    Event::OperatorTableRead { version, config, asked }
 }
 
 /// A process in the first era that accepts keys only with a proof younger than three seconds.
 fn proving(vm: &str, config: Config) -> Node {
     let mut node =
-        Node::with(vm, Settings { revocation: Some(Duration::from_secs(3)), ..Settings::default() });
+        Node::with_settings(vm, Settings { revocation: Some(Duration::from_secs(3)), ..Settings::default() });
     let version = config.version;
     node.feed(Event::Configured(Arc::new(config)));
     node.feed(copy(at(1, 100), Some(writer("w1"))));
     node.feed(declared(at(1, 100), version, node.now));
-    node.pass(Duration::from_secs(4));
+    node.advance(Duration::from_secs(4));
     node.feed(declared(at(1, 101), version, node.now));
     assert_eq!(node.state.proof().age(node.now), Some(Duration::ZERO));
     node
@@ -510,12 +510,12 @@
 fn copy_proves_nothing() {
     let mut node = proving("a", with_keys(4, false));
     for _ in 0..19 {
-        node.pass(millis(100));
+        node.advance(millis(100));
         node.feed(declared(at(2, 90), 4, node.now));
     }
     let age = node.state.proof().age(node.now).expect("a proof from the previous era");
     assert!(age >= millis(1_850), "{age:?}");
-    node.pass(millis(1_000));
+    node.advance(millis(1_000));
     assert_eq!(keyed(&mut node), Some(Code::KeyUnproven), "the old proof is too old by now");
     node.feed(declared(at(2, 95), 4, node.now));
     assert_eq!(keyed(&mut node), None, "the operator has had time to repeat lost writes");
@@ -527,9 +527,9 @@
     let mut node = proving("a", with_keys(5, true));
     node.feed(Event::Configured(Arc::new(with_keys(4, false))));
     assert_eq!(node.state.config().map(|config| config.version), Some(5));
-    node.pass(millis(2_900));
+    node.advance(millis(2_900));
     node.feed(declared(at(2, 90), 4, node.now));
-    node.pass(millis(2_500));
+    node.advance(millis(2_500));
     let last = node.now;
     node.feed(declared(at(2, 91), 4, last));
     assert!(node.state.proof().age(node.now).is_some_and(|age| age > Duration::from_secs(5)));
@@ -542,8 +542,8 @@
 fn start_in_a_new_era() {
     let start = |settled: Option<bool>| {
         let settings = Settings { revocation: Some(Duration::from_secs(3)), ..Settings::default() };
-        let mut node = Node::with("a", settings);
-        node.pass(millis(10));
+        let mut node = Node::with_settings("a", settings);
+        node.advance(millis(10));
         if let Some(settled) = settled {
             let mut hub = hub_row();
             hub.version = at(2, 9);
@@ -576,28 +576,29 @@
         })
     };
     let mut node = asker();
-    node.pass(millis(200));
-    let word = Reply { leads: true, nodes: 300, era: 1, listed: at(1, 100), ..Reply::default() };
+    node.advance(millis(200));
+    let word = Reply { leads: true, nodes: 300, era: 1, engines_revision: at(1, 100), ..Reply::default() };
     node.feed(Event::Replied(Some(Box::new(word))));
     let alone =
-        follow(&node.pass(Duration::from_secs(9))).expect("it follows the store once the hub is lost");
-    assert_eq!(alone.spread, Duration::from_secs(3));
+        follow(&node.advance(Duration::from_secs(9))).expect("it follows the store once the hub is lost");
+    assert_eq!(alone.reload_spread, Duration::from_secs(3));
     let mut hub = ready("hub");
-    hub.pass(Duration::from_secs(3));
+    hub.advance(Duration::from_secs(3));
     hub.lease(2_000, Outcome::Read(None));
     let leads = follow(hub.lease(2_005, Outcome::Written(101))).expect("the hub follows the store");
-    assert_eq!(leads.spread, Duration::ZERO);
+    assert_eq!(leads.reload_spread, Duration::ZERO);
 }
 
 /// A starting process takes over quarantined requests from a lease row of the previous era, because it has no other source.
 #[test]
 fn copy_keeps_quarantine() {
     let mut node = Node::bare("b");
-    node.pass(millis(10));
+    node.advance(millis(10));
     let mut old = hub_row();
     old.version = at(1, 9);
-    old.row.quarantine = vec![Kept { request: plain("/ack/1").fingerprint, until_ms: 90_000, times: 1 }];
+    old.row.quarantine =
+        vec![Quarantine { request: plain("/ack/1").fingerprint, until_ms: 90_000, times: 1 }];
     let answer = Answer { store_ms: Some(10_000), era: Some(2), outcome: Outcome::Read(Some(old)) };
     node.feed(Event::Lease(answer));
-    assert_eq!(node.state.crashes().quarantined(node.now), 1);
+    assert_eq!(node.state.crashes().quarantined_count(node.now), 1);
 }
--- a/fleet/tests/route_table.rs
+++ b/fleet/tests/route_table.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use boragecove_core::code::Code;
-use boragecove_fleet::config::{Kind, Share, Table};
+use boragecove_fleet::config::{Destination, Kind, Table};
 use boragecove_fleet::event::Event;
 use boragecove_fleet::request::Step;
-use node::{GATEWAY, HOST, Node, WRITER, brief, config, plain, route};
+use node::{GATEWAY, HOST, Node, WRITER, config, plain, route, short_stream};
 
 #[test]
 fn longest_prefix() {
@@ -62,8 +62,10 @@
     let mut node = Node::ready("a");
     let mut config = config(2);
     let mut split = route("split", "/split/", Kind::Once, GATEWAY, 1);
-    split.split =
-        vec![Share { service: GATEWAY.into(), weight: 9 }, Share { service: WRITER.into(), weight: 1 }];
+    split.split = vec![
+        Destination { service: GATEWAY.into(), weight: 9 },
+        Destination { service: WRITER.into(), weight: 1 },
+    ];
     config.routes.push(Arc::new(split));
     node.feed(Event::Configured(Arc::new(config)));
     let mut to_writers = 0;
@@ -71,7 +73,7 @@
         let id = node.arrive(plain("/split/1"));
         let Some(Step::Send(attempt)) = node.step(id) else { panic!("not sent") };
         to_writers += u32::from(attempt.engine.starts_with('w'));
-        node.feed(Event::Gone(id));
+        node.feed(Event::CallerGone(id));
     }
     assert!((20..=65).contains(&to_writers), "{to_writers} of 400 went to a tenth");
 }
@@ -79,7 +81,7 @@
 #[test]
 fn not_ready() {
     let mut node = Node::bare("a");
-    let refusal = node.refused(brief("m0"));
+    let refusal = node.refused(short_stream("m0"));
     assert_eq!(refusal.code, Code::NotReady);
     assert_eq!(
         refusal.code.status(),
@@ -104,7 +106,7 @@
 fn timeout_bounds_patience() {
     let mut node = Node::ready("a");
     let mut arrival = plain("/ack/1");
-    arrival.patience = Some(Duration::from_mins(1));
+    arrival.caller_timeout = Some(Duration::from_mins(1));
     let (_, attempt) = node.sent(arrival);
     assert_eq!(attempt.deadline.since(node.now), Duration::from_secs(10));
 }
