--- a/fleet/tests/scarce_places.rs
+++ b/fleet/tests/scarce_places.rs
@@ -17,7 +17,7 @@
 use boragecove_fleet::config::{Model, Pool};
 use boragecove_fleet::demand::Trend;
 use boragecove_fleet::engine::{Cached, Phase};
-use boragecove_fleet::place::{Move, Spot, View, moves};
+use boragecove_fleet::place::{Candidate, Input, Move, plan_moves};
 
 /// Time between plans.
 const STEP: Duration = Duration::from_millis(250);
@@ -31,7 +31,7 @@
 /// Engines that carry out the planned changes, for a demand that a test sets.
 struct World {
     pool: Pool,
-    spots: Vec<Spot>,
+    spots: Vec<Candidate>,
     /// Times at which running loads finish, by engine.
     loading: BTreeMap<Name, Time>,
     /// Times at which copies became ready, by engine and model.
@@ -57,7 +57,7 @@
         let spot = |number: usize| {
             let held = (0..places).map(|place| number + place * engines).filter(|held| *held < models.len());
             let copies: Vec<(Name, Phase)> = held.map(|held| (name(held), Phase::Ready)).collect();
-            Spot {
+            Candidate {
                 engine: format!("e{number}").into(),
                 usable: true,
                 idle: true,
@@ -65,7 +65,7 @@
                 copies,
                 cached: Cached::default(),
                 zone: ["a", "b", "c"][number % 3].into(),
-                ..Spot::default()
+                ..Candidate::default()
             }
         };
         let spots = (0..engines).map(spot).collect();
@@ -84,14 +84,14 @@
     }
 
     fn copies(&self, model: &str) -> usize {
-        let holds = |spot: &&Spot| {
+        let holds = |spot: &&Candidate| {
             spot.usable && spot.copies.iter().any(|(held, phase)| &**held == model && *phase == Phase::Ready)
         };
         self.spots.iter().filter(holds).count()
     }
 
     /// Number of requests at an engine: the demand for each of its models is spread evenly over the copies.
-    fn open(&self, spot: &Spot, demand: &BTreeMap<Name, f64>) -> u32 {
+    fn open(&self, spot: &Candidate, demand: &BTreeMap<Name, f64>) -> u32 {
         let share = |(model, _): &(Name, Phase)| {
             demand.get(model).map_or(0.0, |busy| busy / self.copies(model).max(1) as f64)
         };
@@ -105,18 +105,18 @@
         self.watch(demand);
         let opens: Vec<u32> = self.spots.iter().map(|spot| self.open(spot, demand)).collect();
         for (spot, open) in self.spots.iter_mut().zip(opens) {
-            spot.open = open;
+            spot.open_requests = open;
         }
-        let steps = moves(View {
+        let steps = plan_moves(Input {
             pool: &self.pool,
-            spots: self.spots.clone(),
+            engines: self.spots.clone(),
             demand: self.trends.clone(),
-            cold_left: 100,
-            cold_running: self.loading.len(),
-            watched: self.now.since(self.began),
-            every: Duration::from_millis(250),
+            cold_loads_left: 100,
+            cold_loads_running: self.loading.len(),
+            observed_for: self.now.since(self.began),
+            interval: Duration::from_millis(250),
             now: self.now,
-            without: &[],
+            disabled: &[],
         });
         for step in &steps {
             self.begin(step);
@@ -141,7 +141,8 @@
                 let since = self.ready.get(&(spot.engine.clone(), (*model).clone()));
                 since.is_some_and(|since| now.since(*since) < LOAD * 2)
             };
-            spot.young = spot.copies.iter().map(|(model, _)| model).filter(young).cloned().collect();
+            spot.recently_loaded =
+                spot.copies.iter().map(|(model, _)| model).filter(young).cloned().collect();
         }
     }
 
@@ -152,15 +153,15 @@
             let asked = demand.get(&model).copied().unwrap_or_default();
             let served = self.copies(&model) > 0;
             let trend = self.trends.entry(model).or_default();
-            trend.busy = keep * trend.busy + (1.0 - keep) * asked;
+            trend.concurrency = keep * trend.concurrency + (1.0 - keep) * asked;
             trend.waiting = if served { 0 } else { asked.ceil() as u32 };
-            trend.starved = match (served, asked > 0.0) {
+            trend.starved_for = match (served, asked > 0.0) {
                 (true, _) => Duration::ZERO,
-                (false, true) => trend.starved + STEP,
-                (false, false) => trend.starved,
+                (false, true) => trend.starved_for + STEP,
+                (false, false) => trend.starved_for,
             };
             if asked > 0.0 {
-                trend.asked = Some(self.now);
+                trend.last_requested = Some(self.now);
             }
         }
     }
@@ -289,7 +290,7 @@
         for _ in 0..80 {
             world.step(&demand(&hot));
             let gone = world.pool.models.iter().find(|model| {
-                let held = |spot: &Spot| spot.copies.iter().any(|(held, _)| *held == model.name);
+                let held = |spot: &Candidate| spot.copies.iter().any(|(held, _)| *held == model.name);
                 !world.spots.iter().any(held)
             });
             assert!(gone.is_none(), "{:?} has no copy", gone.map(|model| &model.name));
--- a/fleet/tests/shared_suspicions.rs
+++ b/fleet/tests/shared_suspicions.rs
@@ -6,11 +6,11 @@
 use std::time::Duration;
 
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::frame::Reply;
 use boragecove_fleet::request::End;
-use node::{Node, WRITER, brief, entry, hub_row, listing, millis, row};
+use node::{Node, WRITER, entry, hub_row, listing, millis, row, short_stream};
 
 /// An entry VM that knows this many engines, and has a leader.
 fn entry_vm(engines: usize) -> Node {
@@ -19,7 +19,7 @@
     let known = |at: usize| row(at as u64 + 10, entry(&format!("e{at}"), WRITER, "zone-a", &held(at)));
     let until = engines as u64 + 10;
     node.feed(listing((0..engines).map(known).collect(), until, false));
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(5, boragecove_fleet::lease::Outcome::Read(Some(hub_row())));
     node
 }
@@ -35,11 +35,11 @@
 /// Sends this many requests for the model that three of the engines hold.
 fn use_some(node: &mut Node, requests: usize) {
     for _ in 0..requests {
-        let id = node.arrive(brief("m3"));
+        let id = node.arrive(short_stream("m3"));
         if let Some(boragecove_fleet::request::Step::Send(attempt)) = node.step(id) {
             node.ended(id, attempt.number, End::Done);
         }
-        node.pass(millis(100));
+        node.advance(millis(100));
     }
 }
 
@@ -59,7 +59,7 @@
         for requests in [1, 5, 20] {
             let mut node = entry_vm(engines);
             use_some(&mut node, requests);
-            node.pass(Duration::from_secs(2));
+            node.advance(Duration::from_secs(2));
             let tried = tried(&mut node, engines);
             assert!(tried <= requests.min(3), "{engines} engines, {requests} requests: {tried} probes");
         }
@@ -71,13 +71,13 @@
 fn what_is_used() {
     let mut node = entry_vm(3);
     use_some(&mut node, 60);
-    node.pass(Duration::from_secs(1));
+    node.advance(Duration::from_secs(1));
     let used = tried(&mut node, 3);
     assert!(used > 0, "engines in use should be probed");
     for at in 0..3 {
         let engine = format!("e{at}").as_str().into();
-        node.feed(Event::Probed { engine, reach: Reach::Open });
+        node.feed(Event::Probed { engine, reach: Port::Open });
     }
-    node.pass(Duration::from_secs(20));
+    node.advance(Duration::from_secs(20));
     assert_eq!(tried(&mut node, 3), 0, "engines without recent requests should not be probed");
 }
--- a/fleet/tests/silent_engines.rs
+++ b/fleet/tests/silent_engines.rs
@@ -8,12 +8,12 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::lease::{Call, Outcome};
 use boragecove_fleet::order::{Order, Report};
 use boragecove_fleet::request::{End, Step};
-use node::{Node, WRITER, brief, entry, listing, millis, orders, row};
+use node::{Node, WRITER, entry, listing, millis, orders, row, short_stream};
 
 /// A leader of three engines. Only the first holds the requested model, and the others have room for it.
 fn leader() -> Node {
@@ -34,7 +34,7 @@
 
 /// Advances the time. The store accepts the lease writes, and engines report their models but answer no orders. Returns the orders.
 fn pass(node: &mut Node, time: Duration) -> Vec<Order> {
-    let effects = node.pass(time);
+    let effects = node.advance(time);
     for effect in &effects {
         if let Effect::Lease(Call::Write { expected, .. }) = effect {
             let store_ms = node.now.since(Time::from_millis(node::START_MS)).as_millis() as u64;
@@ -52,7 +52,7 @@
 
 /// Sends a request to the engine that holds `m1`. Returns its id and the number of its attempt.
 fn send(node: &mut Node) -> (boragecove_fleet::request::Id, u32) {
-    let id = node.arrive(brief("m1"));
+    let id = node.arrive(short_stream("m1"));
     let Some(Step::Send(attempt)) = node.step(id) else {
         panic!("the request is not sent");
     };
@@ -61,7 +61,7 @@
 }
 
 /// Reports a probe of the engine's port.
-fn probed(node: &mut Node, reach: Reach) {
+fn probed(node: &mut Node, reach: Port) {
     node.feed(Event::Probed { engine: Name::from("w8"), reach });
 }
 
@@ -78,11 +78,11 @@
     let mut given = Vec::new();
     for _ in 0..4 {
         given.extend(pass(&mut node, millis(250)));
-        probed(&mut node, Reach::Silent);
+        probed(&mut node, Port::Silent);
     }
     assert_eq!(loads(&given), 0, "{given:?}");
-    probed(&mut node, Reach::Open);
-    assert_eq!(node.state.crashes().quarantined(node.now), 0);
+    probed(&mut node, Port::Open);
+    assert_eq!(node.state.crashes().quarantined_count(node.now), 0);
     send(&mut node);
 }
 
@@ -90,14 +90,14 @@
 /// silent for long.
 #[test]
 fn ended_is_replaced() {
-    for (reach, rounds) in [(Reach::Closed, 4), (Reach::Silent, 12)] {
+    for (reach, rounds) in [(Port::Closed, 4), (Port::Silent, 12)] {
         let mut node = leader();
         let (id, attempt) = send(&mut node);
         node.ended(id, attempt, End::Unsent);
         probed(&mut node, reach);
         let mut given = Vec::new();
         for _ in 0..rounds {
-            node.arrive(brief("m1"));
+            node.arrive(short_stream("m1"));
             given.extend(pass(&mut node, millis(250)));
             probed(&mut node, reach);
         }
@@ -112,11 +112,11 @@
     for _ in 0..3 {
         let (id, attempt) = send(&mut node);
         node.ended(id, attempt, End::Lost);
-        let effects = node.feed(Event::Probed { engine: "w8".into(), reach: Reach::Silent }).to_vec();
+        let effects = node.feed(Event::Probed { engine: "w8".into(), reach: Port::Silent }).to_vec();
         assert!(!effects.iter().any(|effect| matches!(effect, Effect::Push(_))), "{effects:?}");
         pass(&mut node, millis(300));
-        probed(&mut node, Reach::Open);
-        node.pass(millis(50));
+        probed(&mut node, Port::Open);
+        node.advance(millis(50));
     }
-    assert_eq!(node.state.crashes().quarantined(node.now), 0);
+    assert_eq!(node.state.crashes().quarantined_count(node.now), 0);
 }
--- a/fleet/tests/stood_still.rs
+++ b/fleet/tests/stood_still.rs
@@ -11,7 +11,7 @@
 use boragecove_fleet::record::Record;
 use boragecove_fleet::request::{Attempt, End, Step};
 use boragecove_fleet::settings::Settings;
-use node::{GATEWAY, Node, brief, entry, exchange, hub_row, listed, millis, plain, row, step_of};
+use node::{GATEWAY, Node, entry, exchange, hub_row, listed, millis, plain, row, short_stream, step_of};
 
 /// The log records of stalls among the effects: duration of the stall, and age of the engine table.
 fn noted(effects: &[Effect]) -> Vec<(u64, Option<u64>)> {
@@ -28,16 +28,16 @@
     let mut node = Node::ready("vm-1");
     let asked = node.now;
     node.feed(listed(asked, Vec::new(), 4, false));
-    let calm = node.pass(millis(2_000));
+    let calm = node.advance(millis(2_000));
     assert!(noted(&calm).is_empty(), "{:?}", noted(&calm));
     node.now = node.now + millis(1_500);
-    let noted = noted(&node.pass(millis(10)));
+    let noted = noted(&node.advance(millis(10)));
     let [(stood_ms, listed_age_ms)] = noted[..] else {
         panic!("expected one record: {noted:?}");
     };
     assert!((1_250..=1_510).contains(&stood_ms), "the next timer was due within 250 ms: {stood_ms}");
     assert_eq!(listed_age_ms, Some(3_510));
-    assert_eq!(node.state.standstills(), 1);
+    assert_eq!(node.state.stalls(), 1);
 }
 
 /// Duration of the stall: shorter than the lease, and longer than the engine table stays valid.
@@ -61,13 +61,13 @@
 fn follower() -> (Node, Node) {
     let (mut hub, mut node) = (Node::ready("hub"), Node::ready("vm-1"));
     hub.lead();
-    node.pass(millis(10));
+    node.advance(millis(10));
     node.lease(0, lease::Outcome::Read(Some(hub_row())));
     hub.feed(listed(hub.now, Vec::new(), 4, false));
     exchange(&mut hub, &mut node);
     hub.now = node.now;
     node.now = node.now + millis(STOOD);
-    hub.pass(millis(STOOD));
+    hub.advance(millis(STOOD));
     (hub, node)
 }
 
@@ -86,8 +86,8 @@
 /// The hub answers a frame, and the process applies the reply.
 fn answer(hub: &mut Node, node: &mut Node, frame: &Frame) -> Vec<Effect> {
     hub.now = node.now;
-    hub.feed(Event::Framed(Box::new(frame.clone())));
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, frame);
+    hub.feed(Event::FrameReceived(Box::new(frame.clone())));
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, frame);
     node.feed(Event::Replied(Some(Box::new(reply)))).to_vec()
 }
 
@@ -118,10 +118,10 @@
 fn silent_store() {
     let mut node = leader();
     let request = node.arrive(plain("/list/1"));
-    let bound = Settings::default().departure;
-    let before = node.pass(bound.pause().saturating_sub(millis(20)));
+    let bound = Settings::default().departure_bound;
+    let before = node.advance(bound.poll_interval_max().saturating_sub(millis(20)));
     assert_eq!(step_of(&before, request), None);
-    let after = node.pass(millis(30));
+    let after = node.advance(millis(30));
     assert!(matches!(step_of(&after, request), Some(Step::Send(_))), "should be served with the known data");
     // The next request doesn't wait, as in a zone that is cut off.
     node.sent(plain("/list/1"));
@@ -132,7 +132,7 @@
 fn refusing_store() {
     let mut node = leader();
     let request = node.arrive(plain("/list/1"));
-    node.feed(Event::Unread);
+    node.feed(Event::RefreshFailed);
     assert!(matches!(node.step(request), Some(Step::Send(_))));
 }
 
@@ -158,7 +158,7 @@
     node.now = node.now + millis(5);
     answer(&mut hub, &mut node, &frame);
     assert_eq!(node.step(request), None, "its data is as old");
-    assert_eq!(refreshes(&node.pass(millis(100))), 1);
+    assert_eq!(refreshes(&node.advance(millis(100))), 1);
     node.feed(listed(node.now, leaving(5), 5, false));
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
@@ -168,12 +168,12 @@
 fn answered_before() {
     let (mut hub, mut node) = follower();
     node.now = node.now - millis(STOOD);
-    let frame = frames(&node.pass(millis(200))).pop().expect("a frame");
+    let frame = frames(&node.advance(millis(200))).pop().expect("a frame");
     hub.now = node.now;
-    hub.feed(Event::Framed(Box::new(frame.clone())));
-    let reply = boragecove_fleet::reply(&mut hub.state, hub.now, &frame);
+    hub.feed(Event::FrameReceived(Box::new(frame.clone())));
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame);
     node.now = node.now + millis(STOOD);
-    hub.pass(millis(STOOD));
+    hub.advance(millis(STOOD));
     hub.feed(listed(hub.now, leaving(5), 5, false));
     let request = node.arrive(plain("/list/1"));
     node.feed(Event::Replied(Some(Box::new(reply))));
@@ -193,7 +193,7 @@
     let later = |node: &Node, attempt: &Attempt| attempt.at > node.now + stood + millis(10);
     let mut waits = Vec::new();
     for _ in 0..60 {
-        let mut long = brief("m1");
+        let mut long = short_stream("m1");
         long.prompt.as_mut().expect("a prompt").tokens = 4_000;
         let id = node.arrive(long);
         if let Some(Step::Send(attempt)) = node.step(id)
@@ -204,9 +204,9 @@
     }
     assert!(!waits.is_empty(), "prompts should be spaced");
     node.now = node.now + stood;
-    let effects = node.pass(millis(10));
+    let effects = node.advance(millis(10));
     for id in &waits {
-        assert_eq!(step_of(&effects, *id), Some(Step::Wait), "{id}");
+        assert_eq!(step_of(&effects, *id), Some(Step::Hold), "{id}");
     }
 }
 
@@ -217,7 +217,7 @@
     node.lead();
     for _ in 0..20 {
         node.feed(listed(node.now, Vec::new(), 4, false));
-        node.now = node.now + Settings::default().departure.standstill();
+        node.now = node.now + Settings::default().departure_bound.stall_threshold();
         let (request, _) = node.sent(plain("/list/1"));
         node.ended(request, 1, End::Done);
     }
@@ -231,7 +231,7 @@
     node.lead();
     node.feed(listed(node.now, Vec::new(), 4, false));
     let (request, attempt) = node.sent(plain("/list/1"));
-    node.pass(millis(100));
+    node.advance(millis(100));
     node.now = node.now + millis(STOOD);
     let woken = node.feed(Event::Wake).to_vec();
     assert_eq!(step_of(&woken, request), None, "should not be sent again");
@@ -240,9 +240,9 @@
         "its engine should not be suspected"
     );
     let answered = node.ended(request, attempt.number, End::Done);
-    assert_eq!(answered, Some(Step::Pass), "its answer should go to the caller");
+    assert_eq!(answered, Some(Step::Forward), "its answer should go to the caller");
     node.feed(listed(node.now, Vec::new(), 4, false));
     let (request, _) = node.sent(plain("/list/2"));
-    let awake = node.pass(millis(1_500));
+    let awake = node.advance(millis(1_500));
     assert!(step_of(&awake, request).is_some(), "an engine that doesn't answer a running process is silent");
 }
--- a/fleet/tests/store/mod.rs
+++ b/fleet/tests/store/mod.rs
@@ -11,9 +11,9 @@
 use boragecove_core::time::Time;
 use boragecove_fleet::config::Config;
 use boragecove_fleet::engine::{Entry, Row};
-use boragecove_fleet::evacuation::{self, Word};
+use boragecove_fleet::evacuation::{self, Status};
 use boragecove_fleet::event::Listing;
-use boragecove_fleet::lease::{self, Call, Outcome, Seen};
+use boragecove_fleet::lease::{self, Call, Outcome, Versioned};
 use boragecove_fleet::revision::Revision;
 
 /// How long backup copies are kept.
@@ -68,7 +68,7 @@
 
     /// Executes a call concerning the lease.
     pub fn lease(&mut self, call: &Call) -> Outcome {
-        let seen = |era: u64, (version, row): &(u64, lease::Row)| Seen {
+        let seen = |era: u64, (version, row): &(u64, lease::Row)| Versioned {
             version: Revision::new(era, *version),
             row: row.clone(),
         };
@@ -156,9 +156,9 @@
         let words = self.content.evacuations.iter().filter_map(|(zone, (version, evacuated))| {
             let wanted = after.map_or(*evacuated, |after| *version > after.version);
             let revision = Revision::new(self.era, *version);
-            wanted.then(|| Word { zone: zone.clone(), revision, evacuated: *evacuated })
+            wanted.then(|| Status { zone: zone.clone(), revision, evacuated: *evacuated })
         });
-        evacuation::Listing { words: words.collect(), version: self.revision(), whole: after.is_none() }
+        evacuation::Listing { zones: words.collect(), version: self.revision(), whole: after.is_none() }
     }
 
     /// Makes a backup copy if the last one is old enough.
--- a/fleet/tests/store_drills.rs
+++ b/fleet/tests/store_drills.rs
@@ -36,8 +36,8 @@
 
 fn world(vms: usize, seed: u64) -> World {
     let mut world =
-        World::before(Store::in_era(1), vms, node::config(1), &engines(), Settings::default(), seed);
-    world.pass(Duration::from_secs(7));
+        World::with_store(Store::in_era(1), vms, node::config(1), &engines(), Settings::default(), seed);
+    world.advance(Duration::from_secs(7));
     world
 }
 
@@ -66,10 +66,10 @@
 fn disturb(world: &mut World, watch: &mut Departures, kind: u8, at: usize, back: Duration) {
     match kind {
         0..=8 => world.disturb(kind, at),
-        9 => (0..world.len()).for_each(|at| world.serve(at, false)),
+        9 => (0..world.len()).for_each(|at| world.set_store_access(at, false)),
         10 => (0..world.len()).for_each(|at| world.restart(at)),
         _ => {
-            world.drill(back);
+            world.restore_store(back);
             watch.drilled(world);
         }
     }
@@ -91,7 +91,7 @@
 /// Plays one random scenario. Returns the violations found and the steps played.
 fn play(u: &mut Unstructured<'_>, blind: bool) -> arbitrary::Result<(Vec<String>, Vec<String>)> {
     let mut world = world(u.int_in_range(3..=10)?, u.arbitrary()?);
-    world.blind = blind;
+    world.hides_era = blind;
     world.answers_lost = *u.choose(&[0.0, 0.0, 0.2])?;
     let mut steps = Vec::new();
     let mut watch = watch();
@@ -147,7 +147,7 @@
     let mut watch = watch();
     leave(&mut world, &mut watch, 2, true);
     watch.pass(&mut world, Duration::from_secs(2));
-    world.drill(Duration::from_secs(4));
+    world.restore_store(Duration::from_secs(4));
     watch.drilled(&world);
     watch.pass(&mut world, Duration::from_millis(100));
     let leader = world.leader().expect("there is one");
@@ -188,13 +188,13 @@
     let mut watch = watch();
     leave(&mut world, &mut watch, 1, false);
     watch.pass(&mut world, Duration::from_secs(4));
-    world.drill(Duration::from_secs(5));
+    world.restore_store(Duration::from_secs(5));
     watch.drilled(&world);
     let leader = world.leader().expect("there is one");
     world.kill(leader);
     watch.pass(&mut world, Duration::from_secs(9));
     assert!(world.leader().is_some());
-    world.drill(Duration::from_secs(3));
+    world.restore_store(Duration::from_secs(3));
     watch.drilled(&world);
     watch.pass(&mut world, Duration::from_secs(1));
     leave(&mut world, &mut watch, 2, true);
--- a/fleet/tests/store_readers.rs
+++ b/fleet/tests/store_readers.rs
@@ -19,9 +19,9 @@
     let rows: Vec<_> =
         (0..3).map(|at| row(at + 1, entry(&format!("g{at}"), GATEWAY, ZONES[at as usize], &[]))).collect();
     let mut world = World::new(vms, config(1), &rows, Settings::default(), seed);
-    world.paced = true;
+    world.long_polls = true;
     // Frames of hundreds of entry VMs are seconds apart.
-    world.pass(Duration::from_secs(12));
+    world.advance(Duration::from_secs(12));
     world
 }
 
@@ -45,7 +45,7 @@
 /// Measures the calls per second over an interval.
 fn calls_per_s(world: &mut World, time: Duration) -> f64 {
     let before = world.calls;
-    world.pass(time);
+    world.advance(time);
     (world.calls - before) as f64 / time.as_secs_f64()
 }
 
@@ -63,8 +63,8 @@
     for vms in [300, 600] {
         let mut world = world(vms, 2);
         let leader = world.leader().expect("a hub");
-        world.serve(leader, false);
-        world.pass(Duration::from_millis(1_300));
+        world.set_store_access(leader, false);
+        world.advance(Duration::from_millis(1_300));
         world.declare(config(2));
         let took = in_force(&mut world, 2, Duration::from_secs(5));
         let calls = calls_per_s(&mut world, Duration::from_secs(5));
@@ -80,9 +80,9 @@
     let mut world = world(300, 3);
     let leader = world.leader().expect("a hub");
     for at in (0..world.len()).filter(|at| at % 3 == leader % 3 || at % 7 == 0) {
-        world.serve(at, at % 2 == 1 && at != leader);
+        world.set_store_access(at, at % 2 == 1 && at != leader);
     }
-    world.pass(Duration::from_millis(1_300));
+    world.advance(Duration::from_millis(1_300));
     world.declare(config(2));
     let took = in_force(&mut world, 2, Duration::from_secs(5));
     assert!(took.is_some_and(|took| took <= Duration::from_secs(4)), "in force after {took:?}");
@@ -98,7 +98,7 @@
         let leader = world.leader().expect("a hub");
         world.kill(leader);
         let began = world.now;
-        world.pass(Duration::from_millis(200));
+        world.advance(Duration::from_millis(200));
         world.declare(config(2));
         let pushes = world.pushes;
         let took = in_force(&mut world, 2, Duration::from_secs(6));
@@ -120,8 +120,8 @@
 fn all_turned_away() {
     for vms in [300, 600] {
         let mut world = world(vms, 5);
-        (0..vms).for_each(|at| world.serve(at, false));
-        world.pass(Duration::from_secs(2));
+        (0..vms).for_each(|at| world.set_store_access(at, false));
+        world.advance(Duration::from_secs(2));
         let calls = calls_per_s(&mut world, Duration::from_secs(6));
         println!("{vms}: {calls} calls per second");
         assert!(calls <= 2.0 * CALLS_PER_S, "{vms}: {calls} calls per second");
--- a/fleet/tests/storm/mod.rs
+++ b/fleet/tests/storm/mod.rs
@@ -11,10 +11,10 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 use boragecove_fleet::effect::Effect;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::path::Relay;
-use boragecove_fleet::request::{Arrival, End, Events, Fingerprint, Id, Step};
+use boragecove_fleet::request::{Arrival, End, Fingerprint, Id, Step, Timing};
 use boragecove_fleet::schedule::Grant;
 
 use crate::links::{LARGE, Links, SMALL};
@@ -325,7 +325,7 @@
             }
             for (vm, effect) in wanted {
                 match effect {
-                    Effect::Ask { request, .. } => {
+                    Effect::Reserve { request, .. } => {
                         let grant = Some(Grant::After(Duration::ZERO));
                         self.links.feed(vm, Event::Granted { request, grant });
                     }
@@ -389,10 +389,10 @@
                     self.come_again(&known);
                 }
             }
-            Step::Pass => {
+            Step::Forward => {
                 self.requests.remove(&(vm, request));
             }
-            Step::Wait => {}
+            Step::Hold => {}
         }
     }
 
@@ -406,7 +406,7 @@
     }
 
     fn end(&mut self, run: &Run, end: End) {
-        let events = Events { unframed: self.settings.closes, ..Events::default() };
+        let events = Timing { unframed: self.settings.closes, ..Timing::default() };
         let ended = Event::Ended { request: run.request, attempt: run.attempt, end, events };
         self.links.feed(run.vm, ended);
     }
@@ -435,8 +435,8 @@
     }
 
     /// Result of a probe of an engine's port.
-    fn reach(&self, engine: &Name) -> Reach {
-        if self.engines.contains(engine) { Reach::Open } else { Reach::Closed }
+    fn reach(&self, engine: &Name) -> Port {
+        if self.engines.contains(engine) { Port::Open } else { Port::Closed }
     }
 
     fn tick(&mut self) {
--- a/fleet/tests/stream_builds.rs
+++ b/fleet/tests/stream_builds.rs
@@ -50,9 +50,9 @@
         (0..2 * EACH).map(|number| row(number as u64 + 1, engine(number, build(number)))).collect();
     let settings = Settings { repeat_ratio: 20.0, ..Settings::default() };
     let mut world = World::new(vms, node::config(1), &rows, settings, seed);
-    world.paced = true;
+    world.long_polls = true;
     world.backends = Some(Backends::new(&rows));
-    world.pass(Duration::from_secs(5));
+    world.advance(Duration::from_secs(5));
     world
 }
 
@@ -93,7 +93,7 @@
                 kill(world, part);
             }
             Trouble::StoreAway(part) if every(1_500) => {
-                (0..world.len()).for_each(|at| world.serve(at, step % 90 >= 45));
+                (0..world.len()).for_each(|at| world.set_store_access(at, step % 90 >= 45));
                 kill(world, part);
             }
             Trouble::Leaders(ms) if every(ms) => {
@@ -118,8 +118,8 @@
     }
     (0..world.len()).for_each(|at| world.suspend(at, false));
     (0..ZONES.len()).for_each(|zone| world.cut(zone, false));
-    (0..world.len()).for_each(|at| world.serve(at, true));
-    world.pass(Duration::from_secs(6));
+    (0..world.len()).for_each(|at| world.set_store_access(at, true));
+    world.advance(Duration::from_secs(6));
 }
 
 /// Crashes an engine and starts one with a new id, of `build` or of the same build as before.
@@ -169,9 +169,9 @@
     let (part, taken) = streams.gone_on();
     let (mixed, all, whole) = (streams.mixed(), streams.clients.len(), streams.whole());
     let (messages, told) = (0..vms)
-        .map(|at| world.state(at).streams_told())
+        .map(|at| world.state(at).stream_reports())
         .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    let kept = (0..vms).map(|at| world.state(at).streams_kept()).max().unwrap_or_default();
+    let kept = (0..vms).map(|at| world.state(at).streams_stored()).max().unwrap_or_default();
     let late = streams.refused_after().as_millis();
     println!(
         "{vms} {trouble:?}: {mixed} of {all} mixed, {whole:.3} complete, {part:.3} of {taken} resumed streams continued, {messages} messages with {told} origins, at most {kept} stored, refused within {late} ms"
@@ -228,7 +228,7 @@
 fn unread_builds_seen() {
     for trouble in [Trouble::Crashes(1_000), Trouble::Killed(0.34, 1_000)] {
         let mut world = mixed(6, 1);
-        world.unread_builds = true;
+        world.ignores_builds = true;
         (0..world.len()).for_each(|at| world.restart(at));
         let world = played_in(world, trouble);
         assert!(world.streams.mixed() > 2, "{trouble:?}: {} mixed", world.streams.mixed());
@@ -245,7 +245,7 @@
         let (part, taken) = world.streams.gone_on();
         assert!(taken >= 12, "{trouble:?}: {taken} were resumed");
         assert!(part >= GO_ON, "{trouble:?}: {part:.3} of {taken} continued");
-        let told: u64 = (0..world.len()).map(|at| world.state(at).streams_told().0).sum();
+        let told: u64 = (0..world.len()).map(|at| world.state(at).stream_reports().0).sum();
         assert_eq!(told, 0, "{trouble:?}");
     }
 }
@@ -272,9 +272,9 @@
     };
     world.stream(2 * SECOND, PER_S, EVENTS);
     assert_eq!(newer(&world), 0, "some entry VMs may not know the new build");
-    world.pass(3 * SECOND);
+    world.advance(3 * SECOND);
     world.stream(2 * SECOND, PER_S, EVENTS);
-    world.pass(SECOND);
+    world.advance(SECOND);
     assert!(newer(&world) > 10, "{} began there", newer(&world));
 }
 
@@ -287,15 +287,15 @@
     for number in (20..26).filter(|number| number % ZONES.len() != 0) {
         world.start_engine(engine(number, NEXT));
     }
-    world.pass(6 * SECOND);
+    world.advance(6 * SECOND);
     for number in (0..2 * EACH).filter(|number| number % ZONES.len() != 0) {
         world.crash_engine(&format!("w{number}"));
     }
     let client = world.begin_stream_at(1, EVENTS);
-    world.pass(SECOND);
+    world.advance(SECOND);
     assert_eq!(world.streams.builds_of(client).into_iter().collect::<Vec<_>>(), [Name::from(NEXT)]);
     world.move_stream(client, 1, 0);
-    world.pass(millis(200));
+    world.advance(millis(200));
     let taken = world.streams.taken.last().expect("the stream was resumed");
     let (code, after) = taken.refused.expect("the request was refused");
     assert_eq!(code, Code::OriginUnknown);
@@ -310,10 +310,10 @@
     for seed in 0..10 {
         let mut world = mixed(9, 20 + seed);
         let client = world.begin_stream_at(0, 200);
-        world.pass(SECOND);
+        world.advance(SECOND);
         for vm in 1..4 {
             world.move_stream(client, vm - 1, vm);
-            world.pass(SECOND);
+            world.advance(SECOND);
         }
         assert_eq!(world.streams.builds_of(client).len(), 1);
         assert!(world.streams.taken.iter().all(|taken| taken.went_on), "{:?}", world.streams.taken);
@@ -342,7 +342,7 @@
             }
         }
         world.heal();
-        world.pass(2 * SECOND);
+        world.advance(2 * SECOND);
         assert_eq!(world.streams.mixed(), 0, "of {}", world.streams.clients.len());
         Ok(())
     })
@@ -359,13 +359,13 @@
     let time = 4 * SECOND;
     for vms in sizes.split(',').filter_map(|text| text.parse().ok()) {
         let mut world = mixed(vms, 9);
-        world.pass(Duration::from_secs(if vms > 100 { 8 } else { 0 }));
+        world.advance(Duration::from_secs(if vms > 100 { 8 } else { 0 }));
         world.stream(time, per_s, EVENTS);
-        let told = (0..vms).map(|at| world.state(at).streams_told());
+        let told = (0..vms).map(|at| world.state(at).stream_reports());
         let (messages, streams) = told.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let begun = world.streams.clients.len() as f64;
         let each = messages as f64 / begun;
-        let kept = (0..vms).map(|at| world.state(at).streams_kept()).max().unwrap_or_default();
+        let kept = (0..vms).map(|at| world.state(at).streams_stored()).max().unwrap_or_default();
         println!(
             "{vms} entry VMs, {per_s} streams a second: {each:.1} messages and {:.1} origins sent per stream, {:.1} messages a second by each, {kept} stored at most",
             streams as f64 / begun,
--- a/fleet/tests/stream_pins.rs
+++ b/fleet/tests/stream_pins.rs
@@ -5,11 +5,11 @@
 
 use boragecove_core::code::Code;
 use boragecove_core::name::Name;
-use boragecove_fleet::config::{Route, Share};
+use boragecove_fleet::config::{Destination, Route};
 use boragecove_fleet::engine::{Entry, Incarnation, Row};
 use boragecove_fleet::event::Event;
 use boragecove_fleet::lease;
-use boragecove_fleet::pin::{Note, Origin, Report, Seen};
+use boragecove_fleet::pin::{Announcement, Origin, Report, Seen};
 use boragecove_fleet::request::{Arrival, Attempt, Cause, End, Id, Refusal, Resumption, Step, Stream};
 use node::{
     BUILD, GATEWAY, Node, WRITER, began, config, entry, hub_row, lease_calls, listed, listing, millis,
@@ -81,7 +81,7 @@
         None,
         "the only engine of its build does not hold the model"
     );
-    node.pass(millis(100));
+    node.advance(millis(100));
     let effects = node.feed(listing(vec![row(7, writer("w4", Some(BUILD)))], 7, false)).to_vec();
     assert_eq!(sent_to(step_of(&effects, id)), Name::from("w4"));
 }
@@ -129,11 +129,11 @@
 fn noted(node: &mut Node, streams: impl Iterator<Item = u64>, build: &str) {
     let streams = streams.map(|number| Stream::of(&number.to_string())).collect();
     let origin = Origin { service: WRITER.into(), build: Some(build.into()) };
-    boragecove_fleet::keep(&mut node.state, node.now, vec![Note { origin, streams }]);
+    boragecove_fleet::store_origins(&mut node.state, node.now, vec![Announcement { origin, streams }]);
 }
 
 fn build_of(node: &Node, stream: u64) -> Option<Name> {
-    boragecove_fleet::origin(&node.state, Stream::of(&stream.to_string()))?.build
+    boragecove_fleet::stream_origin(&node.state, Stream::of(&stream.to_string()))?.build
 }
 
 /// Two attempts with the same id began at two builds: it is unknown which of them a client means.
@@ -154,7 +154,7 @@
         noted(&mut node, 0..1, BUILD);
         noted(&mut node, streams, BUILD);
     }
-    assert!(node.state.streams_kept() <= 65_536, "{} are stored", node.state.streams_kept());
+    assert!(node.state.streams_stored() <= 65_536, "{} are stored", node.state.streams_stored());
     assert_eq!(build_of(&node, 0), Some(BUILD.into()));
     assert_eq!(build_of(&node, 1), None);
     assert_eq!(build_of(&node, 119_999), Some(BUILD.into()));
@@ -166,7 +166,7 @@
     let mut node = knowing(&[writer("w1", Some(BUILD)), writer("w2", Some(NEXT))]);
     for stream in [None, Some(Stream::of("gone"))] {
         let resumes = Some(Resumption { stream });
-        let refusal = node.refused(Arrival { resumes, ..streamed("/digest/1", "m0", None) });
+        let refusal = node.refused(Arrival { resumption: resumes, ..streamed("/digest/1", "m0", None) });
         assert_eq!((refusal.code, refusal.code.status()), (Code::OriginUnknown, 503));
         assert!(refusal.retry_after.is_some());
     }
@@ -178,7 +178,7 @@
 fn service_kept() {
     let split = |services: &[&str]| {
         let mut config = config(2 + services.len() as u64);
-        let share = |service: &&str| Share { service: (*service).into(), weight: 1 };
+        let share = |service: &&str| Destination { service: (*service).into(), weight: 1 };
         let digest = Route { split: services.iter().map(share).collect(), ..(*config.routes[1]).clone() };
         config.routes[1] = Arc::new(digest);
         Event::Configured(Arc::new(config))
@@ -187,7 +187,7 @@
     node.feed(split(&[GATEWAY, WRITER]));
     noted(&mut node, 0..1, BUILD);
     let resumes = Some(Resumption { stream: Some(Stream::of("0")) });
-    let arrival = Arrival { resumes, ..streamed("/digest/1", "m0", None) };
+    let arrival = Arrival { resumption: resumes, ..streamed("/digest/1", "m0", None) };
     for _ in 0..6 {
         assert_eq!(*node.sent(arrival.clone()).1.engine, *"w1");
     }
@@ -213,7 +213,7 @@
     before.row.builds = Some(Box::new(report));
     let mut node = Node::bare("a");
     node.feed(Event::Configured(Arc::new(config(1))));
-    node.pass(millis(10));
+    node.advance(millis(10));
     let store_ms = before.row.until_ms + 500;
     node.lease(store_ms, lease::Outcome::Read(Some(before)));
     let row = lease_calls(&node.effects).into_iter().find_map(|call| match call {
@@ -230,7 +230,7 @@
     let asked = node.now;
     node.feed(listed(asked, rows, 2, true));
     let resumes = Some(Resumption { stream: None });
-    node.sent(Arrival { resumes, ..streamed("/digest/1", "m0", None) });
+    node.sent(Arrival { resumption: resumes, ..streamed("/digest/1", "m0", None) });
 }
 
 fn row_of(version: u64, id: &str) -> Row {
@@ -246,10 +246,10 @@
     let mut node = knowing(&[]);
     let asked = node.now;
     node.feed(listed(asked, vec![row_of(1, "w1"), row_of(2, "w2")], 2, true));
-    node.pass(millis(10));
+    node.advance(millis(10));
     let store_ms = before.row.until_ms + 500;
     node.lease(store_ms, lease::Outcome::Read(Some(before)));
     let resumes = Some(Resumption { stream: None });
-    let refusal = node.refused(Arrival { resumes, ..streamed("/digest/1", "m0", None) });
+    let refusal = node.refused(Arrival { resumption: resumes, ..streamed("/digest/1", "m0", None) });
     assert_eq!(refusal.code, Code::OriginUnknown);
 }
--- a/fleet/tests/workspace_limits.rs
+++ b/fleet/tests/workspace_limits.rs
@@ -18,7 +18,7 @@
 use boragecove_fleet::request::Arrival;
 use boragecove_fleet::settings::Settings;
 use node::{GATEWAY, entry, plain, row};
-use world::{Done, World, ZONES};
+use world::{Completion, World, ZONES};
 
 /// The platform's bound: window over which usage is counted.
 const WINDOW: Duration = Duration::from_secs(8);
@@ -52,7 +52,7 @@
 fn config(version: u64, factor: impl Fn(usize) -> f64) -> Config {
     let workspace = |at: usize| {
         let per_s = per_s(at) * factor(at);
-        let limit = Limit { per_s, burst: per_s, unit: Unit::Tokens { unsaid: 200.0 } };
+        let limit = Limit { per_s, burst: per_s, unit: Unit::Tokens { default_tokens: 200.0 } };
         Arc::new(Workspace { name: name(at), priority: None, limit: Some(limit), ..Workspace::default() })
     };
     let key = |at: usize| Arc::new(Key { digest: digest(at), workspace: name(at) });
@@ -104,11 +104,11 @@
 
 /// The most that any workspace used in any window beyond the platform's bound; negative if none exceeded
 /// it.
-fn worst_excess(outcomes: &[Done], limits: &[(Time, Config)]) -> (f64, Name) {
+fn worst_excess(outcomes: &[Completion], limits: &[(Time, Config)]) -> (f64, Name) {
     let mut worst = (f64::MIN, Name::default());
     for at in 0..WORKSPACES {
         let workspace = name(at);
-        let sent: Vec<&Done> =
+        let sent: Vec<&Completion> =
             outcomes.iter().filter(|done| done.refused.is_none() && done.workspace == workspace).collect();
         let mut first = 0;
         let mut sum = 0.0;
@@ -142,7 +142,7 @@
 /// Units admitted, as a part of what a single bucket for all entry VMs would have admitted, in total and by
 /// workspace. Requests are not compared one by one: one that is admitted on credit takes the place of
 /// another.
-fn below_limit(outcomes: &[Done]) -> (f64, Vec<f64>) {
+fn below_limit(outcomes: &[Completion]) -> (f64, Vec<f64>) {
     let mut owed = [0.0; WORKSPACES];
     let mut sent = [0.0; WORKSPACES];
     for at in 0..WORKSPACES {
@@ -165,7 +165,7 @@
 }
 
 /// Part of the requests that were admitted.
-fn let_in<'a>(outcomes: impl Iterator<Item = &'a Done>) -> f64 {
+fn let_in<'a>(outcomes: impl Iterator<Item = &'a Completion>) -> f64 {
     let (mut all, mut sent) = (0_u32, 0_u32);
     for done in outcomes {
         all += 1;
@@ -176,7 +176,7 @@
 
 fn started(vms: usize, seed: u64) -> World {
     let mut world = world(vms, seed);
-    world.pass(Duration::from_secs(6));
+    world.advance(Duration::from_secs(6));
     world
 }
 
@@ -199,11 +199,11 @@
 fn large_requests() {
     let mut world = started(62, 10);
     for (cost, refused) in [(4_000, None), (4_500, Some(Code::OverQuota))] {
-        world.pass(Duration::from_secs(6));
+        world.advance(Duration::from_secs(6));
         let arrival = Arrival { key: Some(digest(0)), tokens: Some(cost), ..plain("/ack/1") };
         let begin = world.now;
         world.arrive(7, &name(0), cost as f64, arrival);
-        world.pass(Duration::from_millis(400));
+        world.advance(Duration::from_millis(400));
         let done = world.outcomes.last().expect("an outcome");
         assert_eq!(done.refused, refused, "{cost}");
         assert!(refused.is_none() || done.at.since(begin) < Duration::from_millis(20));
@@ -214,12 +214,12 @@
 #[test]
 fn hostile_questions() {
     let mut world = started(3, 11);
-    world.pass(Duration::from_secs(6));
+    world.advance(Duration::from_secs(6));
     let mut given = 0.0;
     for at in 0..world.len() {
         for cost in [f64::NAN, -1e9, 0.0, f64::INFINITY, 1e12, 1e12] {
-            let draw = Draw { workspace: name(0), cost, ahead: f64::INFINITY, asked: f64::NAN };
-            if let Credit::Given(units) = world.draw(at, &draw) {
+            let draw = Draw { workspace: name(0), cost, prefetch: f64::INFINITY, demand: f64::NAN };
+            if let Credit::Granted(units) = world.draw(at, &draw) {
                 assert!(units >= 0.0, "{units}");
                 given += units;
             }
@@ -247,8 +247,8 @@
     assert!(per_second >= 0.95 * allowed, "{per_second} of {allowed}");
     let (excess, workspace) = worst_excess(&world.outcomes, &[(Time(0), config(1, |_| 1.0))]);
     assert!(excess <= 0.0, "{workspace}: {excess}");
-    let unlimited: Vec<Done> =
-        world.outcomes.iter().map(|done| Done { refused: None, ..done.clone() }).collect();
+    let unlimited: Vec<Completion> =
+        world.outcomes.iter().map(|done| Completion { refused: None, ..done.clone() }).collect();
     let (excess, found) = worst_excess(&unlimited, &[(Time(0), config(1, |_| 1.0))]);
     assert!(excess > 0.0 && found == name(hot), "the check must find an excess if nothing is refused");
     let refused = during.iter().filter_map(|done| done.refused);
@@ -302,11 +302,11 @@
     for at in 0..world.len() {
         world.kill(at);
     }
-    world.pass(Duration::from_secs(1));
+    world.advance(Duration::from_secs(1));
     for at in (0..world.len()).filter(|at| Some(*at) != but) {
         world.restart(at);
     }
-    world.pass(Duration::from_secs(4));
+    world.advance(Duration::from_secs(4));
     let begin = world.outcomes.len();
     run(world, Duration::from_secs(4), |_| USUAL);
     let_in(world.outcomes[begin..].iter())
@@ -362,7 +362,7 @@
         0 => world.kill(at),
         1 => world.suspend(at, true),
         2 => world.cut(at % ZONES.len(), true),
-        3 => world.serve(at, false),
+        3 => world.set_store_access(at, false),
         4 => {
             if let Some(leader) = world.leader() {
                 world.kill(leader);
@@ -375,7 +375,7 @@
         }
         6 => {
             if let Some(leader) = world.leader() {
-                world.serve(leader, false);
+                world.set_store_access(leader, false);
             }
         }
         _ => world.restart(at),
@@ -386,7 +386,7 @@
 /// if none exceeded it.
 fn play(u: &mut Unstructured<'_>) -> arbitrary::Result<(f64, Name)> {
     let mut world = world(13, u.arbitrary()?);
-    world.pass(Duration::from_secs(6));
+    world.advance(Duration::from_secs(6));
     if u.ratio(1, 2)? {
         world.turned_away = 0.3;
     }
@@ -414,7 +414,7 @@
                     world.cut(leader % ZONES.len(), true);
                 }
             }
-            11 => world.drill(Duration::from_millis(u.int_in_range(0..=6_000)?)),
+            11 => world.restore_store(Duration::from_millis(u.int_in_range(0..=6_000)?)),
             kind => disturb(&mut world, kind, at),
         }
         let ms = u.int_in_range(200..=4_000)?;
@@ -446,8 +446,8 @@
 /// the bound.
 fn cut_with_the_leader(forgetful: bool) -> f64 {
     let mut world = world(13, 9);
-    world.forgetful = forgetful;
-    world.pass(Duration::from_secs(6));
+    world.forgets_shares = forgetful;
+    world.advance(Duration::from_secs(6));
     run(&mut world, Duration::from_secs(4), |_| 8.0 * USUAL);
     let zone = world.leader().expect("a hub") % ZONES.len();
     world.cut(zone, true);
@@ -473,13 +473,13 @@
 /// bound.
 fn holders_lost_by_the_store(blind: bool) -> f64 {
     let mut world = world(3, 9);
-    world.blind = blind;
+    world.hides_era = blind;
     run(&mut world, Duration::from_secs(6), |_| USUAL);
     (0..10).for_each(|_| world.add());
     run(&mut world, Duration::from_secs(7), |_| 8.0 * USUAL);
     let leader = world.leader().expect("a hub");
     (3..world.len()).for_each(|at| world.isolate(at, true));
-    world.drill(Duration::from_secs(8));
+    world.restore_store(Duration::from_secs(8));
     world.restart(leader);
     run(&mut world, Duration::from_secs(12), |_| 8.0 * USUAL);
     worst_excess(&world.outcomes, &[(Time(0), config(1, |_| 1.0))]).0
--- a/fleet/tests/world/backends.rs
+++ b/fleet/tests/world/backends.rs
@@ -7,9 +7,9 @@
 use boragecove_core::time::Time;
 use boragecove_fleet::engine::{Entry, Row};
 use boragecove_fleet::event::Event;
-use boragecove_fleet::intake::Intake;
-use boragecove_fleet::notice::{Asked, Bearing, Notice, Start};
-use boragecove_fleet::request::{Attempt, End, Events, Id};
+use boragecove_fleet::notice::{AnsweredRequest, Notice, Start, Tolerance};
+use boragecove_fleet::rate_limit::Rate;
+use boragecove_fleet::request::{Attempt, End, Id, Timing};
 
 use super::brittle::Brittle;
 use super::repeats::Repeats;
@@ -31,15 +31,15 @@
 
 /// A request that reached an engine.
 #[derive(Clone, Debug)]
-pub struct Reached {
+pub struct Arrived {
     pub at: Time,
     pub vm: usize,
     /// The entry VM that relayed it.
     pub relay: Option<usize>,
     /// Since when the entry VM had known the limit then announced by the engine; `None` if it had not.
-    pub told: Option<Time>,
+    pub limit_known_since: Option<Time>,
     /// When the entry VM or the store was last disturbed; `None` while the entry VM is cut off.
-    pub calm: Option<Time>,
+    pub undisturbed_since: Option<Time>,
 }
 
 /// A limit announced by an engine.
@@ -55,7 +55,7 @@
     zones: BTreeMap<Name, Name>,
     in_need: BTreeMap<Name, Need>,
     told: BTreeMap<(usize, Name), Time>,
-    reached: BTreeMap<Name, Vec<Reached>>,
+    reached: BTreeMap<Name, Vec<Arrived>>,
     /// The attempt to be sent for each request.
     pub(super) current: BTreeMap<(usize, Id), u32>,
     /// The engine that last ran each request.
@@ -81,7 +81,7 @@
     }
 
     /// All requests that reached engines, with the engine's id and zone.
-    pub fn all(&self) -> impl Iterator<Item = (&Name, &str, &Reached)> {
+    pub fn all(&self) -> impl Iterator<Item = (&Name, &str, &Arrived)> {
         let zone = |engine: &Name| self.zones.get(engine).map_or("", |zone| zone);
         self.reached
             .iter()
@@ -91,7 +91,7 @@
 
 impl World {
     /// Sets or removes the limit that an engine announces.
-    pub fn need(&mut self, engine: &str, per_s: Option<f64>) {
+    pub fn set_limit(&mut self, engine: &str, per_s: Option<f64>) {
         let since = self.now;
         let backends = self.backends.as_mut().expect("engines");
         backends.told.retain(|(_, told), _| **told != *engine);
@@ -102,7 +102,7 @@
     }
 
     /// Number of requests that have reached an engine since then.
-    pub fn reached(&self, engine: &str, since: Time) -> usize {
+    pub fn arrivals(&self, engine: &str, since: Time) -> usize {
         let reached = self.backends.as_ref().and_then(|backends| backends.reached.get(engine));
         reached.map_or(0, |all| all.iter().filter(|one| one.at >= since).count())
     }
@@ -122,7 +122,7 @@
     }
 
     /// Number of requests that ran more often than allowed: once, or as often as their route has attempts.
-    pub fn doubled(&self) -> usize {
+    pub fn over_repeated(&self) -> usize {
         self.ran_beyond(|once| if once { 1 } else { ATTEMPTS })
     }
 
@@ -140,7 +140,7 @@
         let Some(need) = backends.in_need.get(engine) else {
             return f64::NEG_INFINITY;
         };
-        let counted = |one: &&Reached| one.told.is_some_and(|told| one.at.since(told) >= TOLD);
+        let counted = |one: &&Arrived| one.limit_known_since.is_some_and(|told| one.at.since(told) >= TOLD);
         let reached = backends.reached.get(engine).into_iter().flatten();
         let times: Vec<Time> =
             reached.filter(|one| one.at >= need.since).filter(counted).map(|one| one.at).collect();
@@ -202,7 +202,13 @@
         let told = backends.told.get(&(vm, engine.clone())).copied();
         backends.engine_of.insert((vm, request), engine.clone());
         *backends.runs.entry((vm, request)).or_default() += 1;
-        backends.reached.entry(engine).or_default().push(Reached { at: now, vm, relay, told, calm });
+        backends.reached.entry(engine).or_default().push(Arrived {
+            at: now,
+            vm,
+            relay,
+            limit_known_since: told,
+            undisturbed_since: calm,
+        });
         self.post(vm, vm, HEAD_MS, Load::Head(request, attempt.clone(), now));
     }
 
@@ -218,15 +224,18 @@
         if need.is_none() && !attempt.limited && brittle.is_none() {
             return;
         }
-        let intake = need.map_or(Intake::Open, |need| Intake::Limited(need.per_s));
-        let brittle = brittle.map_or(Bearing::Sound, Bearing::Brittle);
-        let notice = Notice { intake, brittle, ..Notice::default() };
+        let intake = need.map_or(Rate::Unlimited, |need| Rate::PerSecond(need.per_s));
+        let brittle = brittle.map_or(Tolerance::Unlimited, Tolerance::PerSecond);
+        let notice = Notice { rate_limit: intake, rejection_limit: brittle, ..Notice::default() };
         let from = Start { engine: attempt.engine.clone(), incarnation: attempt.incarnation };
-        self.feed(vm, Event::Noticed { from, notice, asked: Some(Asked { request, at }) });
+        self.feed(
+            vm,
+            Event::NoticeReceived { from, notice, asked: Some(AnsweredRequest { request, sent_at: at }) },
+        );
     }
 
     pub(super) fn ended(&mut self, vm: usize, request: Id, attempt: u32, end: End) {
-        self.feed(vm, Event::Ended { request, attempt, end, events: Events::default() });
+        self.feed(vm, Event::Ended { request, attempt, end, events: Timing::default() });
     }
 
     /// Drops an entry VM's knowledge of limits and its requests under way, since it was killed.
--- a/fleet/tests/world/departures.rs
+++ b/fleet/tests/world/departures.rs
@@ -104,7 +104,7 @@
     pub fn pass(&mut self, world: &mut World, time: Duration) {
         let end = world.now + time;
         while world.now < end {
-            world.pass(LOOK_EVERY.min(end.since(world.now)));
+            world.advance(LOOK_EVERY.min(end.since(world.now)));
             self.look(world);
         }
     }
@@ -120,7 +120,7 @@
         let gone: BTreeSet<&String> = self.taken.keys().chain(self.heard.keys()).collect();
         for engine in gone {
             let key = (at, world.start_of(at), engine.clone());
-            if !world.believes_in(at, engine) {
+            if !world.would_send_to(at, engine) {
                 if self.believed.contains(&key) {
                     self.knows.insert(key);
                 }
@@ -160,7 +160,7 @@
     fn look_at_sound(&mut self, world: &World, at: usize) {
         let calm = world.calm_since(at).map(|since| world.now.since(since)).unwrap_or_default();
         for engine in &self.stay {
-            if world.believes_in(at, engine) {
+            if world.would_send_to(at, engine) {
                 self.believed.insert((at, world.start_of(at), engine.clone()));
             } else if calm >= self.contact * 2 {
                 self.faults
@@ -182,30 +182,30 @@
         };
         let from = Start { engine: engine.into(), incarnation };
         let notice = Notice { leaving: true, ..Notice::default() };
-        self.feed(at, Event::Noticed { from, notice, asked: None });
+        self.feed(at, Event::NoticeReceived { from, notice, asked: None });
     }
 
     /// Number of running entry VMs that would send requests to an engine.
     pub fn believers(&self, engine: &str) -> usize {
-        (0..self.len()).filter(|at| self.is_running(*at) && self.believes_in(*at, engine)).count()
+        (0..self.len()).filter(|at| self.is_running(*at) && self.would_send_to(*at, engine)).count()
     }
 
     pub(super) fn mute_push(&self, message: &mut Message) {
-        if matches!(self.mute, Some(Mute::Pushes | Mute::Hub)) {
-            message.departures.clear();
-            message.departed.clear();
+        if matches!(self.silenced_departures, Some(Mute::Pushes | Mute::Hub)) {
+            message.departure_rows.clear();
+            message.departing.clear();
         }
     }
 
     pub(super) fn mute_frame(&self, frame: &mut Frame) {
-        if self.mute == Some(Mute::Frames) {
+        if self.silenced_departures == Some(Mute::Frames) {
             frame.departures.clear();
-            frame.reading.rows.clear();
+            frame.store_reading.rows.clear();
         }
     }
 
     pub(super) fn mute_reply(&self, reply: &mut Reply) {
-        if matches!(self.mute, Some(Mute::Replies | Mute::Hub)) {
+        if matches!(self.silenced_departures, Some(Mute::Replies | Mute::Hub)) {
             reply.departures.clear();
             reply.rows.retain(|row| row.entry.as_ref().is_some_and(|entry| !entry.leaving));
         }
--- a/fleet/tests/world/losses.rs
+++ b/fleet/tests/world/losses.rs
@@ -10,7 +10,7 @@
 
 /// The channel by which a message travels.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Road {
+pub enum Channel {
     /// The store's response to the long poll of an entry VM.
     Feed,
     /// An entry VM's frame.
@@ -25,7 +25,7 @@
     Lease,
 }
 
-impl Road {
+impl Channel {
     pub const ALL: [Self; 6] =
         [Self::Feed, Self::Frame, Self::Reply, Self::Push, Self::PushAnswer, Self::Lease];
 }
@@ -33,14 +33,14 @@
 /// The message to be lost: the next one on a channel from or to an entry VM.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Loss {
-    pub road: Road,
+    pub channel: Channel,
     pub vm: usize,
 }
 
 impl World {
     /// Whether the message that arrives now is the one to be lost.
-    pub(super) fn loses(&mut self, road: Road, vm: usize) -> bool {
-        let lost = self.loss == Some(Loss { road, vm });
+    pub(super) fn loses(&mut self, road: Channel, vm: usize) -> bool {
+        let lost = self.loss == Some(Loss { channel: road, vm });
         if lost {
             self.loss = None;
             self.lost += 1;
@@ -51,7 +51,7 @@
     /// Asks the store for changes at once.
     pub(super) fn refresh(&mut self, at: usize, after: Revision, limit: Duration) {
         if !self.vms[at].served || self.vms[at].side != 0 {
-            let event = Event::Unread;
+            let event = Event::RefreshFailed;
             return self.post(at, at, limit.as_millis() as u64, Load::Event(Box::new(event)));
         }
         let listing = self.store.engines(self.now, Some(after));
@@ -61,9 +61,9 @@
 
     /// Resumes an entry VM after a stall. Its requests may be read before anything else, or after.
     pub(super) fn go_on(&mut self, at: usize) {
-        if self.credulous {
+        if self.trusts_stale_state {
             self.feed(at, Event::Wake);
-            self.feed(at, Event::Unread);
+            self.feed(at, Event::RefreshFailed);
         } else if self.rng.bool() {
             return;
         }
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -31,18 +31,18 @@
 use boragecove_fleet::event::{Event, Listing};
 use boragecove_fleet::frame::{Frame, Reply};
 use boragecove_fleet::lease::Answer;
-use boragecove_fleet::pin::{Note, Origin};
+use boragecove_fleet::pin::{Announcement, Origin};
 use boragecove_fleet::push::{Message, Push};
 use boragecove_fleet::quota::{Credit, Draw};
 use boragecove_fleet::request::{Arrival, Attempt, End, Id, Stream};
 use boragecove_fleet::revision::Revision;
-use boragecove_fleet::schedule::{Ask, Grant};
+use boragecove_fleet::schedule::{Grant, ReservationRequest};
 use boragecove_fleet::settings::Settings;
 use boragecove_fleet::state::Identity;
 
 use crate::node::{BUILD, plain};
 
-pub use backends::{Backends, Reached};
+pub use backends::{Arrived, Backends};
 
 use departures::Mute;
 use losses::Loss;
@@ -67,7 +67,7 @@
 
 /// The result of a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Done {
+pub struct Completion {
     /// When its caller sent it.
     pub asked: Time,
     /// When the result was known.
@@ -84,7 +84,7 @@
     pub now: Time,
     pub rng: fastrand::Rng,
     pub config: Arc<Config>,
-    pub outcomes: Vec<Done>,
+    pub outcomes: Vec<Completion>,
     vms: Vec<Vm>,
     pub store: Store,
     /// The current entry of each engine, whatever the store has lost; `None` for an engine that is gone.
@@ -102,37 +102,37 @@
     /// Fraction of pushes that are lost unnoticed, as when their sender dies at the same time.
     pub pushes_lost: f64,
     /// Whether entry VMs follow the store with their own pauses, and the store answers their calls as long polls.
-    pub paced: bool,
+    pub long_polls: bool,
     /// Number of calls to the store for its tables, if these are long polls.
     pub calls: usize,
     /// Number of messages pushed.
     pub pushes: usize,
     /// Number of queries whether another entry VM reaches an engine.
-    pub asks: usize,
+    pub path_queries: usize,
     /// Number of runs cut off by the crash of an engine, as entry VMs report it.
-    pub accused: usize,
+    pub reported_crashes: usize,
     /// The next message to be lost.
     pub loss: Option<Loss>,
     /// Number of messages lost that way.
     pub lost: usize,
     /// The entry VM that sent the last frame: it has the longest time until its next one.
-    pub framed: usize,
+    pub last_frame_from: usize,
     /// Injected fault: additional time for which the overdue response to a long poll is waited for.
-    pub patient: Duration,
+    pub long_poll_patience: Duration,
     /// Injected fault: entry VMs use old data after a stall.
-    pub credulous: bool,
+    pub trusts_stale_state: bool,
     /// Injected fault: the row of the lease contains neither shares nor repeats.
-    pub forgetful: bool,
+    pub forgets_shares: bool,
     /// Injected fault: each query for a slot is granted at once.
-    pub lax: bool,
+    pub grants_immediately: bool,
     /// Injected fault: the store's era is hidden.
-    pub blind: bool,
+    pub hides_era: bool,
     /// Injected fault: all engines seem to run one build.
-    pub unread_builds: bool,
+    pub ignores_builds: bool,
     /// Injected fault: evacuations are ignored.
-    pub deaf: bool,
+    pub ignores_evacuations: bool,
     /// Injected fault: entry VMs omit leaving engines from some of their messages.
-    pub mute: Option<Mute>,
+    pub silenced_departures: Option<Mute>,
     /// Times in which an entry VM was allowed to give orders, with its fencing number.
     pub orderers: Vec<Orderer>,
     /// Engines that answer. Without them a request is done as soon as it is sent.
@@ -205,9 +205,9 @@
     Draw(Id, Draw),
     Credit(Id, Name, Option<Credit>),
     /// A query for a repeat, and when it was made.
-    Permit(Id, Time, budget::Ask),
+    Permit(Id, Time, budget::PermitRequest),
     Permitted(Id, Time, Option<Permit>),
-    Ask(Id, Ask),
+    Ask(Id, ReservationRequest),
     Grant(Id, Option<Grant>),
     Send(Id, Attempt),
     /// The head of the answer to an attempt, and when that was sent.
@@ -219,7 +219,7 @@
     Pass(Id, Attempt),
     /// The end of an attempt that got no answer, unless one has arrived.
     Unanswered(Id, u32, End),
-    Note(Vec<Note>),
+    Note(Vec<Announcement>),
     /// A query for the origin of a stream, and the answer of an entry VM.
     Trace(Id, Stream),
     Traced(Id, usize, Option<Origin>),
@@ -255,11 +255,11 @@
         settings: Settings,
         seed: u64,
     ) -> Self {
-        Self::before(Store::default(), vms, config, rows, settings, seed)
+        Self::with_store(Store::default(), vms, config, rows, settings, seed)
     }
 
     /// The same with a given store, which may have been restored from copies already.
-    pub fn before(
+    pub fn with_store(
         store: Store,
         vms: usize,
         config: Config,
@@ -284,22 +284,22 @@
             turned_away: 0.0,
             answers_lost: 0.0,
             pushes_lost: 0.0,
-            paced: false,
+            long_polls: false,
             calls: 0,
             pushes: 0,
-            asks: 0,
-            accused: 0,
+            path_queries: 0,
+            reported_crashes: 0,
             loss: None,
             lost: 0,
-            framed: 0,
-            patient: Duration::ZERO,
-            credulous: false,
-            forgetful: false,
-            lax: false,
-            blind: false,
-            unread_builds: false,
-            deaf: false,
-            mute: None,
+            last_frame_from: 0,
+            long_poll_patience: Duration::ZERO,
+            trusts_stale_state: false,
+            forgets_shares: false,
+            grants_immediately: false,
+            hides_era: false,
+            ignores_builds: false,
+            ignores_evacuations: false,
+            silenced_departures: None,
             orderers: Vec::new(),
             backends: None,
             streams: Streams::default(),
@@ -338,9 +338,10 @@
     /// Number of requests that reached an engine of an evacuated zone later than `bound` after the start of the
     /// evacuation and after the last disturbance of the entry VM that sent them.
     pub fn sent_to_evacuated(&self, bound: Duration) -> usize {
-        let broken = |zone: &str, one: &Reached| {
+        let broken = |zone: &str, one: &Arrived| {
             self.evacuated.iter().any(|(of, from, until)| {
-                let in_touch = one.calm.is_some_and(|calm| one.at.since(calm.max(*from)) > bound);
+                let in_touch =
+                    one.undisturbed_since.is_some_and(|calm| one.at.since(calm.max(*from)) > bound);
                 ZONES[*of] == zone && one.at > *from && until.is_none_or(|until| one.at < until) && in_touch
             })
         };
@@ -364,7 +365,7 @@
 
     /// Restores the store from a copy that is this old. What it loses is written again within the time that the
     /// platform guarantees.
-    pub fn drill(&mut self, back: Duration) {
+    pub fn restore_store(&mut self, back: Duration) {
         self.store.restore(self.now, back);
         self.drilled = Some(self.now);
         self.rewrites.clear();
@@ -407,7 +408,7 @@
     fn note_orderers(&mut self) {
         let now = self.now;
         for (vm, state) in self.vms.iter().enumerate().filter(|(_, vm)| vm.running && !vm.suspended) {
-            let Some(term) = state.state.lease().orders(now) else {
+            let Some(term) = state.state.lease().ordering_term(now) else {
                 continue;
             };
             let last = self.orderers.iter_mut().rev().find(|last| last.vm == vm && last.term == term);
@@ -455,30 +456,30 @@
         let words = self.seen_words(self.store.evacuations(None));
         self.feed(at, Event::Evacuations(words));
         let listing = self.seen(self.store.engines(self.now, None));
-        self.feed(at, Event::Listed(listing));
+        self.feed(at, Event::EnginesRead(listing));
     }
 
     /// The era that readers of the store see.
     fn seen_era(&self) -> u64 {
-        if self.blind { 0 } else { self.store.era() }
+        if self.hides_era { 0 } else { self.store.era() }
     }
 
     /// The rows about availability zones that readers of the store see.
     fn seen_words(&self, mut listing: evacuation::Listing) -> evacuation::Listing {
-        if self.blind {
+        if self.hides_era {
             listing.version.era = 0;
-            listing.words.iter_mut().for_each(|word| word.revision.era = 0);
+            listing.zones.iter_mut().for_each(|word| word.revision.era = 0);
         }
         listing
     }
 
     /// The engine table that readers of the store see.
     fn seen(&self, mut listing: Listing) -> Listing {
-        if self.blind {
+        if self.hides_era {
             listing.version.era = 0;
             listing.rows.iter_mut().for_each(|row| row.version.era = 0);
         }
-        if self.unread_builds {
+        if self.ignores_builds {
             let entries = listing.rows.iter_mut().filter_map(|row| row.entry.as_mut());
             entries.for_each(|entry| entry.build = Some(BUILD.into()));
         }
@@ -505,7 +506,7 @@
     pub fn leader(&self) -> Option<usize> {
         self.vms
             .iter()
-            .position(|vm| vm.running && !vm.suspended && vm.state.lease().holds(self.now).is_some())
+            .position(|vm| vm.running && !vm.suspended && vm.state.lease().held_term(self.now).is_some())
     }
 
     /// When the entry VM or the store was last disturbed; `None` while it isn't running, or is cut off from the
@@ -529,7 +530,7 @@
     }
 
     /// Whether an entry VM would send requests to an engine.
-    pub fn believes_in(&self, at: usize, engine: &str) -> bool {
+    pub fn would_send_to(&self, at: usize, engine: &str) -> bool {
         let mut engines = self.vms[at].state.engines();
         engines.any(|known| *known.entry.id == *engine && known.takes_work())
     }
@@ -564,7 +565,7 @@
         }
     }
 
-    pub fn serve(&mut self, at: usize, served: bool) {
+    pub fn set_store_access(&mut self, at: usize, served: bool) {
         self.vms[at].troubled = self.now;
         self.vms[at].served = served;
     }
@@ -594,8 +595,8 @@
             3 => self.suspend(at, true),
             4 => self.suspend(leader, true),
             5 => self.cut(at % ZONES.len(), true),
-            6 => self.serve(at, false),
-            7 => self.serve(leader, false),
+            6 => self.set_store_access(at, false),
+            7 => self.set_store_access(leader, false),
             _ => self.isolate(leader, true),
         }
     }
@@ -605,7 +606,7 @@
         (0..ZONES.len()).for_each(|zone| self.cut(zone, false));
         for at in 0..self.len() {
             self.isolate(at, false);
-            self.serve(at, true);
+            self.set_store_access(at, true);
             self.suspend(at, false);
             if !self.is_running(at) {
                 self.restart(at);
@@ -656,7 +657,7 @@
     }
 
     /// Sends plain calls at this rate to random entry VMs for a while.
-    pub fn ask(&mut self, time: Duration, per_s: f64) {
+    pub fn generate_load(&mut self, time: Duration, per_s: f64) {
         let end = self.now + time;
         while self.now < end {
             let mut due = per_s * TICK.as_secs_f64();
@@ -669,7 +670,7 @@
         }
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             self.tick();
@@ -690,7 +691,7 @@
                 self.vms[at].wake = None;
                 self.feed(at, Event::Wake);
             }
-            if self.paced {
+            if self.long_polls {
                 self.follow_paced(at);
             } else if self.vms[at].follows.is_some() && self.vms[at].asks_at <= self.now {
                 self.vms[at].asks_at = self.now + FOLLOW_EVERY;
--- a/fleet/tests/world/partitions.rs
+++ b/fleet/tests/world/partitions.rs
@@ -6,13 +6,13 @@
 
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
-use boragecove_fleet::engine::Reach;
+use boragecove_fleet::engine::Port;
 use boragecove_fleet::event::Event;
 use boragecove_fleet::path::Relay;
 use boragecove_fleet::request::{Attempt, End, Id};
 
 use super::backends::RUN_MS;
-use super::{Load, OnWay, Reached, World};
+use super::{Arrived, Load, OnWay, World};
 
 /// Time after which opening a connection is given up, as in the process.
 const CONNECT_MS: u64 = 400;
@@ -38,7 +38,7 @@
 
 impl World {
     /// Starts or ends a partition of an entry VM from engines. If new connections are refused, open ones are reset.
-    pub fn part(&mut self, vm: usize, partition: Option<Partition>) {
+    pub fn partition(&mut self, vm: usize, partition: Option<Partition>) {
         match partition {
             Some(partition) => self.parted.insert(vm, partition),
             None => self.parted.remove(&vm),
@@ -58,7 +58,7 @@
         for (request, attempt) in runs {
             let backends = self.backends.as_ref().expect("engines");
             let engine = backends.engine_of.get(&(vm, request)).cloned();
-            if engine.is_none_or(|engine| self.reach(vm, &engine) == Reach::Open) {
+            if engine.is_none_or(|engine| self.reach(vm, &engine) == Port::Open) {
                 continue;
             }
             self.on_way.retain(|way| under_way(way) != Some((request, attempt)));
@@ -67,16 +67,16 @@
     }
 
     /// How an attempt to connect from an entry VM to an engine ends.
-    fn reach(&self, vm: usize, engine: &Name) -> Reach {
+    fn reach(&self, vm: usize, engine: &Name) -> Port {
         let parted = self.parted.get(&vm).filter(|partition| match partition.lost {
             Lost::All => true,
             Lost::Half => engine.bytes().last().is_some_and(|last| last % 2 == 0),
         });
         match parted {
-            Some(Partition { refused: true, .. }) => Reach::Closed,
-            None if !self.stands(engine) => Reach::Closed,
-            None if self.reaches_engine(vm, engine) => Reach::Open,
-            Some(_) | None => Reach::Silent,
+            Some(Partition { refused: true, .. }) => Port::Closed,
+            None if !self.stands(engine) => Port::Closed,
+            None if self.reaches_engine(vm, engine) => Port::Open,
+            Some(_) | None => Port::Silent,
         }
     }
 
@@ -88,36 +88,36 @@
     /// Probes a port.
     pub(super) fn probe(&mut self, vm: usize, engine: Name) {
         let reach = self.reach(vm, &engine);
-        let ms = if reach == Reach::Silent { CONNECT_MS } else { 5 };
+        let ms = if reach == Port::Silent { CONNECT_MS } else { 5 };
         self.post(vm, vm, ms, Load::Event(Box::new(Event::Probed { engine, reach })));
     }
 
     /// Asks another entry VM how a port responds there.
     pub(super) fn ask_path(&mut self, vm: usize, by: Relay, engine: Name) {
-        self.asks += 1;
+        self.path_queries += 1;
         let reach = self.reach_seen(vm, by.address, &engine);
-        let ms = if reach == Some(Reach::Open) { 5 } else { LOOK_MS };
+        let ms = if reach == Some(Port::Open) { 5 } else { LOOK_MS };
         self.post(vm, vm, ms, Load::Event(Box::new(Event::PathSeen { engine, by, reach })));
     }
 
     /// Asks another entry VM whether an engine has crashed.
     pub(super) fn ask_crash(&mut self, vm: usize, address: SocketAddr, engine: Name) {
         let reach = self.reach_seen(vm, address, &engine);
-        let ms = if reach.is_some_and(|reach| reach != Reach::Silent) { 5 } else { LOOK_MS };
+        let ms = if reach.is_some_and(|reach| reach != Port::Silent) { 5 } else { LOOK_MS };
         self.post(vm, vm, ms, Load::Event(Box::new(Event::ProbedIndirectly { engine, reach })));
     }
 
     /// What another entry VM reports about an engine's port; `None` if it doesn't answer, or can't tell.
-    fn reach_seen(&self, vm: usize, address: SocketAddr, engine: &Name) -> Option<Reach> {
+    fn reach_seen(&self, vm: usize, address: SocketAddr, engine: &Name) -> Option<Port> {
         let to = self.at(address);
         if !self.reaches(vm, to) || self.vms[to].suspended {
             return None;
         }
-        let look = boragecove_fleet::look(&self.vms[to].state, self.now, engine)?;
+        let look = boragecove_fleet::reachability_check(&self.vms[to].state, self.now, engine)?;
         let reach = self.reach(to, engine);
         let others = self.truth.keys().filter(|other| *other != engine);
-        let mut control = others.filter(|other| self.reach(to, other) == Reach::Open);
-        (reach == Reach::Open || look.control.is_none() || control.next().is_some()).then_some(reach)
+        let mut control = others.filter(|other| self.reach(to, other) == Port::Open);
+        (reach == Port::Open || look.control.is_none() || control.next().is_some()).then_some(reach)
     }
 
     /// Sends a request that is due through a relay, or fails it if the engine can't be reached. Returns whether it
@@ -134,12 +134,12 @@
             return true;
         }
         match self.reach(vm, &attempt.engine) {
-            Reach::Open => false,
-            Reach::Closed => {
+            Port::Open => false,
+            Port::Closed => {
                 self.post(vm, vm, 2, ended(End::Unsent));
                 true
             }
-            Reach::Silent => {
+            Port::Silent => {
                 // A connection that is already open accepts the request and never answers.
                 if self.rng.u32(0..4) > 0 {
                     self.post(vm, vm, CONNECT_MS, ended(End::Unsent));
@@ -153,30 +153,35 @@
     pub(super) fn passed(&mut self, from: usize, to: usize, request: Id, attempt: &Attempt) {
         let now = self.now;
         let state = &mut self.vms[to].state;
-        let allowed =
-            boragecove_fleet::pass(state, now, &attempt.engine, attempt.incarnation, attempt.build.as_ref());
+        let allowed = boragecove_fleet::relay_request(
+            state,
+            now,
+            &attempt.engine,
+            attempt.incarnation,
+            attempt.build.as_ref(),
+        );
         if allowed.is_err() || now >= attempt.write_by {
             if allowed.is_ok() {
-                self.feed(to, Event::Relayed);
+                self.feed(to, Event::RelayEnded);
             }
             return self.post(to, from, 3, Load::Unanswered(request, attempt.number, End::Unsent));
         }
-        if self.reach(to, &attempt.engine) != Reach::Open {
-            self.post(to, to, CONNECT_MS, Load::Event(Box::new(Event::Relayed)));
+        if self.reach(to, &attempt.engine) != Port::Open {
+            self.post(to, to, CONNECT_MS, Load::Event(Box::new(Event::RelayEnded)));
             return self.post(to, from, CONNECT_MS, Load::Unanswered(request, attempt.number, End::Unsent));
         }
         self.run(from, Some(to), request, attempt);
         if self.streams_to(from, Some(to), request, attempt) {
             return;
         }
-        self.post(to, to, RUN_MS, Load::Event(Box::new(Event::Relayed)));
+        self.post(to, to, RUN_MS, Load::Event(Box::new(Event::RelayEnded)));
         self.post(to, from, RUN_MS, Load::Ended(request, attempt.number));
         // If the relay stops before that, its connection breaks.
         self.post(from, from, RUN_MS + 5, Load::Unanswered(request, attempt.number, End::Lost));
     }
 
     /// Callers' requests that arrived at each entry VM in a time span: the number served, and the total.
-    pub fn tries(&self, from: Time, until: Time) -> BTreeMap<usize, (usize, usize)> {
+    pub fn served_and_total(&self, from: Time, until: Time) -> BTreeMap<usize, (usize, usize)> {
         let mut tries: BTreeMap<usize, (usize, usize)> = BTreeMap::new();
         for done in self.outcomes.iter().filter(|done| (from..until).contains(&done.asked)) {
             let (served, all) = tries.entry(done.vm).or_default();
@@ -191,9 +196,9 @@
     }
 
     /// Number of requests relayed for an entry VM.
-    pub fn passed_on_for(&self, vm: usize) -> usize {
+    pub fn relayed_for(&self, vm: usize) -> usize {
         let reached = self.backends.as_ref().map(|backends| backends.all().collect::<Vec<_>>());
-        let relayed = |one: &&Reached| one.vm == vm && one.relay.is_some();
+        let relayed = |one: &&Arrived| one.vm == vm && one.relay.is_some();
         reached.into_iter().flatten().map(|(_, _, one)| one).filter(relayed).count()
     }
 }
--- a/fleet/tests/world/streams.rs
+++ b/fleet/tests/world/streams.rs
@@ -218,8 +218,11 @@
         }
         let named = !self.streams.unnamed;
         let resumes = origin.map(|stream| Resumption { stream: named.then_some(stream) });
-        let arrival =
-            Arrival { stream: Some(Stream::of(&attempt)), resumes, ..streamed("/digest/1", "m0", None) };
+        let arrival = Arrival {
+            stream: Some(Stream::of(&attempt)),
+            resumption: resumes,
+            ..streamed("/digest/1", "m0", None)
+        };
         self.streams.clients[client].attempt = attempt;
         let request = Id(self.drawn + 1);
         self.streams.at.insert((vm, request), client);
@@ -317,7 +320,7 @@
 
     /// An entry VM is asked for the origin of a stream.
     pub(super) fn trace(&mut self, from: usize, to: usize, request: Id, stream: Stream) {
-        let origin = boragecove_fleet::origin(&self.vms[to].state, stream);
+        let origin = boragecove_fleet::stream_origin(&self.vms[to].state, stream);
         if self.reaches(to, from) {
             let ms = self.rng.u64(1..5);
             self.post(to, from, ms, Load::Traced(request, to, origin));
@@ -328,7 +331,7 @@
     pub(super) fn traced(&mut self, vm: usize, request: Id, keeper: usize, origin: Option<Origin>) {
         let same = |load: &Load| matches!(load, Load::Traced(of, by, _) if *of == request && *by == keeper);
         self.on_way.retain(|way| way.to != vm || !same(&way.load));
-        self.feed(vm, Event::Traced { request, origin });
+        self.feed(vm, Event::OriginAnswered { request, origin });
     }
 
     /// An entry VM has ended, so the connections of its clients break.
--- a/fleet/tests/world/ways.rs
+++ b/fleet/tests/world/ways.rs
@@ -10,13 +10,13 @@
 use boragecove_fleet::lease::{Answer, Call, Outcome, Row};
 use boragecove_fleet::path::Relay;
 use boragecove_fleet::record::Record;
-use boragecove_fleet::request::{Cause, End, Events, Id, Step};
+use boragecove_fleet::request::{Cause, End, Id, Step, Timing};
 use boragecove_fleet::revision::Revision;
 use boragecove_fleet::schedule::Grant;
 
-use super::losses::Road;
+use super::losses::Channel;
 use super::{
-    ASK_LIMIT, Done, FAILED_PAUSE, FRAME_LIMIT, LEASE_LIMIT, Load, OnWay, PUSH_STALL, START_MS, World,
+    ASK_LIMIT, Completion, FAILED_PAUSE, FRAME_LIMIT, LEASE_LIMIT, Load, OnWay, PUSH_STALL, START_MS, World,
 };
 
 impl World {
@@ -44,14 +44,14 @@
         let back = self.vms[from].running && self.vms[from].start == from_start;
         match load {
             Load::Frame(frame) => {
-                if self.loses(Road::Frame, from) {
+                if self.loses(Channel::Frame, from) {
                     return;
                 }
-                self.framed = from;
-                self.feed(to, Event::Framed(frame.clone()));
-                let mut reply = boragecove_fleet::reply(&mut self.vms[to].state, self.now, &frame);
+                self.last_frame_from = from;
+                self.feed(to, Event::FrameReceived(frame.clone()));
+                let mut reply = boragecove_fleet::reply_to_frame(&mut self.vms[to].state, self.now, &frame);
                 self.mute_reply(&mut reply);
-                if back && self.reaches(to, from) && !self.loses(Road::Reply, from) {
+                if back && self.reaches(to, from) && !self.loses(Channel::Reply, from) {
                     let ms = self.rng.u64(1..20);
                     self.post(to, from, ms, Load::Reply(Some(Box::new(reply)), frame.number));
                 }
@@ -64,7 +64,7 @@
                 self.feed(to, Event::Replied(reply));
             }
             Load::Push(message) => self.feed(to, Event::Pushed(message)),
-            Load::Missed(push) => self.feed(to, Event::Missed(push)),
+            Load::Missed(push) => self.feed(to, Event::PushFailed(push)),
             Load::Draw(request, draw) => {
                 let credit = boragecove_fleet::credit(&mut self.vms[to].state, self.now, &draw);
                 if back && self.reaches(to, from) {
@@ -76,7 +76,7 @@
                 self.on_way.retain(|other| {
                     !(other.to == to && matches!(&other.load, Load::Credit(of, _, _) if *of == request))
                 });
-                self.feed(to, Event::Drawn { request, workspace, credit });
+                self.feed(to, Event::CreditAnswered { request, workspace, credit });
             }
             Load::Permit(request, asked, ask) => {
                 let permit = boragecove_fleet::permit(&mut self.vms[to].state, self.now, ask);
@@ -89,11 +89,11 @@
                 self.on_way.retain(|other| {
                     !(other.to == to && matches!(&other.load, Load::Permitted(of, ..) if *of == request))
                 });
-                self.feed(to, Event::Permitted { request, asked, permit });
+                self.feed(to, Event::PermitAnswered { request, asked, permit });
             }
             Load::Ask(request, ask) => {
                 let grant = boragecove_fleet::grant(&mut self.vms[to].state, self.now, &ask);
-                let grant = if self.lax { Grant::After(Duration::ZERO) } else { grant };
+                let grant = if self.grants_immediately { Grant::After(Duration::ZERO) } else { grant };
                 if back && self.reaches(to, from) {
                     let ms = self.rng.u64(1..5);
                     self.post(to, from, ms, Load::Grant(request, Some(grant)));
@@ -111,7 +111,7 @@
             Load::Ended(request, attempt) => self.ended(to, request, attempt, End::Done),
             Load::Pass(request, attempt) => self.passed(from, to, request, &attempt),
             Load::Unanswered(request, attempt, end) => self.ended(to, request, attempt, end),
-            Load::Note(notes) => boragecove_fleet::keep(&mut self.vms[to].state, self.now, notes),
+            Load::Note(notes) => boragecove_fleet::store_origins(&mut self.vms[to].state, self.now, notes),
             Load::Trace(request, stream) if back => self.trace(from, to, request, stream),
             Load::Trace(..) => {}
             Load::Traced(request, keeper, origin) => self.traced(to, request, keeper, origin),
@@ -119,11 +119,11 @@
             Load::Declared(config, version, asked) => {
                 let stands = config.version;
                 self.feed(to, Event::Configured(config));
-                self.feed(to, Event::Declared { version, config: stands, asked });
+                self.feed(to, Event::OperatorTableRead { version, config: stands, asked });
             }
-            Load::Evacuations(_) if self.deaf => {}
+            Load::Evacuations(_) if self.ignores_evacuations => {}
             Load::Evacuations(listing) => self.feed(to, Event::Evacuations(listing)),
-            Load::Listed(listing) => self.feed(to, Event::Listed(listing)),
+            Load::Listed(listing) => self.feed(to, Event::EnginesRead(listing)),
             Load::Event(event) => self.feed(to, *event),
             Load::Arrive(request, arrival) => self.feed(to, Event::Arrive { request, arrival }),
         }
@@ -147,16 +147,16 @@
                     return;
                 }
                 let to = self.at(push.address);
-                let (lost, unanswered) = (self.loses(Road::Push, to), self.loses(Road::PushAnswer, to));
+                let (lost, unanswered) = (self.loses(Channel::Push, to), self.loses(Channel::PushAnswer, to));
                 let reaches = self.reaches(at, to) && !lost;
-                if self.paced && (!reaches || unanswered || self.vms[to].suspended) {
+                if self.long_polls && (!reaches || unanswered || self.vms[to].suspended) {
                     self.post(at, at, PUSH_STALL.as_millis() as u64, Load::Missed(push.clone()));
                 }
                 if reaches {
                     self.post(at, to, 5, Load::Push(push.message));
                 }
             }
-            Effect::Draw { address, request, draw } => {
+            Effect::RequestCredit { address, request, draw } => {
                 let to = self.at(address);
                 let late = Load::Credit(request, draw.workspace.clone(), None);
                 self.post(at, at, ASK_LIMIT.as_millis() as u64, late);
@@ -165,7 +165,7 @@
                     self.post(at, to, ms, Load::Draw(request, draw));
                 }
             }
-            Effect::Permit { address, request, asked, ask } => {
+            Effect::RequestPermit { address, request, asked, ask } => {
                 let to = self.at(address);
                 let late = Load::Permitted(request, asked, None);
                 self.post(at, at, ASK_LIMIT.as_millis() as u64, late);
@@ -174,7 +174,7 @@
                     self.post(at, to, ms, Load::Permit(request, asked, ask));
                 }
             }
-            Effect::Ask { address, request, ask } => {
+            Effect::Reserve { address, request, ask } => {
                 let to = self.at(address);
                 self.post(at, at, ASK_LIMIT.as_millis() as u64, Load::Grant(request, None));
                 if self.reaches(at, to) {
@@ -182,14 +182,14 @@
                     self.post(at, to, ms, Load::Ask(request, ask));
                 }
             }
-            Effect::Note { address, notes } => {
+            Effect::AnnounceOrigins { address, notes } => {
                 let to = self.at(address);
                 if self.reaches(at, to) {
                     let ms = self.rng.u64(1..5);
                     self.post(at, to, ms, Load::Note(notes));
                 }
             }
-            Effect::Trace { address, request, stream } => {
+            Effect::QueryOrigin { address, request, stream } => {
                 let to = self.at(address);
                 self.post(at, at, ASK_LIMIT.as_millis() as u64, Load::Traced(request, to, None));
                 if self.reaches(at, to) {
@@ -211,7 +211,7 @@
             Effect::AskPath { vm, address, engine } if self.backends.is_some() => {
                 self.ask_path(at, Relay { vm, address }, engine);
             }
-            Effect::Record(Record::Crash { engine: Some(_), .. }) => self.accused += 1,
+            Effect::Record(Record::Crash { engine: Some(_), .. }) => self.reported_crashes += 1,
             Effect::IndirectProbe { address, engine } if self.backends.is_some() => {
                 self.ask_crash(at, address, engine);
             }
@@ -229,15 +229,15 @@
         }
         let refused = match &step {
             Step::Send(_) => None,
-            Step::Pass if self.backends.is_some() => None,
-            Step::Pass | Step::Wait => return,
+            Step::Forward if self.backends.is_some() => None,
+            Step::Forward | Step::Hold => return,
             Step::Refuse(refusal) => Some(refusal.code),
         };
         if let Step::Send(attempt) = &step
             && self.rng.f64() < self.turned_away
         {
             let (attempt, end) = (attempt.number, End::Refused(Cause::Busy));
-            self.feed(vm, Event::Ended { request, attempt, end, events: Events::default() });
+            self.feed(vm, Event::Ended { request, attempt, end, events: Timing::default() });
             return;
         }
         if let Step::Send(attempt) = &step
@@ -247,14 +247,14 @@
         }
         match &step {
             Step::Refuse(refusal) => self.stream_refused(vm, request, refusal.code, refusal.retry_after),
-            Step::Pass => drop(self.streams.at.remove(&(vm, request))),
-            Step::Send(_) | Step::Wait => {}
+            Step::Forward => drop(self.streams.at.remove(&(vm, request))),
+            Step::Send(_) | Step::Hold => {}
         }
-        self.outcomes.push(Done { asked, at: self.now, vm, workspace, cost, refused });
+        self.outcomes.push(Completion { asked, at: self.now, vm, workspace, cost, refused });
         self.open.remove(&(vm, request));
         if let Step::Send(attempt) = step {
             let (attempt, end) = (attempt.number, End::Done);
-            self.feed(vm, Event::Ended { request, attempt, end, events: Events::default() });
+            self.feed(vm, Event::Ended { request, attempt, end, events: Timing::default() });
         }
     }
 
@@ -285,15 +285,15 @@
                 if in_touch {
                     self.vms[at].held_until = Some(self.now + follow.engines.wait);
                 } else {
-                    self.vms[at].asks_at = self.now + follow.failed.max(FAILED_PAUSE);
+                    self.vms[at].asks_at = self.now + follow.retry_min.max(FAILED_PAUSE);
                     self.feed(at, Event::StoreUp(false));
                 }
             }
             Some(until) if self.store.tables() > known || until <= self.now => {
                 self.vms[at].held_until = None;
                 self.vms[at].asks_at = self.now + follow.pause;
-                if in_touch && self.loses(Road::Feed, at) {
-                    self.vms[at].overdue_at = Some(until + follow.engines.overdue + self.patient);
+                if in_touch && self.loses(Channel::Feed, at) {
+                    self.vms[at].overdue_at = Some(until + follow.engines.overdue + self.long_poll_patience);
                     return;
                 }
                 if in_touch {
@@ -327,14 +327,14 @@
             return;
         }
         let call = match call {
-            Call::Write { expected, row } if self.forgetful => {
+            Call::Write { expected, row } if self.forgets_shares => {
                 let repeats = Some(Box::default());
                 Call::Write { expected, row: Row { outstanding: Box::default(), repeats, ..row } }
             }
             call => call,
         };
         let outcome = self.store.lease(&call);
-        if self.loses(Road::Lease, at) {
+        if self.loses(Channel::Lease, at) {
             let unknown = Answer { store_ms: None, era: None, outcome: Outcome::Unknown };
             self.post(at, at, LEASE_LIMIT.as_millis() as u64, Load::Lease(unknown));
             return;
