--- a/fleet/src/choose.rs
+++ b/fleet/src/choose.rs
@@ -283,7 +283,7 @@
 fn takes_call(engine: &Engine, now: Time, query: Query<'_>, run_ms: f64, drawn: f64) -> bool {
     let answer_ms = queue_ms(engine, engine.own_load, run_ms) + run_ms;
     let late = is_full(engine, engine.own_load) && answer_ms > ms(query.target);
-    !late && engine.share.admits(now, drawn)
+    !late && engine.throttle.admits(now, drawn)
 }
 
 fn ms(time: Duration) -> f64 {
--- a/fleet/src/engine.rs
+++ b/fleet/src/engine.rs
@@ -206,7 +206,7 @@
     /// The schedule of prompts for it. It is exact at the entry VM that owns the schedule, and an estimate elsewhere.
     pub schedule: Schedule,
     /// Its share of the requests of a service that does not run models.
-    pub share: Throttle,
+    pub throttle: Throttle,
     /// Its health as observed by this process.
     pub health: Health,
     /// The network path to it.
@@ -232,7 +232,7 @@
             cold: None,
             own_load: Load::default(),
             others_load: Load::default(),
-            share: Throttle::default(),
+            throttle: Throttle::default(),
             schedule: Schedule::default(),
             health: Health::default(),
             path: Path::default(),
