--- a/fleet/src/admit.rs
+++ b/fleet/src/admit.rs
@@ -17,13 +17,13 @@
 use crate::state::State;
 
 /// The `retry_after` while a process starts. By its log, it has read its configuration 30 to 150 ms after the start.
-const STARTED_COME_BACK: Duration = Duration::from_millis(200);
+const STARTUP_RETRY_AFTER: Duration = Duration::from_millis(200);
 
 /// Admits a request: finds its route and service, and counts it as demand.
 pub(crate) fn admit(state: &mut State, now: Time, arrival: Arrival) -> Result<Flow, Refusal> {
     let refuse = |code, retry_after| Err(Refusal { code, retry_after });
     if state.config.is_none() {
-        return refuse(Code::NotReady, Some(STARTED_COME_BACK));
+        return refuse(Code::NotReady, Some(STARTUP_RETRY_AFTER));
     }
     let Some(route) = state.routes.find(&arrival.host, &arrival.path).cloned() else {
         return refuse(Code::UnknownPath, None);
@@ -45,7 +45,7 @@
         return refuse(Code::UnknownModel, None);
     }
     budget::request_arrived(state, now, &service);
-    let flow = Flow { parts, ..open(state, now, route, service, workspace, arrival) };
+    let flow = Flow { parts, ..new_flow(state, now, route, service, workspace, arrival) };
     if let Some(target) = flow.target() {
         state.demand.record_arrival(&target, flow.prefill);
     }
@@ -55,13 +55,13 @@
 /// Whether a request will have been answered before a stopping process exits. During a rolling restart, most entry VMs of a zone
 /// may be stopping at once while the balancer still sends requests to all of them. Of 402 requests that they refused on such a
 /// day, 123 were calls that take 30 ms, and 1.5 s at most.
-fn fits_before_stop(state: &State, now: Time, route: &Route, patience: Option<Duration>) -> bool {
-    let longest = patience.unwrap_or(route.timeout).min(route.timeout);
+fn fits_before_stop(state: &State, now: Time, route: &Route, caller_timeout: Option<Duration>) -> bool {
+    let longest = caller_timeout.unwrap_or(route.timeout).min(route.timeout);
     let until = now + longest + state.settings.answer_reserve;
     !route.kind.streams() && state.stops_at.is_some_and(|stops_at| until < stops_at)
 }
 
-fn open(
+fn new_flow(
     state: &State,
     now: Time,
     route: Arc<Route>,
@@ -71,11 +71,10 @@
 ) -> Flow {
     let limit = workspace.as_ref().and_then(|workspace| workspace.limit);
     let cost = limit.map_or(0.0, |limit| limit.cost(&arrival));
-    let Arrival { caller_timeout: patience, prompt, fingerprint, key, stream, resumption: resumes, .. } =
-        arrival;
+    let Arrival { caller_timeout, prompt, fingerprint, key, stream, resumption, .. } = arrival;
     let resumable = route.kind.resumable();
-    let deadline = now + patience.unwrap_or(route.timeout).min(route.timeout);
-    let work = prompt
+    let deadline = now + caller_timeout.unwrap_or(route.timeout).min(route.timeout);
+    let prefill = prompt
         .as_ref()
         .map_or(Duration::ZERO, |prompt| state.speed.prefill_time(&service, &prompt.model, prompt.tokens));
     Flow {
@@ -93,10 +92,10 @@
         first_event_at: None,
         arrived: now,
         deadline,
-        prefill: work,
+        prefill,
         stage: Stage::Waiting,
-        number: 0,
-        used: 0,
+        attempts_made: 0,
+        attempts_used: 0,
         refusals: 0,
         reservations_denied: 0,
         excluded: Vec::new(),
@@ -104,7 +103,7 @@
         may_have_run: false,
         pin: Pin::Free,
         stream,
-        resumption: resumes.filter(|_| resumable),
+        resumption: resumption.filter(|_| resumable),
         retry: Retry::First,
         early_permit: None,
         awaits_permit: false,
--- a/fleet/src/choose.rs
+++ b/fleet/src/choose.rs
@@ -69,17 +69,17 @@
     /// The model that it needs and the size of its prompt; none for calls of plain services.
     pub(crate) prompt: Option<&'a Prompt>,
     /// The regions where it may be served.
-    pub(crate) homes: &'a Regions,
+    pub(crate) regions: &'a Regions,
     /// The builds that may run it.
     pub(crate) pin: &'a Pin,
-    /// Whether it begins a stream that its client may resume at another entry VM.
+    /// Whether it begins a stream that its caller may resume at another entry VM.
     pub(crate) begins: bool,
     /// Engines that must not get it.
     pub(crate) excluded: &'a [Name],
     /// Engines to which connecting failed for it.
     pub(crate) connect_failures: &'a [Name],
     /// Time until the answer must begin.
-    pub(crate) left: Duration,
+    pub(crate) time_left: Duration,
     /// How long it may wait for a reservation at a rate-limited engine.
     pub(crate) reservation_wait_max: Duration,
     /// The operator's target for the time to an answer.
@@ -96,14 +96,14 @@
 
 /// The result of a scan of all engines of a service.
 #[derive(Debug, Default)]
-struct Found<'a> {
+struct Scan<'a> {
     candidates: Vec<Candidate<'a>>,
     /// Number of engines of the service whose region and build allow the request.
     members: usize,
-    /// Number of `members` that take work and are not excluded.
-    takers: usize,
-    /// Number of `takers` that hold the model and have not asked for a pause.
-    holders: usize,
+    /// Number of those that take work and are not excluded.
+    available: usize,
+    /// Number of available engines that hold the model and have not asked for a pause.
+    loaded: usize,
     /// The shortest time until an overloaded engine has room, in ms.
     soonest_ms: Option<f64>,
     /// The shortest remaining pause of the engines that accept no requests for a while.
@@ -115,34 +115,34 @@
     let Query { service, prompt, .. } = query;
     let mut rng = state.rng.fork();
     let state = &*state;
-    let work = prompt.map(|prompt| state.speed.prefill_time(service, &prompt.model, prompt.tokens));
-    let mut found = look(state, now, query, &mut rng);
-    for candidate in &mut found.candidates {
+    let prefill = prompt.map(|prompt| state.speed.prefill_time(service, &prompt.model, prompt.tokens));
+    let mut scanned = scan(state, now, query, &mut rng);
+    for candidate in &mut scanned.candidates {
         candidate.cost_ms +=
-            work.map_or(0.0, |work| read_ms(candidate.engine, work, now)) + rng.f64() * JITTER_MS;
+            prefill.map_or(0.0, |prefill| read_ms(candidate.engine, prefill, now)) + rng.f64() * JITTER_MS;
     }
-    if let Some(pick) = draw(state, now, service, &found.candidates, work, rng.f64()) {
+    if let Some(pick) = draw(state, now, service, &scanned.candidates, prefill, rng.f64()) {
         return Choice::Engine(pick);
     }
-    match found.soonest_ms {
+    match scanned.soonest_ms {
         Some(soonest) => Choice::Full(Duration::from_secs_f64(soonest / 1_000.0)),
-        None if let Some(pause) = found.pause => Choice::Paused(pause),
-        None if query.pin.is_restricted() && found.takers == 0 => Choice::BuildGone,
-        None if found.holders == 0 && found.members > 0 && prompt.is_some() => Choice::NotLoaded,
-        None if query.homes.is_restricted() => Choice::RegionUnavailable,
+        None if let Some(pause) = scanned.pause => Choice::Paused(pause),
+        None if query.pin.is_restricted() && scanned.available == 0 => Choice::BuildGone,
+        None if scanned.loaded == 0 && scanned.members > 0 && prompt.is_some() => Choice::NotLoaded,
+        None if query.regions.is_restricted() => Choice::RegionUnavailable,
         None => Choice::Unreachable,
     }
 }
 
 /// Scans all engines of a service for candidates.
-fn look<'a>(state: &'a State, now: Time, query: Query<'a>, rng: &mut fastrand::Rng) -> Found<'a> {
-    let Query { service, prompt, excluded: avoid, .. } = query;
+fn scan<'a>(state: &'a State, now: Time, query: Query<'a>, rng: &mut fastrand::Rng) -> Scan<'a> {
+    let Query { service, prompt, excluded, .. } = query;
     let settings = &state.settings;
     let run_ms = state.mean_run_ms(service);
-    let mut found = Found::default();
+    let mut scanned = Scan::default();
     let settling = settling(state, now, query);
     for engine in state.engines_of(service) {
-        let Some(permit) = regions::permit(state, query.homes, engine) else {
+        let Some(permit) = regions::permit(state, query.regions, engine) else {
             continue;
         };
         let build = engine.entry.build.as_ref();
@@ -151,57 +151,57 @@
         {
             continue;
         }
-        found.members += 1;
-        found.takers += usize::from(engine.takes_work() && !avoid.contains(&engine.entry.id));
+        scanned.members += 1;
+        scanned.available += usize::from(engine.takes_work() && !excluded.contains(&engine.entry.id));
         let serves = |prompt: &Prompt| engine.serves(&prompt.model, prompt.adapter.as_deref(), now);
         if !engine.takes_work() || !prompt.is_none_or(serves) {
             continue;
         }
         if let Some(pause) = engine.health.pause_left(now) {
-            found.pause = Some(found.pause.map_or(pause, |shortest| shortest.min(pause)));
+            scanned.pause = Some(scanned.pause.map_or(pause, |shortest| shortest.min(pause)));
             continue;
         }
-        if avoid.contains(&engine.entry.id) {
+        if excluded.contains(&engine.entry.id) {
             continue;
         }
-        found.holders += 1;
+        scanned.loaded += 1;
         if !path::is_reachable(state, now, engine, query.connect_failures.contains(&engine.entry.id)) {
             continue;
         }
-        let place_ms = match rate_limit::access(state, now, engine) {
+        let limit_ms = match rate_limit::access(state, now, engine) {
             Access::Unlimited => 0.0,
             Access::Closed(pause) => {
-                found.pause = Some(found.pause.map_or(pause, |shortest| shortest.min(pause)));
+                scanned.pause = Some(scanned.pause.map_or(pause, |shortest| shortest.min(pause)));
                 continue;
             }
-            Access::After(wait, _) if wait > query.reservation_wait_max.min(query.left) => {
+            Access::After(wait, _) if wait > query.reservation_wait_max.min(query.time_left) => {
                 let room_ms = ms(wait);
-                found.soonest_ms = Some(found.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
+                scanned.soonest_ms = Some(scanned.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
                 continue;
             }
             // For a prompt, `read_ms` counts the wait.
-            Access::After(wait, reserve_ms) => reserve_ms + if prompt.is_none() { ms(wait) } else { 0.0 },
+            Access::After(wait, penalty_ms) => penalty_ms + if prompt.is_none() { ms(wait) } else { 0.0 },
         };
         if rate_limit::would_wait(state, now, engine) {
             let room_ms = run_ms / f64::from(engine.entry.slots.max(1));
-            found.soonest_ms = Some(found.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
+            scanned.soonest_ms = Some(scanned.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
             continue;
         }
         let queue_ms = queue_ms(engine, engine.load(), run_ms);
-        let (offered, come_back_ms) = match prompt {
+        let (offered, retry_after_ms) = match prompt {
             Some(_) => (!is_full(engine, engine.load()), run_ms / f64::from(engine.entry.slots.max(1))),
             None => (takes_call(engine, now, query, run_ms, rng.f64()), ms(RETRY_AFTER)),
         };
-        if queue_ms > ms(query.left) || !offered {
-            let room_ms = queue_ms.max(come_back_ms);
-            found.soonest_ms = Some(found.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
+        if queue_ms > ms(query.time_left) || !offered {
+            let room_ms = queue_ms.max(retry_after_ms);
+            scanned.soonest_ms = Some(scanned.soonest_ms.map_or(room_ms, |soonest| soonest.min(room_ms)));
             continue;
         }
         let relay_ms = path::relay_of(state, engine).map_or(0.0, |_relay| RELAY_MS);
-        let cost_ms = queue_ms + place_ms + relay_ms + beside_ms(engine, now, &state.me.zone, settings);
-        found.candidates.push(Candidate { engine, permit, cost_ms });
+        let cost_ms = queue_ms + limit_ms + relay_ms + other_costs_ms(engine, now, &state.me.zone, settings);
+        scanned.candidates.push(Candidate { engine, permit, cost_ms });
     }
-    found
+    scanned
 }
 
 /// How long a build must have been known to get a request; none if any build may get it. A request that begins a resumable stream goes to
@@ -225,23 +225,23 @@
     now: Time,
     service: &Name,
     candidates: &[Candidate<'_>],
-    work: Option<Duration>,
+    prefill: Option<Duration>,
     drawn: f64,
 ) -> Option<Pick> {
     let run_ms = state.mean_run_ms(service);
     let others: u32 = candidates.iter().map(|candidate| candidate.engine.others_load.open).sum();
     let slots = candidates.iter().map(|candidate| candidate.engine.entry.slots).max().unwrap_or(1);
-    let step_ms = match work {
-        Some(work) => ms(work) + state.settings.open_request_ms,
+    let step_ms = match prefill {
+        Some(prefill) => ms(prefill) + state.settings.open_request_ms,
         None => run_ms / f64::from(slots.max(1)),
     };
     let mut zones: BTreeMap<&Name, usize> = BTreeMap::new();
     for candidate in candidates {
         *zones.entry(&candidate.engine.entry.zone).or_default() += 1;
     }
-    let late_ms = ms(frame::load_staleness(state, now));
+    let staleness_ms = ms(frame::load_staleness(state, now));
     // Entry VMs prefer the engines of their own availability zone, so the unseen requests of each zone raise the costs there.
-    let requests = f64::from(others) * late_ms / run_ms.max(1.0) / zones.len().max(1) as f64;
+    let requests = f64::from(others) * staleness_ms / run_ms.max(1.0) / zones.len().max(1) as f64;
     let requests = if state.settings.is_enabled(Mechanism::WeightedDraw) { requests } else { 0.0 };
     let unseen = Estimate { requests, step_ms };
     let cost = |candidate: &Candidate<'_>| {
@@ -291,13 +291,13 @@
 }
 
 /// Expected time until a prompt has been read, in ms: it waits for its reservation, or for the prompts ahead of it.
-fn read_ms(engine: &Engine, work: Duration, now: Time) -> f64 {
+fn read_ms(engine: &Engine, prefill: Duration, now: Time) -> f64 {
     let ahead_ms = engine.load().reading_us as f64 / 1_000.0;
-    ahead_ms.max(ms(engine.schedule.wait(now))) + ms(work)
+    ahead_ms.max(ms(engine.schedule.wait(now))) + ms(prefill)
 }
 
 /// Other costs of an engine, in ms: its open requests, another availability zone, and recent failures.
-fn beside_ms(engine: &Engine, now: Time, zone: &Name, settings: &Settings) -> f64 {
+fn other_costs_ms(engine: &Engine, now: Time, zone: &Name, settings: &Settings) -> f64 {
     let mut cost = 0.0;
     if settings.is_enabled(Mechanism::OpenRequestCost) {
         cost += f64::from(engine.load().open) * settings.open_request_ms;
--- a/fleet/src/effect.rs
+++ b/fleet/src/effect.rs
@@ -57,11 +57,11 @@
         /// The request for credit.
         draw: Draw,
     },
-    /// Ask the leader for a permit to repeat a request; its answer comes back as [`crate::event::Event::PermitAnswered`].
+    /// Ask the hub for a permit to retry a request; its answer comes back as [`crate::event::Event::PermitAnswered`].
     RequestPermit {
-        /// Where the leader listens.
+        /// Where the hub listens.
         address: SocketAddr,
-        /// The request to be repeated.
+        /// The request to be retried.
         request: Id,
         /// The current time.
         asked: Time,
@@ -150,7 +150,7 @@
 pub struct Poll {
     /// How long the store may hold the call before it answers that nothing has changed.
     pub wait: Duration,
-    /// How long after `wait` the answer may still begin; after that, the call is repeated.
+    /// How long after `wait` the answer may still begin; after that, the call is made again.
     pub overdue: Duration,
 }
 
@@ -163,8 +163,7 @@
     pub operator_version: Revision,
     /// The version of the configuration in the operator's table at that revision.
     pub config: u64,
-    /// After the store was restored from an older copy, a table that is known from before is read in full within this time; entry VMs
-    /// spread these reads, since several may have to make them.
+    /// Time over which entry VMs spread the full reads of a table that they make after the store was restored from an older copy.
     pub reload_spread: Duration,
     /// Time limits of long polls of the engines' table.
     pub engines: Poll,
--- a/fleet/src/event.rs
+++ b/fleet/src/event.rs
@@ -109,13 +109,13 @@
         /// The answer; none if the holder could not be reached.
         credit: Option<Credit>,
     },
-    /// The leader answered a request for a permit to repeat a request.
+    /// The hub answered a request for a permit to retry a request.
     PermitAnswered {
-        /// The request to be repeated.
+        /// The request to be retried.
         request: Id,
         /// When the permit was requested.
         asked: Time,
-        /// The answer; none if the leader could not be reached.
+        /// The answer; none if the hub could not be reached.
         permit: Option<Permit>,
     },
     /// Another entry VM answered which engine build began a stream.
--- a/fleet/src/flow.rs
+++ b/fleet/src/flow.rs
@@ -37,7 +37,7 @@
 use reservation::reserve;
 
 /// How long a request waits while all engines are unreachable, or while nobody can have a missing model loaded.
-const DOUBT_WAIT: Duration = Duration::from_millis(400);
+const SHORT_WAIT: Duration = Duration::from_millis(400);
 /// The `retry_after` of a refusal if no better estimate is known.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_millis(500);
 
@@ -69,10 +69,10 @@
     /// Estimated time to read its prompt.
     pub(crate) prefill: Duration,
     pub(crate) stage: Stage,
-    /// Number of attempts made, and the number of the current one.
-    pub(crate) number: u32,
+    /// Attempts made; also the number of the current one.
+    pub(crate) attempts_made: u32,
     /// Attempts without proof that the engine did not run the request. They count against the route's attempts.
-    pub(crate) used: u32,
+    pub(crate) attempts_used: u32,
     /// Attempts that an engine refused.
     pub(crate) refusals: u32,
     /// Reservations that were denied since it was last sent.
@@ -86,13 +86,13 @@
     pub(crate) pin: Pin,
     /// The stream that it begins or resumes, if that has an id.
     pub(crate) stream: Option<Stream>,
-    /// The stream that its client resumes, until it is known which build began that.
+    /// The stream that its caller resumes, until it is known which build began that.
     pub(crate) resumption: Option<Resumption>,
-    /// Whether its next attempt needs a permit, or has one.
+    /// Whether its next attempt needs a permit for a retry, or has one.
     pub(crate) retry: Retry,
-    /// Expiry of a permit for another attempt that was obtained while the current one is still open.
+    /// Expiry of a permit for a retry that was obtained while the current attempt is still open.
     pub(crate) early_permit: Option<Time>,
-    /// Whether a request for a permit to the leader has not been answered yet.
+    /// Whether a request for a permit to the hub has not been answered yet.
     pub(crate) awaits_permit: bool,
     /// How its last attempt ended.
     pub(crate) last_end: Option<End>,
@@ -151,8 +151,8 @@
         }
         Err(Refusal { code, retry_after }) => {
             if code == Code::CrashesBackends {
-                let of = state.crashes.blocked_by(fingerprint, &parts, now).unwrap_or(fingerprint);
-                crash::log_refusal(state, id, of, out);
+                let blocked = state.crashes.blocked_by(fingerprint, &parts, now).unwrap_or(fingerprint);
+                crash::log_refusal(state, id, blocked, out);
             }
             end::refuse(state, now, id, Refusal { code, retry_after }, false, out);
         }
@@ -164,7 +164,7 @@
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    // Every request passes here before it is sent: also retries, resumed streams, and requests that waited or lost a reservation.
+    // These checks apply to every attempt: also to retries, resumed streams, and requests that waited or lost a reservation.
     if state.crashes.blocked_by(flow.fingerprint, &flow.parts, now).is_some() {
         give_up(state, now, id, Code::CrashesBackends, None, out);
         return;
@@ -186,18 +186,18 @@
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    let (service, prompt, avoid) = (flow.service.clone(), flow.prompt.clone(), flow.excluded.clone());
-    let (unsent, pin) = (flow.connect_failures.clone(), flow.pin.clone());
-    let homes = regions::of_request(state, flow);
+    let (service, prompt, excluded) = (flow.service.clone(), flow.prompt.clone(), flow.excluded.clone());
+    let (connect_failures, pin) = (flow.connect_failures.clone(), flow.pin.clone());
+    let regions = regions::of_request(state, flow);
     let query = Query {
         service: &service,
         prompt: prompt.as_ref(),
-        homes: &homes,
+        regions: &regions,
         pin: &pin,
         begins: pin::begins_resumable(flow),
-        excluded: &avoid,
-        connect_failures: &unsent,
-        left: flow.begin_by.since(now).saturating_sub(state.settings.answer_reserve),
+        excluded: &excluded,
+        connect_failures: &connect_failures,
+        time_left: flow.begin_by.since(now).saturating_sub(state.settings.answer_reserve),
         reservation_wait_max: flow.reservation_wait_max(&state.settings),
         target: flow.route.target,
     };
@@ -208,15 +208,15 @@
             Obtained::No => outcome::end_without_retry(state, now, id, out),
         },
         Choice::NotLoaded => {
-            // Models are not loaded on engines of a given build because a request is pinned to it.
-            let loads = can_load(state, now) && !pin.is_restricted();
-            let wait = if loads { state.settings.load_wait } else { DOUBT_WAIT };
+            // A request that is pinned to a build does not make the hub load its model on engines of that build.
+            let loadable = can_load(state, now) && !pin.is_restricted();
+            let wait = if loadable { state.settings.load_wait } else { SHORT_WAIT };
             wait_for(state, now, id, wait, fresh, out);
         }
         Choice::BuildGone => give_up(state, now, id, Code::BuildGone, Some(Duration::ZERO), out),
         Choice::RegionUnavailable => give_up(state, now, id, Code::NoBackend, Some(RETRY_AFTER), out),
-        Choice::Unreachable => wait_for(state, now, id, DOUBT_WAIT, fresh, out),
-        Choice::Full(wait) if fresh || flow_waited(state, now, id) => {
+        Choice::Unreachable => wait_for(state, now, id, SHORT_WAIT, fresh, out),
+        Choice::Full(wait) if fresh || has_waited(state, now, id) => {
             give_up(state, now, id, Code::DeadlineUnreachable, Some(wait), out);
         }
         Choice::Full(_) => {}
@@ -230,19 +230,19 @@
 }
 
 /// Whether a request has waited for overloaded engines as long as it may.
-fn flow_waited(state: &State, now: Time, id: Id) -> bool {
-    state.flows.get(&id).is_some_and(|flow| now.since(flow.arrived) > DOUBT_WAIT)
+fn has_waited(state: &State, now: Time, id: Id) -> bool {
+    state.flows.get(&id).is_some_and(|flow| now.since(flow.arrived) > SHORT_WAIT)
 }
 
 fn wait_for(state: &mut State, now: Time, id: Id, wait: Duration, fresh: bool, out: &mut Vec<Effect>) {
     if !fresh {
         return;
     }
-    let reserve = state.settings.answer_reserve;
+    let answer_reserve = state.settings.answer_reserve;
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    let until = (now + wait).min(flow.begin_by - reserve);
+    let until = (now + wait).min(flow.begin_by - answer_reserve);
     if until <= now {
         give_up(state, now, id, Code::DeadlineUnreachable, Some(RETRY_AFTER), out);
         return;
@@ -277,14 +277,14 @@
     let waiting: Vec<Id> = state.waiting.iter().copied().collect();
     for id in waiting {
         dispatch(state, now, id, false, out);
-        let still = state.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Waiting));
-        if !still {
+        let waits = state.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Waiting));
+        if !waits {
             state.waiting.remove(&id);
         }
     }
 }
 
-/// Dispatches requests that were held back while the engines' table was in doubt, unless they have ended or wait already.
+/// Dispatches requests that were held back until the engines' table was refreshed, unless they have ended or wait already.
 pub(crate) fn dispatch_held(state: &mut State, now: Time, held: &[Id], out: &mut Vec<Effect>) {
     for id in held {
         let flow = state.flows.get(id);
@@ -297,15 +297,20 @@
 /// Cancels the reservations at an engine that must get nothing more, and dispatches their requests to other engines. Requests
 /// that were sent already are not affected.
 pub(crate) fn cancel_reservations(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    withdraw_from(state, now, |of| of == engine, out);
+    cancel_reservations_where(state, now, |at| at == engine, out);
 }
 
-/// The same for all engines.
+/// Cancels the reservations at all engines.
 pub(crate) fn cancel_all_reservations(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    withdraw_from(state, now, |_any| true, out);
+    cancel_reservations_where(state, now, |_any| true, out);
 }
 
-fn withdraw_from(state: &mut State, now: Time, from: impl Fn(&Name) -> bool, out: &mut Vec<Effect>) {
+fn cancel_reservations_where(
+    state: &mut State,
+    now: Time,
+    from: impl Fn(&Name) -> bool,
+    out: &mut Vec<Effect>,
+) {
     let due = |stage: &Stage| matches!(stage, Stage::Sent { engine, at, .. } if from(engine) && *at > now);
     let mut due: Vec<Id> =
         state.flows.iter().filter(|(_, flow)| due(&flow.stage)).map(|(id, _)| *id).collect();
@@ -315,7 +320,7 @@
         out.push(Effect::Step { request: id, step: Step::Hold });
         detach(state, id);
         if let Some(flow) = state.flows.get_mut(&id) {
-            flow.used -= 1;
+            flow.attempts_used -= 1;
         }
         dispatch(state, now, id, true, out);
     }
--- a/fleet/src/flow/end.rs
+++ b/fleet/src/flow/end.rs
@@ -89,8 +89,8 @@
     if let Some(target) = flow.target() {
         state.demand.record_ended(&target);
     }
-    if let Some(known) = state.engines.get_mut(&engine) {
-        known.own_load = known.own_load.minus(load);
+    if let Some(engine) = state.engines.get_mut(&engine) {
+        engine.own_load = engine.own_load.minus(load);
     }
     at.map(|at| (engine, at))
 }
@@ -131,7 +131,7 @@
 /// The `retry_after` for a caller whose wait has expired. While nobody may send orders, no model is loaded. Callers have one or
 /// two more attempts, and would use them up before anything can have changed. On days with faults that is the case for 57% to
 /// 82% of the requests whose wait expires.
-fn come_back(state: &State, now: Time, id: Id) -> Duration {
+fn retry_after_wait(state: &State, now: Time, id: Id) -> Duration {
     let waits_for_model = state.flows.get(&id).is_some_and(|flow| flow.prompt.is_some());
     if waits_for_model && !can_load(state, now) {
         return state.lease.orders_allowed_in(now).unwrap_or(state.settings.order_gap) + RETRY_AFTER;
@@ -142,7 +142,7 @@
 /// Ends a request that has waited for a model or an engine as long as it may.
 pub(crate) fn wait_expired(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     if state.waiting.contains(&id) {
-        let come_back = come_back(state, now, id);
-        give_up(state, now, id, Code::NoBackend, Some(come_back), out);
+        let retry_after = retry_after_wait(state, now, id);
+        give_up(state, now, id, Code::NoBackend, Some(retry_after), out);
     }
 }
--- a/fleet/src/flow/reservation.rs
+++ b/fleet/src/flow/reservation.rs
@@ -25,7 +25,7 @@
 
 /// How long after its time a reservation at a rate-limited engine may still be used. A machine that was suspended could otherwise
 /// send it late, on top of the reservations of others.
-const PLACE_KEPT: Duration = Duration::from_millis(300);
+const RESERVATION_GRACE: Duration = Duration::from_millis(300);
 
 /// Counts a request at the chosen engine, and sends it at once or after a reservation in the engine's schedule.
 pub(super) fn reserve(state: &mut State, now: Time, id: Id, pick: Pick, fresh: bool, out: &mut Vec<Effect>) {
@@ -49,7 +49,7 @@
         state.demand.record_sent(&target);
     }
     let limit = state.rate_limits.report(now, engine);
-    let cold = engine.cold.map(|cold| cold.until.since(now)).filter(|left| !left.is_zero());
+    let cold_left = engine.cold.map(|cold| cold.until.since(now)).filter(|left| !left.is_zero());
     let limited = bound.is_some();
     let brittle = limited && state.rate_limits.limit_of(engine, now).is_none();
     let spaced = flow.prompt.is_some() && state.settings.is_enabled(Mechanism::Spacing);
@@ -59,24 +59,23 @@
     }
     // After a denied reservation, the request takes any wait that its time allows at the next engine.
     let slack = pick.slack.max(state.settings.schedule_slack);
-    let most =
+    let wait_cap =
         if limited { flow.reservation_wait_max(&state.settings) } else { state.settings.schedule_wait };
-    let most = if brittle { most.min(rate_limit::WAIT_MAX) } else { most };
-    let permitted = flow.retry.until().map_or(Duration::MAX, |until| until.since(now));
-    let left =
-        flow.begin_by.since(now).saturating_sub(state.settings.answer_reserve).min(most).min(permitted);
+    let wait_cap = if brittle { wait_cap.min(rate_limit::WAIT_MAX) } else { wait_cap };
+    let permit_left = flow.retry.until().map_or(Duration::MAX, |until| until.since(now));
+    let wait_left =
+        flow.begin_by.since(now).saturating_sub(state.settings.answer_reserve).min(wait_cap).min(permit_left);
     let expected = engine.schedule.wait(now);
     let wait_max =
-        if flow.reservations_denied == 0 { expected.saturating_add(slack).min(left) } else { left };
-    let mut need = Cost::default();
+        if flow.reservations_denied == 0 { expected.saturating_add(slack).min(wait_left) } else { wait_left };
+    let mut cost = Cost::default();
     if spaced {
-        need = Cost::new(flow.prefill, state.speed.event_time(&flow.service), &flow.route);
+        cost = Cost::new(flow.prefill, state.speed.event_time(&flow.service), &flow.route);
     }
     if !state.settings.is_enabled(Mechanism::DeadlinePressure) {
-        need.target = Duration::ZERO;
+        cost.target = Duration::ZERO;
     }
-    let ask =
-        ReservationRequest { engine: pick.engine.clone(), cost: need, wait_max, limit, cold_left: cold };
+    let ask = ReservationRequest { engine: pick.engine.clone(), cost, wait_max, limit, cold_left };
     let zone = &engine.entry.zone;
     let owner = if limited {
         state.members.sole_owner(&pick.engine, zone).cloned()
@@ -98,7 +97,7 @@
     if grant == Grant::Elsewhere {
         schedule::learn_grant(state, now, &ask, grant);
     }
-    scheduled(state, now, id, grant, out);
+    grant_received(state, now, id, grant, out);
 }
 
 /// Handles the answer of a schedule's owner; `grant` is none if it did not answer.
@@ -119,34 +118,34 @@
     state.rate_limits.count_answer(&ask, grant);
     if let Some(grant) = grant {
         schedule::learn_grant(state, now, &ask, grant);
-        scheduled(state, now, id, grant, out);
+        grant_received(state, now, id, grant, out);
         return;
     }
     schedule::owner_timed_out(state, now, &owner, out);
     if is_limited(state, now, &ask.engine) {
-        // Only the owner may grant reservations at a limited engine.
+        // Only the owner may grant reservations at a rate-limited engine.
         detach(state, id);
         dispatch(state, now, id, true, out);
         return;
     }
     if surge.is_some() {
         // The engine may be cold, and the next owner may know how many requests it has had.
-        scheduled(state, now, id, Grant::Elsewhere, out);
+        grant_received(state, now, id, Grant::Elsewhere, out);
         return;
     }
     let grant = schedule::grant(state, now, &ask);
-    scheduled(state, now, id, grant, out);
+    grant_received(state, now, id, grant, out);
 }
 
 /// Sends a request whose reservation was granted, or looks for another engine if it was denied.
-fn scheduled(state: &mut State, now: Time, id: Id, grant: Grant, out: &mut Vec<Effect>) {
-    let Some(Flow { stage: Stage::Scheduling { pick, ask, .. }, reservations_denied: asked, .. }) =
+fn grant_received(state: &mut State, now: Time, id: Id, grant: Grant, out: &mut Vec<Effect>) {
+    let Some(Flow { stage: Stage::Scheduling { pick, ask, .. }, reservations_denied: denied, .. }) =
         state.flows.get(&id)
     else {
         return;
     };
-    let (pick, asked) = (pick.clone(), *asked);
-    // The reservation may have been granted by an owner that did not know the engine's limit.
+    let (pick, denied) = (pick.clone(), *denied);
+    // The reservation may have been granted by an owner that did not know the rate limit.
     let unaware = !ask.is_limited() && is_limited(state, now, &pick.engine);
     if let Err(Refusal { code, retry_after }) = access::recheck(state, now, id) {
         give_up(state, now, id, code, retry_after, out);
@@ -154,16 +153,16 @@
     }
     match grant {
         Grant::After(wait)
-            if !unaware && !state.freshness.awaits_refresh() && is_open(state, now, id, &pick.engine) =>
+            if !unaware && !state.freshness.awaits_refresh() && can_be_sent(state, now, id, &pick.engine) =>
         {
             send(state, now, id, &pick, wait, out);
         }
-        // The engine was removed, suspected or limited meanwhile, or that is in doubt.
+        // The engine was removed, suspected or rate-limited meanwhile, or the engines' table awaits a refresh.
         Grant::After(_) => {
             detach(state, id);
             dispatch(state, now, id, true, out);
         }
-        Grant::Busy(_) | Grant::Elsewhere if asked == 0 => {
+        Grant::Busy(_) | Grant::Elsewhere if denied == 0 => {
             detach(state, id);
             if let Some(flow) = state.flows.get_mut(&id) {
                 flow.reservations_denied += 1;
@@ -179,17 +178,17 @@
     }
 }
 
-/// Whether a limit applies to an engine.
+/// Whether a rate limit applies to an engine.
 fn is_limited(state: &State, now: Time, engine: &Name) -> bool {
     state.engines.get(engine).is_some_and(|engine| rate_limit::effective_limit(state, now, engine).is_some())
 }
 
 /// Whether an engine can still be sent the request that it was chosen for.
-fn is_open(state: &State, now: Time, id: Id, engine: &Name) -> bool {
+fn can_be_sent(state: &State, now: Time, id: Id, engine: &Name) -> bool {
     let Some(flow) = state.flows.get(&id) else {
         return false;
     };
-    let (prompt, homes) = (flow.prompt.as_ref(), regions::of_request(state, flow));
+    let (prompt, regions) = (flow.prompt.as_ref(), regions::of_request(state, flow));
     let serves = |engine: &Engine| {
         prompt.is_none_or(|prompt| engine.serves(&prompt.model, prompt.adapter.as_deref(), now))
     };
@@ -199,7 +198,7 @@
             && path::is_reachable(state, now, engine, false)
             && engine.health.pause_left(now).is_none()
             && serves(engine)
-            && regions::permit(state, &homes, engine).is_some()
+            && regions::permit(state, &regions, engine).is_some()
             && flow.pin.allows(engine.entry.build.as_ref())
     })
 }
@@ -224,13 +223,13 @@
     let at = now + wait;
     engine.health.last_sent = Some(at);
     let limit = state.rate_limits.limit_of(engine, now);
-    let named = state.rate_limits.reported_limit(engine).is_some() || state.rate_limits.is_brittle(engine);
+    let reported = state.rate_limits.reported_limit(engine).is_some() || state.rate_limits.is_brittle(engine);
     if limit.is_some() {
         state.rate_limits.count_sent();
     }
-    let place_until = (bound.is_some() || surge.is_some()).then_some(at + PLACE_KEPT);
-    flow.number += 1;
-    flow.used += 1;
+    let reservation_until = (bound.is_some() || surge.is_some()).then_some(at + RESERVATION_GRACE);
+    flow.attempts_made += 1;
+    flow.attempts_used += 1;
     flow.retry = flow.retry.sent();
     flow.reservations_denied = 0;
     state.paths.sent_by_relay += u64::from(relay.is_some());
@@ -238,7 +237,7 @@
     flow.stage = Stage::Sent { engine: pick.engine.clone(), at, begun: false, relay: relay_vm.clone() };
     out.push(Effect::Record(Record::Sent {
         request: id.0,
-        attempt: flow.number,
+        attempt: flow.attempts_made,
         engine: pick.engine.clone(),
         build: engine.entry.build.clone(),
         route: flow.route.name.clone(),
@@ -258,7 +257,7 @@
         charge,
     }));
     let attempt = Attempt {
-        number: flow.number,
+        number: flow.attempts_made,
         engine: pick.engine.clone(),
         incarnation: engine.entry.incarnation,
         build: engine.entry.build.clone(),
@@ -272,11 +271,11 @@
         send_by: send_by
             .filter(|_| flow.workspace.is_some())
             .into_iter()
-            .chain(place_until)
+            .chain(reservation_until)
             .chain(flow.retry.until())
             .min(),
         write_by: at + state.settings.departure_bound.send_delay_max(),
-        limited: named,
+        limited: reported,
         permit: pick.permit,
     };
     state.timers.set(at + silence, Timer::Silence(id, attempt.number));
--- a/fleet/src/outcome.rs
+++ b/fleet/src/outcome.rs
@@ -29,13 +29,19 @@
 /// a refusal proves that the request has not run.
 const REFUSALS_MAX: u32 = 2;
 /// Failed connections to an engine, direct or through a relay, after which the engine is excluded for the request.
-const UNSENT_MAX: usize = 2;
+const CONNECT_FAILURES_MAX: usize = 2;
 /// Divisor of a request's time. An idempotent request whose answer has not begun after that part of its time moves to another
 /// engine.
-const HANG_PART: u32 = 3;
+const HANG_DIVISOR: u32 = 3;
 
 /// Handles events of an answer that an engine of this build wrote. They are forwarded to the caller.
-pub(crate) fn began(state: &mut State, now: Time, id: Id, build: Option<&Name>, out: &mut Vec<Effect>) {
+pub(crate) fn events_received(
+    state: &mut State,
+    now: Time,
+    id: Id,
+    build: Option<&Name>,
+    out: &mut Vec<Effect>,
+) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
@@ -45,10 +51,10 @@
     };
     // If the engine's row names another build by now, the request was sent by an outdated row, or the engine has restarted since.
     let build = build.filter(|build| engine.is_none_or(|engine| engine.entry.build.as_ref() == Some(build)));
-    let begins = !flow.pin.is_restricted();
+    let begins_stream = !flow.pin.is_restricted();
     flow.pin.events_from(build);
     flow.may_have_run = true;
-    if begins {
+    if begins_stream {
         pin::stream_began(state, now, id, out);
     }
     let Some(flow) = state.flows.get_mut(&id) else {
@@ -70,7 +76,7 @@
             sent_ms: ms(now.since(*at)),
         }));
         if let Some(prompt) = prompt {
-            // The time of a crowded or limited engine does not show how fast others read.
+            // The time at a crowded or rate-limited engine does not show how fast others read.
             let slowed =
                 |engine: &Engine| engine.is_crowded() || state.rate_limits.limit_of(engine, now).is_some();
             if !state.engines.get(engine).is_some_and(slowed)
@@ -86,36 +92,36 @@
     }
     crash::answer_continued(state, now, id, first_at, out);
     suspicion::attempt_responded(state, now, &engine, relayed, at, out);
-    if let Some(known) = state.engines.get_mut(&engine).filter(|_| first) {
-        known.own_load = known.own_load.minus(Load { open: 0, reading_us });
+    if let Some(engine_state) = state.engines.get_mut(&engine).filter(|_| first) {
+        engine_state.own_load = engine_state.own_load.minus(Load { open: 0, reading_us });
     }
 }
 
 /// How a request's attempt ended.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Ended {
+pub(crate) struct AttemptEnd {
     /// The attempt's number.
     pub(crate) attempt: u32,
     pub(crate) end: End,
     pub(crate) events: Timing,
 }
 
-/// A failed attempt, after which the request may be sent once more.
+/// A failed attempt, after which the request may be retried.
 #[derive(Clone, Copy, Debug)]
 struct Failure {
     end: End,
     /// Whether the request may have crashed a second engine. That is known a moment later: an engine that got the request at once
     /// would crash too.
-    doubted: bool,
+    may_crash_again: bool,
 }
 
 /// Handles the end of a request's attempt.
-pub(crate) fn ended(state: &mut State, now: Time, id: Id, ended: Ended, out: &mut Vec<Effect>) {
-    let Ended { attempt: number, end, events } = ended;
+pub(crate) fn attempt_ended(state: &mut State, now: Time, id: Id, ended: AttemptEnd, out: &mut Vec<Effect>) {
+    let AttemptEnd { attempt: number, end, events } = ended;
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
-    if flow.number != number {
+    if flow.attempts_made != number {
         return;
     }
     let begun = matches!(flow.stage, Stage::Sent { begun: true, .. });
@@ -140,7 +146,7 @@
         pause_ms: ms(events.longest_pause),
     }));
     if end.proves_not_run() {
-        flow.used -= 1;
+        flow.attempts_used -= 1;
     } else {
         flow.may_have_run = true;
     }
@@ -151,14 +157,14 @@
     let service = flow.service.clone();
     let call_target = flow.prompt.is_none().then_some(flow.route.target);
     let suspect = end == End::Lost && crash::is_suspect(now, first_at);
-    let doubted = suspect
+    let may_crash_again = suspect
         && (!begun && state.crashes.is_suspected(request) || state.crashes.has_suspected_part(&flow.parts));
     if suspect {
         crash::connection_lost(state, now, id, Lost { engine: &engine, sent: at, begun }, out);
     }
-    judge(state, now, id, Judged { engine: &engine, end, relay, at }, out);
+    update_engine(state, now, id, EndedAttempt { engine: &engine, end, relay, at }, out);
     if let Some(target) = call_target {
-        learn_call(state, now, &service, &engine, end, took, target);
+        learn_queue_wait(state, now, &service, &engine, end, took, target);
     }
     match end {
         End::Done => {
@@ -176,13 +182,13 @@
             out.push(Effect::Step { request: id, step: Step::Forward });
         }
         End::Failed | End::Unsent | End::Withheld | End::Refused(_) | End::Lost | End::Broken => {
-            again(state, now, id, engine, Failure { end, doubted }, out);
+            retry(state, now, id, engine, Failure { end, may_crash_again }, out);
         }
     }
 }
 
 /// Learns from the end of a call of a plain service how long calls wait in the queue of its engine.
-fn learn_call(
+fn learn_queue_wait(
     state: &mut State,
     now: Time,
     service: &Name,
@@ -209,7 +215,7 @@
 }
 
 /// An attempt that ended, as evidence about its engine.
-struct Judged<'a> {
+struct EndedAttempt<'a> {
     engine: &'a Name,
     end: End,
     /// The entry VM that relayed it.
@@ -219,20 +225,20 @@
 }
 
 /// Updates what is known about an engine from the end of an attempt there.
-fn judge(state: &mut State, now: Time, id: Id, judged: Judged<'_>, out: &mut Vec<Effect>) {
-    let Judged { engine, end, relay, at } = judged;
+fn update_engine(state: &mut State, now: Time, id: Id, attempt: EndedAttempt<'_>, out: &mut Vec<Effect>) {
+    let EndedAttempt { engine, end, relay, at } = attempt;
     let settings = state.settings.clone();
     let prompt = state.flows.get(&id).and_then(|flow| flow.prompt.clone());
-    let Some(known) = state.engines.get_mut(engine) else {
+    let Some(engine_state) = state.engines.get_mut(engine) else {
         return;
     };
     match end {
         End::Done => suspicion::attempt_responded(state, now, engine, relay.is_some(), at, out),
-        End::Failed => known.health.last_heard = now,
-        End::Lost | End::Broken => known.health.record_failure(now, &settings),
+        End::Failed => engine_state.health.last_heard = now,
+        End::Lost | End::Broken => engine_state.health.record_failure(now, &settings),
         End::Refused(Cause::Busy) => {
-            known.health.last_heard = now;
-            known.health.record_failure(now, &settings);
+            engine_state.health.last_heard = now;
+            engine_state.health.record_failure(now, &settings);
             rate_limit::rejection_received(state, now, engine, out);
         }
         End::Withheld => {}
@@ -241,11 +247,11 @@
             None => suspicion::unreachable(state, now, engine, out),
         },
         End::Refused(Cause::Absent) => {
-            known.health.last_heard = now;
+            engine_state.health.last_heard = now;
             if let Some(prompt) = prompt {
                 let until = now + settings.absence_ttl;
-                known.absent.retain(|(_, _, until)| *until > now);
-                known.absent.push((prompt.model.clone(), prompt.adapter.clone(), until));
+                engine_state.absent.retain(|(_, _, until)| *until > now);
+                engine_state.absent.push((prompt.model.clone(), prompt.adapter.clone(), until));
                 let refused = Absent { engine: engine.clone(), model: prompt.model, adapter: prompt.adapter };
                 if state.lease.held_term(now).is_some() {
                     ledger::recheck_after_refusal(state, now, &refused);
@@ -254,25 +260,28 @@
                 }
             }
         }
-        End::Refused(Cause::Replaced) => known.replaced = true,
+        End::Refused(Cause::Replaced) => engine_state.replaced = true,
     }
 }
 
-/// Sends a request once more after a failed attempt, if it may run again or has not run, and if time is left. A permit is
+/// Retries a request after a failed attempt, if it may run again or has not run, and if time is left. A permit is
 /// obtained once an engine has been chosen.
-fn again(state: &mut State, now: Time, id: Id, engine: Name, failure: Failure, out: &mut Vec<Effect>) {
-    let Failure { end, doubted } = failure;
+fn retry(state: &mut State, now: Time, id: Id, engine: Name, failure: Failure, out: &mut Vec<Effect>) {
+    let Failure { end, may_crash_again } = failure;
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
-    let repeatable = flow.route.kind.repeatable() || !flow.may_have_run;
-    let within = flow.used < flow.route.attempts && flow.refusals <= REFUSALS_MAX;
+    let may_run_again = flow.route.kind.repeatable() || !flow.may_have_run;
+    let attempts_left = flow.attempts_used < flow.route.attempts && flow.refusals <= REFUSALS_MAX;
     let in_time = now + state.settings.answer_reserve < flow.deadline;
-    // An engine that lacks the model may load it: it is not excluded here, but for a limited time by `Engine::absent`.
+    // An engine that lacks the model may load it. It is not excluded here, but by `Engine::absent` for a limited time.
     match end {
         End::Refused(Cause::Absent) | End::Withheld => {}
         // Another entry VM may reach the engine and relay the request, and if that one fails, yet another may.
-        End::Unsent if flow.connect_failures.iter().filter(|of| **of == engine).count() < UNSENT_MAX => {
+        End::Unsent
+            if flow.connect_failures.iter().filter(|failed| **failed == engine).count()
+                < CONNECT_FAILURES_MAX =>
+        {
             flow.connect_failures.push(engine);
         }
         _ => flow.excluded.push(engine),
@@ -285,14 +294,14 @@
             flow.early_permit.take().map_or(Retry::Needed, Retry::Permitted)
         }
     };
-    if !(repeatable && !doubted && within && in_time) {
+    if !(may_run_again && !may_crash_again && attempts_left && in_time) {
         return end_without_retry(state, now, id, out);
     }
     *state.retries.entry(end.label()).or_default() += 1;
     flow::dispatch(state, now, id, true, out);
 }
 
-/// Ends a request that is not sent once more, with the result of its last attempt.
+/// Ends a request that is not retried, with the result of its last attempt.
 pub(crate) fn end_without_retry(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get(&id) else {
         return;
@@ -323,33 +332,39 @@
     let Stage::Sent { engine, at, begun, relay } = flow.stage.clone() else {
         return;
     };
-    if flow.number != number {
+    if flow.attempts_made != number {
         return;
     }
-    let Some(known) = state.engines.get_mut(&engine) else {
+    let Some(engine_state) = state.engines.get_mut(&engine) else {
         return;
     };
     // What the engine sent while this process was stalled is read only after this event.
-    let awake_since = state.freshness.resumed_at();
-    let last = known.health.last_heard.max(at).max(awake_since);
+    let resumed_at = state.freshness.resumed_at();
+    let last = engine_state.health.last_heard.max(at).max(resumed_at);
     let silent = now.since(last) >= settings.engine_silence;
     // An engine that its relay still reaches may just be slow.
-    let relayed = relay.as_ref().is_some_and(|relay| known.path.is_relayed_by(relay));
-    let dead = silent && known.path.is_lost() && !relayed;
+    let relayed = relay.as_ref().is_some_and(|relay| engine_state.path.is_relayed_by(relay));
+    let dead = silent && engine_state.path.is_lost() && !relayed;
     let hangs = !begun
         && flow.route.kind == Kind::Idempotent
-        && now.since(at.max(awake_since)) >= flow.deadline.since(flow.arrived) / HANG_PART;
+        && now.since(at.max(resumed_at)) >= flow.deadline.since(flow.arrived) / HANG_DIVISOR;
     if silent && relayed {
         path::recheck_relay(state, &engine, out);
-    } else if silent && !known.health.is_suspected(now) {
+    } else if silent && !engine_state.health.is_suspected(now) {
         suspicion::silent(state, now, &engine, out);
     }
     let Some(flow) = state.flows.get(&id) else {
         return;
     };
-    let movable = flow.route.kind.repeatable() && flow.used < flow.route.attempts;
+    let movable = flow.route.kind.repeatable() && flow.attempts_used < flow.route.attempts;
     if (dead || hangs) && movable && budget::obtain_early(state, now, id, out) == Obtained::Yes {
-        ended(state, now, id, Ended { attempt: number, end: End::Broken, events: Timing::default() }, out);
+        attempt_ended(
+            state,
+            now,
+            id,
+            AttemptEnd { attempt: number, end: End::Broken, events: Timing::default() },
+            out,
+        );
         return;
     }
     state.timers.set(now + settings.engine_silence / 2, Timer::Silence(id, number));
--- a/fleet/src/pin.rs
+++ b/fleet/src/pin.rs
@@ -1,10 +1,10 @@
 //! Pins a stream to the build of its service's software that wrote its first events: only engines of that build may continue it.
 //!
 //! Events of one stream that are written by two builds do not fit together, and engines do not check that. Engines of several builds may
-//! serve at the same time. Within one answer, the state of the request holds the build. If the client resumes the stream at another entry VM,
+//! serve at the same time. Within one answer, the state of the request holds the build. If the caller resumes the stream at another entry VM,
 //! that one has to find out the build. So the entry VM that forwards the first event sends the stream's origin to some entry VMs of each
 //! availability zone, picked by a hash of the stream (its replicas). It sends it again at intervals as long as the stream is open,
-//! because replicas may have been restarted. The entry VM at which the client resumes the stream asks all replicas. This is not needed
+//! because replicas may have been restarted. The entry VM at which the caller resumes the stream asks all replicas. This is not needed
 //! for a service of which only one build has served for as long as a stream may last (`history`). If the build is not certain, the request
 //! is refused at once.
 
@@ -29,15 +29,15 @@
 pub(crate) use replicas::{announce_all, announce_due, build_appeared, store, stream_began};
 pub(crate) use trace::{origin_answered, resolve_origin};
 
-/// Shortest time for which the origin of a stream is stored. A stream may last for several attempts of its client, each of which may
+/// Shortest time for which the origin of a stream is stored. A stream may last for several attempts of its caller, each of which may
 /// take its route's timeout.
-const LIFE_MIN: Duration = Duration::from_secs(30);
+const LIFETIME_MIN: Duration = Duration::from_secs(30);
 
 /// The stream origins stored by this process, and statistics.
 #[derive(Debug, Default)]
 pub(crate) struct Pins {
     pub(crate) origins: Origins,
-    /// Number of decisions on resumed streams, by the source of the origin.
+    /// Number of decisions on resumed streams, by how the origin was found.
     pub(crate) decided: BTreeMap<&'static str, u64>,
     /// Messages sent to replicas.
     pub(crate) messages: u64,
@@ -83,11 +83,11 @@
     }
 }
 
-/// How long a stream's origin matters: the longest time for which a stream may last.
-fn life(state: &State) -> Duration {
+/// How long a stream's origin is stored: the longest time for which a stream may last.
+fn lifetime(state: &State) -> Duration {
     let routes = state.config.iter().flat_map(|config| &config.routes);
     let timeouts = routes.filter(|route| route.kind.resumable()).map(|route| route.timeout * 2);
-    timeouts.max().unwrap_or_default().max(LIFE_MIN)
+    timeouts.max().unwrap_or_default().max(LIFETIME_MIN)
 }
 
 /// The only build of a service that can have begun a stream; none if there are several, or if that is not certain.
@@ -96,10 +96,10 @@
     if age > staleness_max(state) {
         return None;
     }
-    state.history.only_build(now, service, life(state))
+    state.history.only_build(now, service, lifetime(state))
 }
 
-/// Whether a request begins a stream that its client may resume at another entry VM.
+/// Whether a request begins a stream that its caller may resume at another entry VM.
 pub(crate) fn begins_resumable(flow: &Flow) -> bool {
     flow.route.kind.resumable() && flow.pin == Pin::Free
 }
--- a/fleet/src/pin/history.rs
+++ b/fleet/src/pin/history.rs
@@ -2,8 +2,8 @@
 //!
 //! If only one build of a service has served for as long as a stream can last, that build began all of the service's streams, and no origins need
 //! to be stored. That conclusion needs a recent copy of the engines' table, and no other entry VM may have begun a stream at a build that is not
-//! known here yet. A build therefore gets no resumable streams until its first entry has been known for longer ([`settling`]) than the age
-//! that a copy of the table may have for this conclusion ([`fresh`]).
+//! known here yet. A build therefore gets no resumable streams until its first entry has been known for longer ([`settling_time`]) than the age
+//! that a copy of the table may have for this conclusion ([`staleness_max`]).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -20,7 +20,7 @@
     state.settings.departure_bound.relayed_age_max() + frame::own_frame_interval(state) * 2
 }
 
-/// How long a build must have been known before it gets resumable streams. This is twice [`fresh`], because that bound differs between entry
+/// How long a build must have been known before it gets resumable streams. This is twice [`staleness_max`], because that bound differs between entry
 /// VMs that count different numbers of members.
 pub(crate) fn settling_time(state: &State) -> Duration {
     staleness_max(state) * 2
@@ -31,20 +31,20 @@
 pub(crate) struct History {
     services: BTreeMap<Name, BTreeMap<Option<Name>, Span>>,
     /// Since when this is complete; none before the table has been read.
-    known: Option<Known>,
+    complete_since: Option<Since>,
     /// Up to when this is complete.
-    until: Time,
+    complete_until: Time,
     /// When the table was first read.
-    began: Option<Time>,
+    first_read: Option<Time>,
     /// The report of another process and its time, until the table has been read.
     inherited: Option<(Report, Time)>,
 }
 
-/// Since when the history is complete.
+/// The time since which the history is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Known {
-    Ever,
-    From(Time),
+enum Since {
+    Always,
+    Time(Time),
 }
 
 /// The time during which a build has had engines.
@@ -57,7 +57,7 @@
     /// When it last had engines.
     last: Time,
     /// Whether it had engines when the table was first read. If so, it may have had them long before `first`.
-    found: bool,
+    listed_at_start: bool,
 }
 
 /// The history in the form in which another process may take it over.
@@ -90,7 +90,7 @@
         let by_ms = by.as_millis() as u64;
         let aged = |seen: &Seen| Seen {
             first_ms: seen.first_ms + by_ms,
-            // A build that had engines may have lost them since; 0 keeps it as one that may serve.
+            // A build that had engines then may have lost them at any time since: 0 keeps it as one that may serve.
             last_ms: if seen.last_ms > 0 { seen.last_ms + by_ms } else { 0 },
             ..seen.clone()
         };
@@ -105,14 +105,18 @@
 impl History {
     /// Adds an engine of this build. Returns whether it is the build's first one, of a service that has had other builds.
     pub(crate) fn put(&mut self, now: Time, service: &Name, build: Option<&Name>) -> bool {
-        let began = *self.began.get_or_insert(now);
+        let first_read = *self.first_read.get_or_insert(now);
         let builds = self.services.entry(service.clone()).or_default();
-        let span =
-            builds.entry(build.cloned()).or_insert(Span { engines: 0, first: now, last: now, found: false });
+        let span = builds.entry(build.cloned()).or_insert(Span {
+            engines: 0,
+            first: now,
+            last: now,
+            listed_at_start: false,
+        });
         let is_first = span.engines == 0;
         if is_first {
             span.first = now;
-            span.found = began == now;
+            span.listed_at_start = first_read == now;
         }
         span.engines += 1;
         span.last = now;
@@ -128,13 +132,13 @@
         }
     }
 
-    /// Records that the table is known as it was at `at`. `before` is the time up to which it was known until now.
+    /// Records that the table has been read as it was at `at`. `before` is the time up to which it was known until now.
     pub(crate) fn confirm(&mut self, at: Time, before: Option<Time>, settling: Duration) {
-        // A build that came and went within a shorter gap has got no resumable streams.
+        // A build that came and went within a shorter gap cannot have got any resumable streams.
         let gap = before.is_some_and(|before| at.since(before) >= settling);
-        self.until = at;
-        if gap || self.known.is_none() {
-            self.known = Some(Known::From(at));
+        self.complete_until = at;
+        if gap || self.complete_since.is_none() {
+            self.complete_since = Some(Since::Time(at));
         }
         if let Some((report, then)) = self.inherited.take() {
             self.inherit(at, &report, at.since(then), settling);
@@ -143,7 +147,7 @@
 
     /// Marks the history as complete from the beginning, since nothing served before this process started.
     pub(crate) const fn mark_complete(&mut self) {
-        self.known = Some(Known::Ever);
+        self.complete_since = Some(Since::Always);
     }
 
     /// Whether a build has been known for long enough to get resumable streams.
@@ -164,31 +168,31 @@
         spans.any(|span| span.engines > 0 && now.since(span.first) < settling)
     }
 
-    /// The only build of a service that has served within `life`, if the history of that time is complete.
-    pub(crate) fn only_build(&self, now: Time, service: &Name, life: Duration) -> Option<&Name> {
-        let known = match self.known? {
-            Known::Ever => true,
-            Known::From(from) => now.since(from) >= life,
+    /// The only build of a service that has served within `lifetime`, if the history of that time is complete.
+    pub(crate) fn only_build(&self, now: Time, service: &Name, lifetime: Duration) -> Option<&Name> {
+        let is_complete = match self.complete_since? {
+            Since::Always => true,
+            Since::Time(from) => now.since(from) >= lifetime,
         };
-        let served = |span: &Span| span.engines > 0 || now.since(span.last) < life;
+        let served = |span: &Span| span.engines > 0 || now.since(span.last) < lifetime;
         let builds = self.services.get(service)?;
         let mut served = builds.iter().filter(|(_, span)| served(span)).map(|(build, _)| build.as_ref());
         let only = served.next()??;
-        (known && served.next().is_none()).then_some(only)
+        (is_complete && served.next().is_none()).then_some(only)
     }
 
-    /// Forgets builds that have not served within `life`.
-    pub(crate) fn prune(&mut self, now: Time, life: Duration) {
+    /// Forgets builds that have not served within `lifetime`.
+    pub(crate) fn prune(&mut self, now: Time, lifetime: Duration) {
         for builds in self.services.values_mut() {
-            builds.retain(|_, span| span.engines > 0 || now.since(span.last) < life);
+            builds.retain(|_, span| span.engines > 0 || now.since(span.last) < lifetime);
         }
     }
 
     /// The history as another process may take it over; none before any is known.
     pub(crate) fn report(&self, now: Time) -> Option<Report> {
-        let known_ms = match (self.known, &self.inherited) {
-            (Some(Known::Ever), _) => None,
-            (Some(Known::From(from)), _) => Some(now.since(from).as_millis() as u64),
+        let known_ms = match (self.complete_since, &self.inherited) {
+            (Some(Since::Always), _) => None,
+            (Some(Since::Time(from)), _) => Some(now.since(from).as_millis() as u64),
             // The next process can continue from the inherited report.
             (None, Some((report, then))) => return Some(report.aged(now.since(*then))),
             (None, None) => return None,
@@ -202,16 +206,16 @@
         let all = self.services.iter();
         let builds =
             all.flat_map(|(service, builds)| builds.iter().map(|(build, span)| seen(service, build, span)));
-        let age_ms = now.since(self.until).as_millis() as u64;
+        let age_ms = now.since(self.complete_until).as_millis() as u64;
         Some(Report { known_ms, age_ms, builds: builds.collect() })
     }
 
     /// Takes over the report that another process made `age` ago. It extends this history back in time if no build can have got
     /// resumable streams in the gap between them.
     pub(crate) fn inherit(&mut self, now: Time, report: &Report, age: Duration, settling: Duration) {
-        let from = match self.known {
-            Some(Known::From(from)) => from,
-            Some(Known::Ever) => return,
+        let from = match self.complete_since {
+            Some(Since::Time(from)) => from,
+            Some(Since::Always) => return,
             None => {
                 self.inherited = Some((report.clone(), now - age));
                 return;
@@ -224,16 +228,22 @@
         if from.since(until) >= settling {
             return;
         }
-        let theirs = report.known_ms.map_or(Known::Ever, |ms| Known::From(now - Duration::from_millis(ms)));
-        self.known = Some(theirs.min(Known::From(from)));
+        let inherited_since =
+            report.known_ms.map_or(Since::Always, |ms| Since::Time(now - Duration::from_millis(ms)));
+        self.complete_since = Some(inherited_since.min(Since::Time(from)));
     }
 
     fn merge(&mut self, now: Time, seen: &Seen) {
         let first = now - Duration::from_millis(seen.first_ms);
         let last = now - Duration::from_millis(seen.last_ms);
         let builds = self.services.entry(seen.service.clone()).or_default();
-        let span = builds.entry(seen.build.clone()).or_insert(Span { engines: 0, first, last, found: false });
-        if span.found && seen.last_ms == 0 {
+        let span = builds.entry(seen.build.clone()).or_insert(Span {
+            engines: 0,
+            first,
+            last,
+            listed_at_start: false,
+        });
+        if span.listed_at_start && seen.last_ms == 0 {
             span.first = span.first.min(first);
         }
         span.last = span.last.max(last);
--- a/fleet/src/pin/origins.rs
+++ b/fleet/src/pin/origins.rs
@@ -25,32 +25,32 @@
 /// forgotten first.
 #[derive(Debug, Default)]
 pub(crate) struct Origins {
-    young: FxHashMap<Stream, Origin>,
-    old: FxHashMap<Stream, Origin>,
-    began: Time,
+    current: FxHashMap<Stream, Origin>,
+    previous: FxHashMap<Stream, Origin>,
+    current_since: Time,
 }
 
 impl Origins {
-    /// Stores a stream's origin for at least `life`, unless too many streams are stored meanwhile.
-    pub(crate) fn insert(&mut self, now: Time, stream: Stream, mut origin: Origin, life: Duration) {
-        if now.since(self.began) >= life || self.young.len() >= GENERATION_MAX {
-            self.old = std::mem::take(&mut self.young);
-            self.began = now;
+    /// Stores a stream's origin for at least `lifetime`, unless too many streams are stored meanwhile.
+    pub(crate) fn insert(&mut self, now: Time, stream: Stream, mut origin: Origin, lifetime: Duration) {
+        if now.since(self.current_since) >= lifetime || self.current.len() >= GENERATION_MAX {
+            self.previous = std::mem::take(&mut self.current);
+            self.current_since = now;
         }
-        if self.get(stream).is_some_and(|known| *known != origin) {
-            // Two attempts had the same id, so it is unknown which of the two origins a client means.
+        if self.get(stream).is_some_and(|stored| *stored != origin) {
+            // Two attempts had the same id, so it is unknown which of the two origins a caller means.
             origin.build = None;
         }
-        self.young.insert(stream, origin);
+        self.current.insert(stream, origin);
     }
 
     /// The origin of a stream, if stored.
     pub(crate) fn get(&self, stream: Stream) -> Option<&Origin> {
-        self.young.get(&stream).or_else(|| self.old.get(&stream))
+        self.current.get(&stream).or_else(|| self.previous.get(&stream))
     }
 
     /// Number of stored origins.
     pub(crate) fn len(&self) -> usize {
-        self.young.len() + self.old.len()
+        self.current.len() + self.previous.len()
     }
 }
--- a/fleet/src/pin/replicas.rs
+++ b/fleet/src/pin/replicas.rs
@@ -1,5 +1,5 @@
 //! Replicates stream origins to some entry VMs of each availability zone, the stream's replicas, since the entry VM at which a stream began
-//! may be gone when its client resumes the stream elsewhere.
+//! may be gone when its caller resumes the stream elsewhere.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,7 +8,7 @@
 use boragecove_core::time::Time;
 use serde::{Deserialize, Serialize};
 
-use super::{Origin, Pin, life, only_build};
+use super::{Origin, Pin, lifetime, only_build};
 use crate::effect::Effect;
 use crate::flow::Flow;
 use crate::frame;
@@ -17,9 +17,9 @@
 use crate::timer::Timer;
 
 /// Interval at which the origins of open streams are sent again; longer with hundreds of entry VMs.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(1);
 /// Time over which entry VMs spread the messages that they send when a new build appears; longer with hundreds of entry VMs.
-const TELL_SPREAD: Duration = Duration::from_millis(40);
+const ANNOUNCE_SPREAD: Duration = Duration::from_millis(40);
 
 /// Streams of one origin, as sent to a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -30,18 +30,18 @@
     pub streams: Vec<Stream>,
 }
 
-/// Stores and replicates the origin of a stream whose first events were forwarded to its client.
+/// Stores and replicates the origin of a stream whose first events were forwarded to its caller.
 pub(crate) fn stream_began(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
     let Some((stream, origin)) = state.flows.get(&id).and_then(origin_of) else {
         return;
     };
-    let life = life(state);
-    state.pins.origins.insert(now, stream, origin.clone(), life);
+    let lifetime = lifetime(state);
+    state.pins.origins.insert(now, stream, origin.clone(), lifetime);
     if only_build(state, now, &origin.service).is_some() {
         return;
     }
     for address in replicas(state, stream) {
-        tell(state, address, vec![Announcement { origin: origin.clone(), streams: vec![stream] }], out);
+        announce(state, address, vec![Announcement { origin: origin.clone(), streams: vec![stream] }], out);
     }
 }
 
@@ -58,37 +58,39 @@
 
 /// The addresses of a stream's replicas other than this process.
 pub(super) fn replicas(state: &State, stream: Stream) -> Vec<SocketAddr> {
-    let keepers = state.members.stream_replicas(stream).into_iter().filter(|member| member.vm != state.me.vm);
-    keepers.map(|member| member.address).collect()
+    let replicas =
+        state.members.stream_replicas(stream).into_iter().filter(|member| member.vm != state.me.vm);
+    replicas.map(|member| member.address).collect()
 }
 
-fn tell(state: &mut State, address: SocketAddr, notes: Vec<Announcement>, out: &mut Vec<Effect>) {
+fn announce(state: &mut State, address: SocketAddr, notes: Vec<Announcement>, out: &mut Vec<Effect>) {
     state.pins.messages += 1;
-    state.pins.streams_announced += notes.iter().map(|note| note.streams.len() as u64).sum::<u64>();
+    state.pins.streams_announced +=
+        notes.iter().map(|announcement| announcement.streams.len() as u64).sum::<u64>();
     out.push(Effect::AnnounceOrigins { address, notes });
 }
 
 /// Sends the origins of open streams again, at a regular interval.
 pub(crate) fn announce_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    state.timers.set(now + TELL_EVERY.mul_f64(frame::size_factor(state)), Timer::StreamReports);
-    let life = life(state);
-    state.history.prune(now, life);
+    state.timers.set(now + ANNOUNCE_INTERVAL.mul_f64(frame::size_factor(state)), Timer::StreamReports);
+    let lifetime = lifetime(state);
+    state.history.prune(now, lifetime);
     announce_all(state, now, out);
 }
 
 /// Schedules sending the origins of open streams after a service got engines of a new build. Entry VMs spread this over some time.
 pub(crate) fn build_appeared(state: &mut State, now: Time) {
-    let within = TELL_SPREAD.mul_f64(frame::size_factor(state) * state.rng.f64());
+    let within = ANNOUNCE_SPREAD.mul_f64(frame::size_factor(state) * state.rng.f64());
     state.timers.set(now + within, Timer::StreamReportsRetry);
 }
 
 /// Sends the origins of all open streams to their replicas.
 pub(crate) fn announce_all(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let life = life(state);
+    let lifetime = lifetime(state);
     let streams: Vec<(Stream, Origin)> = state.flows.values().filter_map(origin_of).collect();
     let mut notes: BTreeMap<SocketAddr, BTreeMap<Origin, BTreeSet<Stream>>> = BTreeMap::new();
     for (stream, origin) in streams {
-        state.pins.origins.insert(now, stream, origin.clone(), life);
+        state.pins.origins.insert(now, stream, origin.clone(), lifetime);
         if only_build(state, now, &origin.service).is_some() {
             continue;
         }
@@ -97,20 +99,20 @@
         }
     }
     for (address, origins) in notes {
-        let note = |(origin, streams): (Origin, BTreeSet<Stream>)| Announcement {
+        let announcement = |(origin, streams): (Origin, BTreeSet<Stream>)| Announcement {
             origin,
             streams: streams.into_iter().collect(),
         };
-        tell(state, address, origins.into_iter().map(note).collect(), out);
+        announce(state, address, origins.into_iter().map(announcement).collect(), out);
     }
 }
 
 /// Stores stream origins that another entry VM sent.
 pub(crate) fn store(state: &mut State, now: Time, notes: Vec<Announcement>) {
-    let life = life(state);
+    let lifetime = lifetime(state);
     for Announcement { origin, streams } in notes {
         for stream in streams {
-            state.pins.origins.insert(now, stream, origin.clone(), life);
+            state.pins.origins.insert(now, stream, origin.clone(), lifetime);
         }
     }
 }
--- a/fleet/src/pin/trace.rs
+++ b/fleet/src/pin/trace.rs
@@ -1,4 +1,4 @@
-//! Finds out which build began a stream that a client resumes.
+//! Finds out which build began a stream that a caller resumes.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use crate::request::Id;
 use crate::state::State;
 
-/// Whether it is known which engines may serve a request. If its client resumes a stream whose origin is not known here, the stream's replicas
+/// Whether it is known which engines may serve a request. If its caller resumes a stream whose origin is not known here, the stream's replicas
 /// are asked, or the request is refused.
 pub(crate) fn resolve_origin(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> bool {
     let Some(flow) = state.flows.get(&id) else {
@@ -27,23 +27,23 @@
         return true;
     };
     if let Some(origin) = resumption.stream.and_then(|stream| state.pins.origins.get(stream)).cloned() {
-        return settle(state, now, id, &origin, "kept", out);
+        return pin_to_origin(state, now, id, &origin, "kept", out);
     }
-    if let [share] = &*flow.route.split
-        && let Some(build) = only_build(state, now, &share.service)
+    if let [destination] = &*flow.route.split
+        && let Some(build) = only_build(state, now, &destination.service)
     {
-        let origin = Origin { service: share.service.clone(), build: Some(build.clone()) };
-        return settle(state, now, id, &origin, "only", out);
+        let origin = Origin { service: destination.service.clone(), build: Some(build.clone()) };
+        return pin_to_origin(state, now, id, &origin, "only", out);
     }
     let asked = resumption.stream.map(|stream| (stream, replicas(state, stream)));
-    let Some((stream, keepers)) = asked.filter(|(_, keepers)| !keepers.is_empty()) else {
-        unknown(state, now, id, out);
+    let Some((stream, replicas)) = asked.filter(|(_, replicas)| !replicas.is_empty()) else {
+        refuse_unknown(state, now, id, out);
         return false;
     };
     if let Some(flow) = state.flows.get_mut(&id) {
-        flow.stage = Stage::Tracing { left: keepers.len() };
+        flow.stage = Stage::Tracing { left: replicas.len() };
     }
-    out.extend(keepers.into_iter().map(|address| Effect::QueryOrigin { address, request: id, stream }));
+    out.extend(replicas.into_iter().map(|address| Effect::QueryOrigin { address, request: id, stream }));
     false
 }
 
@@ -62,20 +62,20 @@
         return;
     };
     *left -= 1;
-    let over = *left == 0;
+    let all_answered = *left == 0;
     if let Some(origin) = origin {
         flow.stage = Stage::Waiting;
-        if settle(state, now, id, origin, "told", out) {
+        if pin_to_origin(state, now, id, origin, "told", out) {
             flow::dispatch(state, now, id, true, out);
         }
-    } else if over {
+    } else if all_answered {
         flow.stage = Stage::Waiting;
-        unknown(state, now, id, out);
+        refuse_unknown(state, now, id, out);
     }
 }
 
 /// Pins a request to the build that began the stream that it resumes. Returns whether the request may be dispatched.
-fn settle(
+fn pin_to_origin(
     state: &mut State,
     now: Time,
     id: Id,
@@ -87,15 +87,15 @@
         return false;
     };
     let Some(build) = &origin.build else {
-        unknown(state, now, id, out);
+        refuse_unknown(state, now, id, out);
         return false;
     };
     let resumption = flow.resumption.take();
     flow.stream = resumption.and_then(|resumption| resumption.stream);
     flow.pin = Pin::Build(build.clone());
-    let allowed = flow.route.split.iter().any(|share| share.service == origin.service);
+    let allowed = flow.route.split.iter().any(|destination| destination.service == origin.service);
     flow.service.clone_from(&origin.service);
-    decided(state, id, by, Some(build.clone()), out);
+    record_decision(state, id, by, Some(build.clone()), out);
     if !allowed {
         // The route no longer includes the service that began the stream.
         flow::give_up(state, now, id, Code::BuildGone, Some(Duration::ZERO), out);
@@ -104,12 +104,12 @@
 }
 
 /// Refuses a request because the origin of the stream that it resumes is unknown.
-fn unknown(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
-    decided(state, id, "unknown", None, out);
+fn refuse_unknown(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
+    record_decision(state, id, "unknown", None, out);
     flow::give_up(state, now, id, Code::OriginUnknown, Some(RETRY_AFTER), out);
 }
 
-fn decided(state: &mut State, id: Id, by: &'static str, build: Option<Name>, out: &mut Vec<Effect>) {
+fn record_decision(state: &mut State, id: Id, by: &'static str, build: Option<Name>, out: &mut Vec<Effect>) {
     *state.pins.decided.entry(by).or_default() += 1;
     out.push(Effect::Record(Record::Traced { request: id.0, by, build, kept: state.pins.origins.len() }));
 }
--- a/fleet/src/reduce.rs
+++ b/fleet/src/reduce.rs
@@ -44,14 +44,14 @@
     let mut out = Vec::new();
     let late = state.timers.late(now);
     freshness::woke_late(state, now, late, &mut out);
-    hand(state, now, event, &mut out);
+    handle(state, now, event, &mut out);
     while let Some(timer) = state.timers.pop(now) {
         fire(state, now, timer, &mut out);
     }
     if state.rescan_requested {
         flow::rescan_waiting(state, now, &mut out);
     }
-    leave(state, &mut out);
+    exit_when_idle(state, &mut out);
     if let Some(at) = state.timers.announce(now) {
         out.push(Effect::WakeAt(at));
     }
@@ -60,21 +60,21 @@
 
 /// The hub's reply to a frame. The frame must have been applied as an event before.
 #[must_use]
-pub fn reply_to_frame(state: &mut State, now: Time, asker: &Frame) -> Reply {
-    frame::reply(state, now, asker)
+pub fn reply_to_frame(state: &mut State, now: Time, frame: &Frame) -> Reply {
+    frame::reply(state, now, frame)
 }
 
 /// Whether to hold back the reply to a frame for a moment, because an adapter that callers of its sender wait for is being
 /// loaded. The frame must have been applied as an event before.
 #[must_use]
-pub fn defers_reply(state: &State, now: Time, asker: &Frame) -> bool {
-    frame::awaits_adapter(state, now, asker)
+pub fn defers_reply(state: &State, now: Time, frame: &Frame) -> bool {
+    frame::awaits_adapter(state, now, frame)
 }
 
 /// Whether an engine whose models or adapters have changed can now serve callers of the frame's sender that wait.
 #[must_use]
-pub fn satisfies_frame(state: &State, now: Time, engine: &Name, asker: &Frame) -> bool {
-    frame::serves_waiting(state, now, engine, asker)
+pub fn satisfies_frame(state: &State, now: Time, engine: &Name, frame: &Frame) -> bool {
+    frame::serves_waiting(state, now, engine, frame)
 }
 
 /// Answers another entry VM's request for a reservation, as the owner of the engine's schedule.
@@ -87,7 +87,7 @@
     quota::draw(state, now, draw)
 }
 
-/// Answers another entry VM's request for a permit to repeat a request, as the leader.
+/// Answers another entry VM's request for a permit to retry a request, as the hub.
 pub fn permit(state: &mut State, now: Time, ask: budget::PermitRequest) -> Permit {
     budget::grant(state, now, ask)
 }
@@ -108,7 +108,7 @@
     path::accept(state, now, engine, incarnation, build)
 }
 
-/// Stores stream origins that another entry VM sent, for clients that resume these streams elsewhere.
+/// Stores stream origins that another entry VM sent, for callers that resume these streams elsewhere.
 pub fn store_origins(state: &mut State, now: Time, notes: Vec<Announcement>) {
     pin::store(state, now, notes);
 }
@@ -125,7 +125,7 @@
     path::probe(state, now, engine)
 }
 
-fn hand(state: &mut State, now: Time, event: Event, out: &mut Vec<Effect>) {
+fn handle(state: &mut State, now: Time, event: Event, out: &mut Vec<Effect>) {
     match event {
         Event::Configured(config) => tables::apply_config(state, now, config, "store", out),
         Event::OperatorTableRead { version, config, asked } => {
@@ -139,7 +139,7 @@
         Event::StoreUp(up) => tables::set_store_reachable(state, now, up, out),
         Event::Arrive { request, arrival } => flow::arrive(state, now, request, *arrival, out),
         Event::CallerGone(request) => flow::caller_gone(state, now, request),
-        Event::Began { request, build } => outcome::began(state, now, request, build.as_ref(), out),
+        Event::Began { request, build } => outcome::events_received(state, now, request, build.as_ref(), out),
         Event::EngineActive(engine) => {
             if let Some(engine) = state.engines.get_mut(&engine) {
                 engine.health.last_heard = now;
@@ -149,7 +149,7 @@
             notice::notice_received(state, now, &from, notice, asked, out);
         }
         Event::Ended { request, attempt, end, events } => {
-            outcome::ended(state, now, request, outcome::Ended { attempt, end, events }, out);
+            outcome::attempt_ended(state, now, request, outcome::AttemptEnd { attempt, end, events }, out);
         }
         Event::FrameReceived(frame) => frame::frame_received(state, now, *frame, out),
         Event::Replied(reply) => frame::reply_received(state, now, reply.map(|reply| *reply), out),
@@ -222,7 +222,7 @@
 }
 
 /// Asks the process to exit once the balancer has stopped sending requests and nothing is in flight.
-fn leave(state: &mut State, out: &mut Vec<Effect>) {
+fn exit_when_idle(state: &mut State, out: &mut Vec<Effect>) {
     if state.balancer_grace_over && state.flows.is_empty() && !path::is_relaying(state) {
         out.push(Effect::Exit);
     }
--- a/fleet/src/request.rs
+++ b/fleet/src/request.rs
@@ -75,12 +75,12 @@
     }
 }
 
-/// The id of a stream: a hash of the id of the client's attempt that delivered the first event.
+/// The id of a stream: a hash of the id of the caller's attempt that delivered the first event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stream(u64);
 
 impl Stream {
-    /// The stream whose first event was delivered by the client's attempt with this id.
+    /// The stream whose first event was delivered by the caller's attempt with this id.
     #[must_use]
     pub fn of(attempt_id: &str) -> Self {
         Self(xxh3_64(attempt_id.as_bytes()))
@@ -93,10 +93,10 @@
     }
 }
 
-/// A client's wish to resume a stream of which it has some events.
+/// The wish of a caller to resume a stream of which it has some events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resumption {
-    /// The stream; none if the client does not name it.
+    /// The stream; none if the caller does not name it.
     pub stream: Option<Stream>,
 }
 
@@ -111,7 +111,7 @@
     pub caller_timeout: Option<Duration>,
     /// The model that it needs and the size of its prompt; none for calls of plain services.
     pub prompt: Option<Prompt>,
-    /// A hash of its contents, by which repeated requests are recognised.
+    /// A hash of its contents, by which equal requests are recognised.
     pub fingerprint: Fingerprint,
     /// The parts of its prompt that other requests may share, in order.
     pub parts: Vec<Fingerprint>,
@@ -163,8 +163,8 @@
     pub streams: bool,
     /// The caller's workspace, which is sent to the engine; none for callers without a key.
     pub workspace: Option<Name>,
-    /// The time after which it must not be sent, because the proof that the caller's key is valid, the reservation at a limited engine
-    /// or the permit for a repeat has expired by then; none if none of these applies.
+    /// The time after which it must not be sent, because the proof that the caller's key is valid, the reservation at a rate-limited
+    /// engine or the permit for a retry has expired by then; none if none of these applies.
     pub send_by: Option<Time>,
     /// The time after which it must not be written to a connection, because the engine may have left by then.
     pub write_by: Time,
--- a/fleet/src/speed.rs
+++ b/fleet/src/speed.rs
@@ -13,9 +13,9 @@
 use rustc_hash::FxHashMap;
 
 /// Weight of a sample that is faster than the estimate, so that about ten samples make an estimate.
-const FASTER: f64 = 0.15;
+const GAIN_FASTER: f64 = 0.15;
 /// Weight of a sample that is slower than the estimate. Part of its time may have been spent waiting.
-const SLOWER: f64 = 0.03;
+const GAIN_SLOWER: f64 = 0.03;
 /// Samples are cut off at this multiple of the estimate, so that a burst does not make an engine look slow for long.
 const SAMPLE_MAX: f64 = 1.5;
 /// Time for the round trip and the engine's first step, which is not spent on reading, in ms.
@@ -31,18 +31,18 @@
 /// Weights of an event time below and above the estimate. Longer ones weigh less, because most events of a stream are made while
 /// the engine reads a prompt.
 const EVENT_GAINS: (f64, f64) = (0.1, 0.02);
-/// Estimated time to make an event before the first sample, in ms. On the users' sites, an event takes three to six steps of 5 to
+/// Estimated time to make an event before the first sample, in ms. On the operators' sites, an event takes three to six steps of 5 to
 /// 8 ms.
 const EVENT_PRIOR_MS: f64 = 30.0;
 
 /// Weights of a run time below and above the estimate. Most of the longer ones include a wait in the engine's queue.
-const RUN_GAINS: (f64, f64) = (0.2, 0.005);
+const CALL_GAINS: (f64, f64) = (0.2, 0.005);
 
 /// Estimates by service and by model.
 #[derive(Debug, Default)]
 pub struct Speed {
     /// Time to answer a call that does not queue, by service, in ms.
-    runs: FxHashMap<Name, f64>,
+    calls: FxHashMap<Name, f64>,
     /// Time to make an event, by service, in ms.
     events: FxHashMap<Name, f64>,
     /// Time to read a token, by model, in us.
@@ -54,8 +54,8 @@
 impl Speed {
     /// The estimated time to read a token, in us.
     fn token_us(&self, service: &str, model: &str) -> f64 {
-        let known = self.by_model.get(model).or_else(|| self.by_service.get(service));
-        known.copied().unwrap_or(PRIOR_US)
+        let estimate = self.by_model.get(model).or_else(|| self.by_service.get(service));
+        estimate.copied().unwrap_or(PRIOR_US)
     }
 
     /// The estimated time to read a prompt.
@@ -74,23 +74,23 @@
     /// The estimated time to answer a call of a plain service that does not wait in a queue, with the round trip.
     #[must_use]
     pub fn call_time(&self, service: &str) -> Duration {
-        Duration::from_secs_f64(self.runs.get(service).copied().unwrap_or_default() / 1e3)
+        Duration::from_secs_f64(self.calls.get(service).copied().unwrap_or_default() / 1e3)
     }
 
     /// Adds a sample: a call of a plain service was answered after this time.
     pub fn learn_call(&mut self, service: &Name, took: Duration) {
         let ms = took.as_secs_f64() * 1e3;
-        let known = self.runs.entry(service.clone()).or_insert(ms);
-        let gain = if ms < *known { RUN_GAINS.0 } else { RUN_GAINS.1 };
-        *known += gain * (ms - *known);
+        let estimate = self.calls.entry(service.clone()).or_insert(ms);
+        let gain = if ms < *estimate { CALL_GAINS.0 } else { CALL_GAINS.1 };
+        *estimate += gain * (ms - *estimate);
     }
 
     /// Adds a sample: the mean time between the events of a stream.
     pub fn learn_event(&mut self, service: &Name, gap: Duration) {
         let ms = gap.as_secs_f64() * 1e3;
-        let known = self.events.entry(service.clone()).or_insert(EVENT_PRIOR_MS);
-        let gain = if ms < *known { EVENT_GAINS.0 } else { EVENT_GAINS.1 };
-        *known += gain * (ms - *known);
+        let estimate = self.events.entry(service.clone()).or_insert(EVENT_PRIOR_MS);
+        let gain = if ms < *estimate { EVENT_GAINS.0 } else { EVENT_GAINS.1 };
+        *estimate += gain * (ms - *estimate);
     }
 
     /// Adds a sample: a prompt's first event came this long after it was sent.
@@ -101,12 +101,12 @@
         let read_us = (took.as_secs_f64() * 1e3 - OVERHEAD_MS).max(0.0) * 1e3;
         let sample = (read_us / f64::from(tokens)).clamp(BOUNDS_US.0, BOUNDS_US.1);
         let prior = self.token_us(service, model);
-        for known in [
+        for estimate in [
             self.by_model.entry(model.clone()).or_insert(prior),
             self.by_service.entry(service.clone()).or_insert(PRIOR_US),
         ] {
-            let weight = if sample < *known { FASTER } else { SLOWER };
-            *known += weight * (sample.min(*known * SAMPLE_MAX) - *known);
+            let gain = if sample < *estimate { GAIN_FASTER } else { GAIN_SLOWER };
+            *estimate += gain * (sample.min(*estimate * SAMPLE_MAX) - *estimate);
         }
     }
 }
--- a/fleet/src/spread.rs
+++ b/fleet/src/spread.rs
@@ -33,20 +33,20 @@
 /// Draws one of the engines with these costs in ms and returns its index; none if there are no engines. `drawn` is a random number
 /// from 0 to 1.
 #[must_use]
-pub fn draw(costs: &[f64], unseen: Estimate, drawn: f64) -> Option<usize> {
+pub fn draw(costs: &[f64], estimate: Estimate, drawn: f64) -> Option<usize> {
     let mut order: Vec<usize> = (0..costs.len()).collect();
     order.sort_by(|a, b| costs[*a].total_cmp(&costs[*b]));
     let first = *order.first()?;
-    let level = level(costs, &order, unseen.total_ms());
-    let mut left = drawn * unseen.total_ms();
-    for at in &order {
-        let part = level - costs[*at];
-        if part <= 0.0 {
+    let level = level(costs, &order, estimate.total_ms());
+    let mut left_ms = drawn * estimate.total_ms();
+    for index in &order {
+        let room_ms = level - costs[*index];
+        if room_ms <= 0.0 {
             break;
         }
-        left -= part;
-        if left < 0.0 {
-            return Some(*at);
+        left_ms -= room_ms;
+        if left_ms < 0.0 {
+            return Some(*index);
         }
     }
     Some(first)
@@ -56,11 +56,11 @@
 fn level(costs: &[f64], order: &[usize], total_ms: f64) -> f64 {
     let mut sum = total_ms;
     let mut level = f64::INFINITY;
-    for (count, at) in order.iter().enumerate() {
-        if costs[*at] >= level {
+    for (count, index) in order.iter().enumerate() {
+        if costs[*index] >= level {
             break;
         }
-        sum += costs[*at];
+        sum += costs[*index];
         level = sum / (count + 1) as f64;
     }
     level
--- a/fleet/src/suspicion.rs
+++ b/fleet/src/suspicion.rs
@@ -16,20 +16,20 @@
 use crate::timer::Timer;
 
 /// Time for which further suspicions of an engine are not logged. An engine that hangs is suspected and found well twice a second.
-const LOGGED_AGAIN: Duration = Duration::from_secs(10);
+const LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// Largest number of suspicions logged per second. Many engines may crash at once, and each entry VM suspects each of them.
-const LOGGED_PER_S: u32 = 8;
+const LOGS_PER_S: u32 = 8;
 
 /// Time after a request to an engine during which an entry VM checks suspicions of it that other entry VMs report. A suspicion is useful
 /// to entry VMs that will send there next. If each entry VM probed each engine that any suspects, there would be as many
 /// connections as engines times entry VMs; with this limit there are at most as many as the entry VM's own requests.
-const USED_WITHIN: Duration = Duration::from_secs(10);
+const RECENT_USE: Duration = Duration::from_secs(10);
 
 /// Limits the number of suspicions that are logged per second.
 #[derive(Debug, Default)]
 pub(crate) struct Limiter {
     since: Time,
-    written: u32,
+    logged: u32,
     left_out: u32,
 }
 
@@ -42,19 +42,19 @@
             }
             *self = Self { since: now, ..Self::default() };
         }
-        let room = self.written < LOGGED_PER_S;
-        *(if room { &mut self.written } else { &mut self.left_out }) += 1;
-        room
+        let allowed = self.logged < LOGS_PER_S;
+        *(if allowed { &mut self.logged } else { &mut self.left_out }) += 1;
+        allowed
     }
 }
 
 /// Suspects an engine that could not be reached: it gets no work, and is probed when the suspicion ends.
 pub(crate) fn unreachable(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     suspect(state, now, engine, out);
-    let Some(known) = state.engines.get(engine) else {
+    let Some(engine_state) = state.engines.get(engine) else {
         return;
     };
-    let at = known.health.suspect_until.unwrap_or(now);
+    let at = engine_state.health.suspect_until.unwrap_or(now);
     state.timers.set(at, Timer::Probe(engine.clone()));
     path::connect_failed(state, now, engine, out);
 }
@@ -62,27 +62,27 @@
 /// Suspects a silent engine: it gets no work until it has answered a probe, which is sent at once because it may just be slow.
 pub(crate) fn silent(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     suspect(state, now, engine, out);
-    if let Some(known) = state.engines.get_mut(engine) {
-        known.health.last_checked = now;
-        out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
+    if let Some(engine_state) = state.engines.get_mut(engine) {
+        engine_state.health.last_checked = now;
+        out.push(Effect::Probe { engine: engine.clone(), address: engine_state.entry.address });
     }
 }
 
 fn suspect(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    let Some(known) = state.engines.get_mut(engine) else {
+    let Some(engine_state) = state.engines.get_mut(engine) else {
         return;
     };
-    let health = &mut known.health;
-    let begins = health.suspect_until.is_none();
-    let again = health.logged_at.is_some_and(|at| now.since(at) < LOGGED_AGAIN);
-    if begins && !again && state.suspicions.allow(now, out) {
+    let health = &mut engine_state.health;
+    let is_new = health.suspect_until.is_none();
+    let logged_recently = health.logged_at.is_some_and(|at| now.since(at) < LOG_INTERVAL);
+    if is_new && !logged_recently && state.suspicions.allow(now, out) {
         health.logged_at = Some(now);
         health.is_logged = true;
         out.push(Effect::Record(Record::Engine {
             engine: engine.clone(),
-            service: known.entry.service.clone(),
+            service: engine_state.entry.service.clone(),
             state: "suspected",
-            version: known.version.version,
+            version: engine_state.version.version,
         }));
     }
     health.suspect(now, &state.settings);
@@ -93,38 +93,38 @@
     if !state.settings.is_enabled(Mechanism::SharedSuspicion) {
         return;
     }
-    let recent = state.settings.engine_silence;
-    let Some(known) = state.engines.get_mut(engine) else {
+    let silence = state.settings.engine_silence;
+    let Some(engine_state) = state.engines.get_mut(engine) else {
         return;
     };
-    let health = &mut known.health;
-    let used = health.last_sent.is_some_and(|at| now.since(at) < USED_WITHIN);
-    let fresh = now.since(health.last_heard) < recent / 2 || now.since(health.last_checked) < recent;
-    if !used || fresh || health.is_suspected(now) {
+    let health = &mut engine_state.health;
+    let used = health.last_sent.is_some_and(|at| now.since(at) < RECENT_USE);
+    let just_checked = now.since(health.last_heard) < silence / 2 || now.since(health.last_checked) < silence;
+    if !used || just_checked || health.is_suspected(now) {
         return;
     }
     health.last_checked = now;
-    out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
+    out.push(Effect::Probe { engine: engine.clone(), address: engine_state.entry.address });
 }
 
 /// Probes an engine whose suspicion has lasted long enough. It gets no work until it answers.
 pub(crate) fn suspicion_expired(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    let Some(known) = state.engines.get_mut(engine) else {
+    let Some(engine_state) = state.engines.get_mut(engine) else {
         return;
     };
-    if known.health.suspect_until.is_none_or(|until| until > now) {
+    if engine_state.health.suspect_until.is_none_or(|until| until > now) {
         return;
     }
-    known.health.suspect_until = Some(now + state.settings.suspicion_max);
-    out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
+    engine_state.health.suspect_until = Some(now + state.settings.suspicion_max);
+    out.push(Effect::Probe { engine: engine.clone(), address: engine_state.entry.address });
 }
 
 /// Handles the result of a probe of an engine's port.
-pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Port, out: &mut Vec<Effect>) {
-    crash::probed(state, now, engine, reach, out);
-    if reach != Port::Open {
-        if let Some(known) = state.engines.get_mut(engine) {
-            known.health.refuses = reach == Port::Closed;
+pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, port: Port, out: &mut Vec<Effect>) {
+    crash::probed(state, now, engine, port, out);
+    if port != Port::Open {
+        if let Some(engine_state) = state.engines.get_mut(engine) {
+            engine_state.health.refuses = port == Port::Closed;
         }
         unreachable(state, now, engine, out);
         return;
@@ -134,7 +134,7 @@
     }
 }
 
-/// Handles a part of an answer to a request, which was sent at `sent`, through a relay if `relayed`.
+/// Handles events or the end of an answer. The request was sent at `sent`, through a relay if `relayed`.
 pub(crate) fn attempt_responded(
     state: &mut State,
     now: Time,
@@ -152,7 +152,7 @@
 pub(crate) fn probe_used(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let used = |engine: &&mut Engine| {
         let health = &engine.health;
-        health.last_sent.is_some_and(|at| now.since(at) < USED_WITHIN) && !health.is_suspected(now)
+        health.last_sent.is_some_and(|at| now.since(at) < RECENT_USE) && !health.is_suspected(now)
     };
     for engine in state.engines.values_mut().filter(used) {
         engine.health.last_checked = now;
@@ -162,19 +162,19 @@
 
 /// Ends all suspicion of an engine that has answered.
 pub(crate) fn responded(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    let Some(known) = state.engines.get_mut(engine) else {
+    let Some(engine_state) = state.engines.get_mut(engine) else {
         return;
     };
-    let was_suspected = known.health.suspect_until.is_some();
-    if std::mem::take(&mut known.health.is_logged) {
+    let was_suspected = engine_state.health.suspect_until.is_some();
+    if std::mem::take(&mut engine_state.health.is_logged) {
         out.push(Effect::Record(Record::Engine {
             engine: engine.clone(),
-            service: known.entry.service.clone(),
+            service: engine_state.entry.service.clone(),
             state: "well",
-            version: known.version.version,
+            version: engine_state.version.version,
         }));
     }
-    known.health.record_response(now);
+    engine_state.health.record_response(now);
     path::use_directly(state, now, engine, out);
     if was_suspected {
         flow::request_rescan(state);
