--- a/fleet/tests/call_shares.rs
+++ b/fleet/tests/call_shares.rs
@@ -1,6 +1,6 @@
 //! The share of calls that entry VMs offer to the last engine of a plain service whose other engines were removed.
 //!
-//! The figures come from the users: 65 entry VMs, one engine with 6 slots that answers a call in 40 ms and queues 33, 345 calls
+//! The figures come from the operators: 65 entry VMs, one engine with 6 slots that answers a call in 40 ms and queues 33, 345 calls
 //! a second, and a target of 150 ms.
 
 use std::collections::VecDeque;
@@ -30,9 +30,9 @@
 }
 
 /// Simulates an engine and the entry VMs that call it. Returns the results of the calls by second.
-fn play(seed: u64, seconds: u64, calls_per_s: impl Fn(u64) -> f64) -> Vec<Second> {
+fn simulate(seed: u64, seconds: u64, calls_per_s: impl Fn(u64) -> f64) -> Vec<Second> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let mut shares = vec![Throttle::default(); ENTRIES];
+    let mut throttles = vec![Throttle::default(); ENTRIES];
     let mut running: Vec<(u64, usize, u64)> = Vec::new();
     let mut queue: VecDeque<(usize, u64)> = VecDeque::new();
     let mut out = vec![Second::default(); seconds as usize];
@@ -43,7 +43,7 @@
                 return true;
             }
             let took = now - sent;
-            shares[*entry].answered(
+            throttles[*entry].answered(
                 Time::from_millis(now),
                 ms(took.saturating_sub(RUN_MS)),
                 ms(TARGET_MS - RUN_MS),
@@ -59,13 +59,13 @@
         }
         if rng.f64() < calls_per_s(now / 1_000) / 1_000.0 {
             let entry = rng.usize(0..ENTRIES);
-            if !shares[entry].admits(Time::from_millis(now), rng.f64()) {
+            if !throttles[entry].admits(Time::from_millis(now), rng.f64()) {
                 continue;
             }
             if queue.len() < QUEUE {
                 queue.push_back((entry, now));
             } else {
-                shares[entry].rejected(Time::from_millis(now));
+                throttles[entry].rejected(Time::from_millis(now));
                 second.rejected += 1;
             }
         }
@@ -78,36 +78,36 @@
 }
 
 /// Number of calls that the engine can answer in this time.
-fn can(seconds: usize) -> f64 {
+fn capacity(seconds: usize) -> f64 {
     SLOTS as f64 * 1_000.0 / RUN_MS as f64 * seconds as f64
 }
 
 /// With twice the calls that the engine can answer, it answers about as many as it can, and in time.
 #[test]
 fn last_engine_answers_in_time() {
-    let steady: Vec<Second> = SEEDS.flat_map(|seed| play(seed, 30, |_| 345.0).split_off(10)).collect();
-    let can = can(steady.len());
+    let steady: Vec<Second> = SEEDS.flat_map(|seed| simulate(seed, 30, |_| 345.0).split_off(10)).collect();
+    let capacity = capacity(steady.len());
     let in_time = sum(&steady, |second| second.in_time);
     let late = sum(&steady, |second| second.late);
     let rejected = sum(&steady, |second| second.rejected);
-    assert!(in_time >= 0.8 * can, "{in_time} in time of {can}, {late} late, {rejected} rejected");
-    assert!(late <= 0.1 * can, "{late} late of {can}");
-    assert!(rejected <= 0.02 * can, "{rejected} rejected of {can}");
+    assert!(in_time >= 0.8 * capacity, "{in_time} in time of {capacity}, {late} late, {rejected} rejected");
+    assert!(late <= 0.1 * capacity, "{late} late of {capacity}");
+    assert!(rejected <= 0.02 * capacity, "{rejected} rejected of {capacity}");
 }
 
 /// The shares follow a shortage within three seconds.
 #[test]
-fn shortage_is_met() {
-    let fourth: Vec<Second> = SEEDS.map(|seed| play(seed, 4, |_| 345.0)[3]).collect();
+fn shares_follow_a_shortage() {
+    let fourth: Vec<Second> = SEEDS.map(|seed| simulate(seed, 4, |_| 345.0)[3]).collect();
     let late = sum(&fourth, |second| second.late);
-    assert!(late <= 0.1 * can(fourth.len()), "{late} late in the fourth second");
+    assert!(late <= 0.1 * capacity(fourth.len()), "{late} late in the fourth second");
 }
 
 /// Ten seconds after a shortage, all calls are offered again.
 #[test]
-fn all_is_offered_again() {
-    let play = |seed| play(seed, 40, |second| if second < 20 { 345.0 } else { 100.0 });
-    let later: Vec<Second> = SEEDS.flat_map(|seed| play(seed).split_off(31)).collect();
+fn all_calls_are_offered_again() {
+    let simulate = |seed| simulate(seed, 40, |second| if second < 20 { 345.0 } else { 100.0 });
+    let later: Vec<Second> = SEEDS.flat_map(|seed| simulate(seed).split_off(31)).collect();
     let answered = sum(&later, |second| second.in_time + second.late);
     let asked = later.len() as f64 * 100.0;
     assert!(answered >= 0.95 * asked, "{answered} of about {asked} calls");
@@ -115,8 +115,8 @@
 
 /// Without a shortage no calls are held back.
 #[test]
-fn enough_for_all() {
-    let seconds: Vec<Second> = SEEDS.flat_map(|seed| play(seed, 20, |_| 90.0)).collect();
+fn no_limit_without_a_shortage() {
+    let seconds: Vec<Second> = SEEDS.flat_map(|seed| simulate(seed, 20, |_| 90.0)).collect();
     let answered = sum(&seconds, |second| second.in_time + second.late);
     let asked = seconds.len() as f64 * 90.0;
     assert!(answered >= 0.97 * asked, "{answered} of about {asked} calls");
--- a/fleet/tests/caller_patience.rs
+++ b/fleet/tests/caller_patience.rs
@@ -11,7 +11,7 @@
 use node::{Node, millis, orders, short_stream, step_of, streamed};
 
 #[test]
-fn adapter_is_fetched() {
+fn missing_adapter_is_loaded() {
     let mut node = Node::ready("a");
     node.lead();
     node.advance(millis(300));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn missing_model_is_waited_for() {
+fn request_waits_for_missing_model() {
     let mut node = Node::ready("a");
     node.lead();
     let id = node.arrive(short_stream("m3"));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn nobody_to_load_it() {
+fn short_wait_without_a_hub() {
     let mut node = Node::ready("a");
     let id = node.arrive(short_stream("m3"));
     let effects = node.advance(millis(450));
@@ -67,14 +67,14 @@
 }
 
 #[test]
-fn undeclared_model() {
+fn undeclared_model_is_refused() {
     let mut node = Node::ready("a");
     assert_eq!(node.refused(short_stream("m99")).code, Code::UnknownModel);
 }
 
 /// Adapter names that are not declared are not counted as demand, waited for or ordered.
 #[test]
-fn undeclared_adapter() {
+fn undeclared_adapter_is_refused() {
     let mut node = Node::ready("a");
     node.lead();
     assert_eq!(node.refused(streamed("/brief/1", "m0", Some("a77"))).code, Code::UnknownModel);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn waiting_is_told_at_once() {
+fn waiting_is_reported_at_once() {
     let mut node = Node::ready("a");
     node.advance(millis(10));
     let row = boragecove_fleet::lease::Row {
@@ -103,9 +103,9 @@
     let seen = boragecove_fleet::lease::Versioned { version: 9.into(), row };
     node.lease(0, boragecove_fleet::lease::Outcome::Read(Some(seen)));
     node.arrive(streamed("/brief/1", "m0", Some("a7")));
-    let told = node.effects.iter().find_map(|effect| match effect {
+    let reported = node.effects.iter().find_map(|effect| match effect {
         Effect::Frame { frame, .. } => Some(frame.demand.iter().any(|demand| demand.waiting == 1)),
         _ => None,
     });
-    assert_eq!(told, Some(true), "a frame reports the waiting request to the hub at once");
+    assert_eq!(reported, Some(true), "a frame reports the waiting request to the hub at once");
 }
--- a/fleet/tests/engine_choice.rs
+++ b/fleet/tests/engine_choice.rs
@@ -17,14 +17,14 @@
 };
 
 #[test]
-fn own_zone_first() {
+fn same_zone_is_preferred() {
     let mut node = Node::ready("a");
     let (_, attempt) = node.sent(short_stream("m0"));
     assert_eq!(*attempt.engine, *"w1", "both engines hold the model, and w1 is in the same zone");
 }
 
 #[test]
-fn load_moves_on() {
+fn load_is_spread() {
     let mut node = Node::ready("a");
     let mut engines: Vec<String> = Vec::new();
     for _ in 0..8 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn only_holders() {
+fn only_engines_with_the_model() {
     let mut node = Node::ready("a");
     for _ in 0..4 {
         assert_eq!(*node.sent(short_stream("m2")).1.engine, *"w2");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn leaving_gets_nothing() {
+fn leaving_engine_gets_nothing() {
     let mut node = Node::ready("a");
     let mut leaving = entry("w1", WRITER, "zone-a", &["m0", "m1"]);
     leaving.leaving = true;
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn unreached_is_avoided() {
+fn unreachable_engine_is_avoided() {
     let mut node = Node::ready("a");
     let (id, attempt) = node.sent(plain("/ack/1"));
     let first = attempt.engine.clone();
@@ -82,18 +82,18 @@
     let mut silent = Node::ready("a");
     silent.sent(short_stream("m0"));
     assert_eq!(suspected(&silent.advance(millis(600))), 1, "a silent engine");
-    let mut told = Node::ready("a");
-    told.advance(millis(600));
-    told.feed(Event::Probed { engine: "w1".into(), reach: Port::Silent });
-    assert_eq!(suspected(&told.effects), 1, "a failed probe");
-    let mut unreached = Node::ready("a");
-    let (id, attempt) = unreached.sent(plain("/ack/1"));
-    unreached.ended(id, attempt.number, End::Unsent);
-    assert_eq!(suspected(&unreached.effects), 1);
+    let mut failed_probe = Node::ready("a");
+    failed_probe.advance(millis(600));
+    failed_probe.feed(Event::Probed { engine: "w1".into(), reach: Port::Silent });
+    assert_eq!(suspected(&failed_probe.effects), 1, "a failed probe");
+    let mut failed_connection = Node::ready("a");
+    let (id, attempt) = failed_connection.sent(plain("/ack/1"));
+    failed_connection.ended(id, attempt.number, End::Unsent);
+    assert_eq!(suspected(&failed_connection.effects), 1);
 }
 
 #[test]
-fn refusal_as_absent_is_believed() {
+fn refusal_as_absent_is_remembered() {
     let mut node = Node::ready("a");
     let (id, attempt) = node.sent(streamed("/digest/1", "m0", None));
     assert_eq!(*attempt.engine, *"w1");
@@ -110,7 +110,7 @@
 
 /// An engine that refused a request for lack of an adapter gets that request again once it has loaded the adapter.
 #[test]
-fn refused_engine_can_serve_later() {
+fn refusing_engine_can_serve_later() {
     let mut node = Node::bare("a");
     node.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
     let rows = vec![
@@ -175,9 +175,9 @@
     let mut counts = [0_u32; 2];
     for _ in 0..200 {
         let (id, attempt) = node.sent(plain("/ack/1"));
-        let bad = *attempt.engine == *"g1";
-        counts[usize::from(bad)] += 1;
-        let end = if bad { End::Broken } else { End::Done };
+        let failing = *attempt.engine == *"g1";
+        counts[usize::from(failing)] += 1;
+        let end = if failing { End::Broken } else { End::Done };
         node.ended(id, attempt.number, end);
         node.advance(millis(10));
     }
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn another_service_never() {
+fn other_services_are_not_used() {
     let mut node = Node::ready("a");
     node.feed(listing(vec![row(9, entry("x1", "elsewhere", "zone-a", &["m0"]))], 9, false));
     for _ in 0..20 {
@@ -196,20 +196,20 @@
 /// Calls of a plain service may queue as long as their answers still meet the operator's target. Here two engines run 16 calls
 /// at once in 200 ms each, and the target is 500 ms.
 #[test]
-fn plain_calls_wait_in_time() {
+fn plain_calls_queue_within_target() {
     let mut node = Node::ready("a");
-    let taken = (0..100).take_while(|_| {
+    let accepted = (0..100).take_while(|_| {
         let id = node.arrive(plain("/list/1"));
         matches!(node.step(id), Some(Step::Send(_)))
     });
-    let taken = taken.count();
-    assert!(taken > 32, "{taken} calls: twice the number of slots is answered within 400 ms");
-    assert!(taken < 48, "{taken} calls: the last of them would wait for over 400 ms");
+    let accepted = accepted.count();
+    assert!(accepted > 32, "{accepted} calls: twice the number of slots is answered within 400 ms");
+    assert!(accepted < 48, "{accepted} calls: the last of them would wait for over 400 ms");
 }
 
 /// Long calls at engines with free slots are not taken for a queue, so no call is held back.
 #[test]
-fn long_calls_are_no_queue() {
+fn long_calls_are_not_a_queue() {
     let mut node = Node::ready("a");
     for number in 0..60 {
         let id = node.arrive(plain("/list/1"));
--- a/fleet/tests/planned_stop.rs
+++ b/fleet/tests/planned_stop.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn ready_once_known() {
+fn ready_once_tables_are_read() {
     let mut node = Node::bare("a");
     node.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
     assert!(
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn serves_until_unlisted() {
+fn serves_until_balancer_has_reacted() {
     let mut node = Node::ready("a");
     let (open, attempt) = node.sent(plain("/ack/1"));
     node.feed(Event::Stop);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn lease_is_given_back() {
+fn lease_is_released() {
     let mut node = Node::ready("a");
     node.lead();
     node.feed(Event::Stop);
--- a/fleet/tests/prompt_spacing.rs
+++ b/fleet/tests/prompt_spacing.rs
@@ -31,7 +31,7 @@
 }
 
 impl Load {
-    fn need(self) -> Cost {
+    fn prompt_cost(self) -> Cost {
         let route = Route { pause: self.window, target: millis(500), ..Route::default() };
         Cost::new(self.read, self.event, &route)
     }
@@ -64,7 +64,7 @@
     wait: Duration,
 }
 
-fn minute(load: Load, spaced: bool) -> Outcomes {
+fn simulate_minute(load: Load, spaced: bool) -> Outcomes {
     let mut rng = fastrand::Rng::with_seed(11);
     let start = Time::from_millis(1_000_000);
     let mut schedules = vec![Schedule::default(); load.engines];
@@ -77,7 +77,7 @@
         } else {
             rng.usize(0..load.engines)
         };
-        let wait = if spaced { schedules[engine].reserve(now, load.need()) } else { Duration::ZERO };
+        let wait = if spaced { schedules[engine].reserve(now, load.prompt_cost()) } else { Duration::ZERO };
         at_engines[engine].push(now + wait);
         waited += wait;
         count += 1;
@@ -85,9 +85,9 @@
     let (mut crowded, mut busy) = (0, 0);
     for times in &at_engines {
         for at in times {
-            let beside =
+            let in_window =
                 times.iter().filter(|other| **other >= *at && other.since(*at) < load.window).count();
-            let reading = load.read * beside as u32;
+            let reading = load.read * in_window as u32;
             crowded += usize::from(reading + load.event > load.window);
             busy += usize::from(reading * 3 > load.window * 2);
         }
@@ -99,11 +99,11 @@
 /// The load of the heaviest days, with and without schedules. Also by a stricter measure, 100 ms of reading within 150 ms,
 /// schedules leave less than a third of the crowded windows.
 #[test]
-fn fewer_crowds() {
-    let (without, with) = (minute(FAST, false), minute(FAST, true));
+fn spacing_reduces_crowding() {
+    let (without, with) = (simulate_minute(FAST, false), simulate_minute(FAST, true));
     assert!(with.busy < without.busy / 3.0, "{:.3} of {:.3}", with.busy, without.busy);
     for load in [FAST, SLOW] {
-        let (without, with) = (minute(load, false), minute(load, true));
+        let (without, with) = (simulate_minute(load, false), simulate_minute(load, true));
         assert!(without.crowded > 0.10, "the load is too low to show the effect: {:.3}", without.crowded);
         assert!(with.crowded < without.crowded / 10.0, "{:.3} of {:.3}", with.crowded, without.crowded);
         assert!(with.wait < millis(40), "{:?} on average", with.wait);
@@ -112,14 +112,14 @@
 
 /// Under overload, prompts follow each other as fast as they are read.
 #[test]
-fn pressed_reads_on() {
+fn overload_removes_spacing() {
     let now = Time::from_millis(1_000_000);
     let mut schedule = Schedule::default();
     for _ in 0..40 {
-        schedule.reserve(now, SLOW.need());
+        schedule.reserve(now, SLOW.prompt_cost());
     }
     let before = schedule.wait(now);
-    schedule.reserve(now, SLOW.need());
+    schedule.reserve(now, SLOW.prompt_cost());
     assert_eq!(schedule.wait(now).saturating_sub(before), SLOW.read);
 }
 
@@ -129,7 +129,7 @@
 }
 
 /// A process that has got these members from the hub.
-fn among(members: Vec<Member>) -> Node {
+fn node_with_members(members: Vec<Member>) -> Node {
     let mut node = Node::ready("a");
     node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
@@ -144,14 +144,14 @@
     node
 }
 
-fn asked(node: &Node) -> Option<(u16, Id, ReservationRequest)> {
+fn reservation_request(node: &Node) -> Option<(u16, Id, ReservationRequest)> {
     node.effects.iter().find_map(|effect| match effect {
         Effect::Reserve { address, request, ask } => Some((address.port(), *request, ask.clone())),
         _ => None,
     })
 }
 
-fn sent(node: &Node, id: Id) -> Attempt {
+fn attempt_of(node: &Node, id: Id) -> Attempt {
     match node.step(id) {
         Some(Step::Send(attempt)) => attempt,
         other => panic!("not sent: {other:?}"),
@@ -159,51 +159,51 @@
 }
 
 #[test]
-fn owner_is_asked() {
-    let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
+fn schedule_owner_is_asked() {
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
     let id = node.arrive(short_stream("m1"));
     assert_eq!(node.step(id), None, "it has no reservation yet");
-    let (port, request, ask) = asked(&node).expect("w1 is in zone-a, where b is the only one");
+    let (port, request, ask) = reservation_request(&node).expect("w1 is in zone-a, where b is the only one");
     assert_eq!((port, request, &*ask.engine), (7_002, id, "w1"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(millis(40))) });
-    let attempt = sent(&node, id);
+    let attempt = attempt_of(&node, id);
     assert_eq!((&*attempt.engine, attempt.at), ("w1", node.now + millis(40)));
 }
 
 #[test]
-fn silent_owner_stops_nothing() {
-    let mut node = among(vec![member("b", "zone-a", 7_002)]);
+fn silent_owner_blocks_nothing() {
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002)]);
     let id = node.arrive(short_stream("m1"));
     node.feed(Event::Granted { request: id, grant: None });
-    assert_eq!(sent(&node, id).at, node.now, "the local schedule is empty");
+    assert_eq!(attempt_of(&node, id).at, node.now, "the local schedule is empty");
     let next = node.arrive(short_stream("m1"));
-    assert!(sent(&node, next).at > node.now, "the local schedule is used");
+    assert!(attempt_of(&node, next).at > node.now, "the local schedule is used");
     node.advance(millis(450));
     node.feed(Event::EngineActive("w1".into()));
     node.advance(millis(450));
     node.feed(Event::EngineActive("w1".into()));
     node.advance(millis(200));
     node.arrive(short_stream("m1"));
-    assert!(asked(&node).is_some(), "after a while the owner is asked again");
+    assert!(reservation_request(&node).is_some(), "after a while the owner is asked again");
 }
 
 /// If the schedule of an engine is full, the request goes to the next best engine.
 #[test]
-fn full_schedule_is_left() {
-    let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
+fn full_schedule_is_skipped() {
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
     let id = node.arrive(short_stream("m0"));
-    assert_eq!(asked(&node).expect("asks").0, 7_002);
+    assert_eq!(reservation_request(&node).expect("asks").0, 7_002);
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(millis(400))) });
-    let (port, _, ask) = asked(&node).expect("asks for the next engine");
+    let (port, _, ask) = reservation_request(&node).expect("asks for the next engine");
     assert_eq!((port, &*ask.engine), (7_003, "w2"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
-    assert_eq!(*sent(&node, id).engine, *"w2");
+    assert_eq!(*attempt_of(&node, id).engine, *"w2");
 }
 
 /// A request that no schedule can take in time is refused at once as not run, with the time that it would have waited.
 #[test]
-fn no_place_in_time() {
-    let mut node = among(vec![member("b", "zone-a", 7_002)]);
+fn no_reservation_in_time() {
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002)]);
     let id = node.arrive(short_stream("m1"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(Duration::from_secs(5))) });
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(Duration::from_secs(5))) });
@@ -215,29 +215,31 @@
 /// Reservations are at most one second away, however long the caller waits: an engine that leaves must get nothing new after two
 /// seconds.
 #[test]
-fn places_are_near() {
-    let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
+fn reservations_are_near() {
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
     let id = node.arrive(short_stream("m0"));
-    assert!(asked(&node).expect("asks").2.wait_max <= Duration::from_secs(1));
+    assert!(reservation_request(&node).expect("asks").2.wait_max <= Duration::from_secs(1));
     node.feed(Event::Granted { request: id, grant: Some(Grant::Busy(Duration::from_secs(3))) });
-    assert!(asked(&node).expect("asks for the next engine").2.wait_max <= Duration::from_secs(1));
+    assert!(
+        reservation_request(&node).expect("asks for the next engine").2.wait_max <= Duration::from_secs(1)
+    );
 }
 
 /// An engine that is removed while a reservation is requested gets nothing.
 #[test]
-fn place_at_a_lost_engine() {
-    let mut node = among(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
+fn reservation_at_a_removed_engine() {
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002), member("c", "zone-b", 7_003)]);
     let id = node.arrive(short_stream("m0"));
-    assert_eq!(&*asked(&node).expect("asks").2.engine, "w1");
+    assert_eq!(&*reservation_request(&node).expect("asks").2.engine, "w1");
     node.feed(listing(vec![removed(9, "w1")], 9, false));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
-    assert_eq!(&*asked(&node).expect("asks for another engine").2.engine, "w2");
+    assert_eq!(&*reservation_request(&node).expect("asks for another engine").2.engine, "w2");
 }
 
 /// A caller that disconnects while a reservation is requested leaves no state behind.
 #[test]
-fn caller_leaves_while_asking() {
-    let mut node = among(vec![member("b", "zone-a", 7_002)]);
+fn caller_disconnects_while_reserving() {
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002)]);
     let id = node.arrive(short_stream("m1"));
     node.feed(Event::CallerGone(id));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
@@ -247,12 +249,12 @@
 }
 
 #[test]
-fn places_are_given() {
+fn reservations_are_granted() {
     let mut owner = Node::ready("a");
-    let need = Cost { prefill: millis(35), spacing: millis(50), target: millis(500) };
+    let prompt_cost = Cost { prefill: millis(35), spacing: millis(50), target: millis(500) };
     let ask = ReservationRequest {
         engine: "w1".into(),
-        cost: need,
+        cost: prompt_cost,
         wait_max: millis(60),
         ..ReservationRequest::default()
     };
@@ -267,22 +269,25 @@
 
 /// All entry VMs find the same owners, and removing one only changes the owners of what it owned.
 #[test]
-fn owners_agree() {
+fn members_agree_on_owners() {
     use boragecove_fleet::members::Members;
     let list: Vec<Member> = (0..9).map(|number| member(&format!("vm-{number}"), "zone-a", 7_000)).collect();
-    let (mut whole, mut rest) = (Members::default(), Members::default());
-    whole.replace(Time::default(), list.clone());
-    rest.replace(Time::default(), list[1..].to_vec());
-    assert_ne!(whole.version(), rest.version());
+    let (mut all, mut without_first) = (Members::default(), Members::default());
+    all.replace(Time::default(), list.clone());
+    without_first.replace(Time::default(), list[1..].to_vec());
+    assert_ne!(all.version(), without_first.version());
     let mut shares = [0_u32; 9];
     for number in 0..900 {
         let engine = format!("i-{number:04}").as_str().into();
         let zone = "zone-a".into();
-        let owner = whole.owner(&engine, &zone, Time::default()).expect("there are some").vm.clone();
+        let owner = all.owner(&engine, &zone, Time::default()).expect("there are some").vm.clone();
         let number: usize = owner[3..].parse().expect("a number");
         shares[number] += 1;
         if number > 0 {
-            assert_eq!(rest.owner(&engine, &zone, Time::default()).expect("there are some").vm, owner);
+            assert_eq!(
+                without_first.owner(&engine, &zone, Time::default()).expect("there are some").vm,
+                owner
+            );
         }
     }
     assert!(shares.iter().all(|count| (60..140).contains(count)), "{shares:?}");
@@ -291,9 +296,9 @@
 /// An engine that has just been registered is used at once, even if the owner of its schedule does not know it yet.
 #[test]
 fn new_engine_is_used() {
-    let mut node = among(vec![member("b", "zone-a", 7_002)]);
+    let mut node = node_with_members(vec![member("b", "zone-a", 7_002)]);
     node.feed(listing(vec![row(9, entry("w9", WRITER, "zone-a", &["m3"]))], 9, false));
     let id = node.arrive(short_stream("m3"));
     node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
-    assert_eq!(*sent(&node, id).engine, *"w9");
+    assert_eq!(*attempt_of(&node, id).engine, *"w9");
 }
--- a/fleet/tests/reading_speed.rs
+++ b/fleet/tests/reading_speed.rs
@@ -24,7 +24,7 @@
 
 /// After 80 prompts the error of the estimate is below 25%, for engines that read 10 to 160 tokens per ms.
 #[test]
-fn any_speed_is_found() {
+fn speed_is_estimated() {
     for per_ms in [10.0, 22.0, 40.0, 160.0] {
         let mut rng = fastrand::Rng::with_seed(5);
         let mut speed = Speed::default();
@@ -33,18 +33,18 @@
             let tokens = rng.u32(300..4_000);
             speed.learn_prefill(&SERVICE.into(), &model, tokens, first_event(&mut rng, tokens, per_ms));
         }
-        let found = speed.prefill_time(SERVICE, "m0", 2_000).as_secs_f64() * 1_000.0;
-        let truth = 2_000.0 / per_ms;
+        let estimate = speed.prefill_time(SERVICE, "m0", 2_000).as_secs_f64() * 1_000.0;
+        let actual = 2_000.0 / per_ms;
         assert!(
-            (found / truth - 1.0).abs() < 0.25,
-            "{found:.1} ms, not {truth:.1} ms, at {per_ms} tokens per ms"
+            (estimate / actual - 1.0).abs() < 0.25,
+            "{estimate:.1} ms, not {actual:.1} ms, at {per_ms} tokens per ms"
         );
     }
 }
 
 /// For a model without samples, the estimate is that of its service.
 #[test]
-fn new_models_are_like_others() {
+fn new_model_uses_service_estimate() {
     let mut speed = Speed::default();
     for _ in 0..40 {
         speed.learn_prefill(&SERVICE.into(), &"m0".into(), 1_000, millis(18));
@@ -55,7 +55,7 @@
 
 /// A burst in which every prompt waits for others raises the estimate only little.
 #[test]
-fn bursts_are_not_believed() {
+fn bursts_change_the_estimate_little() {
     let mut speed = Speed::default();
     for _ in 0..40 {
         speed.learn_prefill(&SERVICE.into(), &"m0".into(), 1_000, millis(48));
--- a/fleet/tests/request_attempts.rs
+++ b/fleet/tests/request_attempts.rs
@@ -1,4 +1,4 @@
-//! Which requests are repeated, how often, and with which code they end.
+//! Which requests are retried, how often, and with which code they end.
 
 mod node;
 
@@ -10,14 +10,14 @@
 use boragecove_fleet::settings::Settings;
 use node::{Node, began, millis, plain, short_stream, step_of, streamed};
 
-fn again(step: Option<Step>) -> Attempt {
+fn expect_send(step: Option<Step>) -> Attempt {
     match step {
         Some(Step::Send(attempt)) => attempt,
         other => panic!("no further attempt: {other:?}"),
     }
 }
 
-fn refusal(step: Option<Step>) -> Refusal {
+fn expect_refusal(step: Option<Step>) -> Refusal {
     match step {
         Some(Step::Refuse(refusal)) => refusal,
         other => panic!("not refused: {other:?}"),
@@ -25,58 +25,58 @@
 }
 
 #[test]
-fn once_is_once() {
+fn non_repeatable_is_sent_once() {
     let mut node = Node::ready("a");
     let (id, attempt) = node.sent(plain("/ack/1"));
-    let refusal = refusal(node.ended(id, attempt.number, End::Broken));
+    let refusal = expect_refusal(node.ended(id, attempt.number, End::Broken));
     assert_eq!(refusal.code.status(), 502, "the request may have run: {}", refusal.code);
     assert_eq!(refusal.code, Code::BackendFailed);
     assert_eq!(refusal.retry_after, None);
 }
 
 #[test]
-fn proof_allows_another() {
+fn refused_request_is_sent_again() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/ack/1"));
-    let second = again(node.ended(id, first.number, End::Refused(Cause::Busy)));
+    let second = expect_send(node.ended(id, first.number, End::Refused(Cause::Busy)));
     assert_ne!(second.engine, first.engine);
     assert_eq!(node.ended(id, second.number, End::Done), Some(Step::Forward));
 }
 
 #[test]
-fn refusals_end_as_not_run() {
+fn only_refusals_end_as_not_run() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/ack/1"));
-    let second = again(node.ended(id, first.number, End::Refused(Cause::Busy)));
+    let second = expect_send(node.ended(id, first.number, End::Refused(Cause::Busy)));
     let after = node.ended(id, second.number, End::Refused(Cause::Busy));
     // No third engine is left, so the request waits briefly for one.
     assert_eq!(after, None);
     let effects = node.advance(millis(600));
-    let refusal = refusal(step_of(&effects, id));
+    let refusal = expect_refusal(step_of(&effects, id));
     assert_eq!(refusal.code.status(), 503);
     assert!(refusal.retry_after.is_some());
 }
 
 #[test]
-fn doubt_is_never_not_run() {
+fn possible_run_is_not_reported_as_not_run() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
-    let second = again(node.ended(id, first.number, End::Broken));
+    let second = expect_send(node.ended(id, first.number, End::Broken));
     assert_eq!(
         node.ended(id, second.number, End::Refused(Cause::Busy)),
         None,
         "the request waits for a third engine"
     );
     let effects = node.advance(millis(600));
-    let refusal = refusal(step_of(&effects, id));
+    let refusal = expect_refusal(step_of(&effects, id));
     assert_eq!(refusal.code.status(), 502, "the first attempt may have run");
 }
 
 #[test]
-fn idempotent_has_its_attempts() {
+fn idempotent_request_is_retried() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
-    let second = again(node.ended(id, first.number, End::Failed));
+    let second = expect_send(node.ended(id, first.number, End::Failed));
     assert_ne!(second.engine, first.engine);
     assert_eq!(
         node.ended(id, second.number, End::Failed),
@@ -86,52 +86,52 @@
 }
 
 #[test]
-fn resumable_goes_on() {
+fn resumable_stream_continues() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(streamed("/digest/1", "m0", None));
     node.feed(began(id));
-    let second = again(node.ended(id, first.number, End::Broken));
+    let second = expect_send(node.ended(id, first.number, End::Broken));
     assert_ne!(second.engine, first.engine);
 }
 
 #[test]
-fn stream_is_not_resumed() {
+fn plain_stream_is_not_resumed() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(short_stream("m0"));
     node.feed(began(id));
-    let refusal = refusal(node.ended(id, first.number, End::Broken));
+    let refusal = expect_refusal(node.ended(id, first.number, End::Broken));
     assert_eq!(refusal.code, Code::BackendFailed);
 }
 
 #[test]
-fn late_end_is_ignored() {
+fn end_of_earlier_attempt_is_ignored() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
-    again(node.ended(id, first.number, End::Broken));
+    expect_send(node.ended(id, first.number, End::Broken));
     assert_eq!(node.ended(id, first.number, End::Done), None, "the first attempt is over");
 }
 
 #[test]
-fn deadline_says_what_is_known() {
+fn deadline_passes_after_sending() {
     let mut node = Node::ready("a");
     let (id, _) = node.sent(plain("/ack/1"));
     let effects = node.advance(millis(3_050));
-    assert_eq!(refusal(step_of(&effects, id)).code, Code::DeadlinePassed);
+    assert_eq!(expect_refusal(step_of(&effects, id)).code, Code::DeadlinePassed);
     assert_eq!(node.state.open(), 0);
 }
 
 #[test]
-fn hanging_idempotent_moves_on() {
+fn hanging_idempotent_request_moves() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
     let effects = node.advance(millis(1_300));
-    let second = again(step_of(&effects, id));
+    let second = expect_send(step_of(&effects, id));
     assert_ne!(second.engine, first.engine);
 }
 
 /// A silent engine that still accepts connections may just be slow, so its streams are not broken off.
 #[test]
-fn silence_cuts_nothing() {
+fn silence_alone_ends_no_stream() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(streamed("/digest/1", "m0", None));
     node.feed(began(id));
@@ -144,18 +144,18 @@
 }
 
 #[test]
-fn unreached_engine_is_left() {
+fn stream_leaves_unreachable_engine() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(streamed("/digest/1", "m0", None));
     node.feed(began(id));
     node.advance(millis(600));
     node.feed(Event::Probed { engine: first.engine.clone(), reach: Port::Silent });
-    let second = again(step_of(&node.advance(millis(600)), id));
+    let second = expect_send(step_of(&node.advance(millis(600)), id));
     assert_ne!(second.engine, first.engine);
 }
 
 #[test]
-fn gone_frees_the_engine() {
+fn disconnected_caller_frees_the_engine() {
     let mut node = Node::ready("a");
     let (id, attempt) = node.sent(short_stream("m0"));
     let open = |node: &Node| {
@@ -171,94 +171,94 @@
 }
 
 #[test]
-fn changed_settings_hold() {
+fn changed_settings_apply() {
     let mut node = Node::ready("a");
     let strict = Settings { repeat_ratio: 0.0, repeat_slack: 0.0, ..Settings::default() };
     node.feed(Event::Settings(Box::new(strict)));
     let (id, first) = node.sent(plain("/list/1"));
-    let refused = refusal(node.ended(id, first.number, End::Broken));
-    assert_eq!(refused.code, Code::BackendFailed, "repeats are no longer allowed");
+    let refused = expect_refusal(node.ended(id, first.number, End::Broken));
+    assert_eq!(refused.code, Code::BackendFailed, "retries are no longer allowed");
 }
 
-/// Sends requests that all fail once, while the store accepts the lease writes of the process. Returns the number of repeats.
-fn repeats_of(node: &mut Node, requests: u32) -> u32 {
-    let mut repeats = 0;
+/// Sends requests that all fail once, while the store accepts the lease writes of the process. Returns the number of retries.
+fn count_retries(node: &mut Node, requests: u32) -> u32 {
+    let mut retries = 0;
     for number in 0..requests {
         let (id, first): (Id, Attempt) = node.sent(plain("/list/1"));
         if let Some(Step::Send(_)) = node.ended(id, first.number, End::Failed) {
-            repeats += 1;
+            retries += 1;
             node.feed(Event::CallerGone(id));
         }
-        let wanted = node.advance(millis(20));
-        if !node::lease_calls(&wanted).is_empty() {
+        let effects = node.advance(millis(20));
+        if !node::lease_calls(&effects).is_empty() {
             node.lease(u64::from(number) * 20 + 20, lease::Outcome::Written(u64::from(number) + 101));
         }
     }
-    repeats
+    retries
 }
 
-fn tight() -> Settings {
+fn small_slack() -> Settings {
     Settings { repeat_slack: 9.0, ..Settings::default() }
 }
 
 #[test]
-fn repeats_have_a_budget() {
+fn retries_have_a_budget() {
     let mut node = Node::ready("a");
-    node.feed(Event::Settings(Box::new(tight())));
+    node.feed(Event::Settings(Box::new(small_slack())));
     node.lead();
-    let repeats = repeats_of(&mut node, 200);
+    let retries = count_retries(&mut node, 200);
     // The budget is a fifth of 200 requests and a slack of nine.
-    assert!((36..=45).contains(&repeats), "{repeats} repeats of 200 requests");
+    assert!((36..=45).contains(&retries), "{retries} retries of 200 requests");
 }
 
 #[test]
-fn no_slack_without_a_leader() {
+fn no_slack_without_a_hub() {
     let mut node = Node::ready("a");
-    node.feed(Event::Settings(Box::new(tight())));
-    let mut repeats = 0;
+    node.feed(Event::Settings(Box::new(small_slack())));
+    let mut retries = 0;
     for _ in 0..200 {
         let (id, first): (Id, Attempt) = node.sent(plain("/list/1"));
         if let Some(Step::Send(_)) = node.ended(id, first.number, End::Failed) {
-            repeats += 1;
+            retries += 1;
             node.feed(Event::CallerGone(id));
         }
         node.advance(millis(20));
     }
     // The process has earned 0.35 of a fifth of 200, and has a part of one at the beginning.
-    assert!((14..=15).contains(&repeats), "{repeats} repeats of 200 requests");
+    assert!((14..=15).contains(&retries), "{retries} retries of 200 requests");
 }
 
-/// Permits expire. Otherwise a repeat could be counted in one window and sent in a later one, if the process stalls or the request
+/// Permits expire. Otherwise a retry could be counted in one window and sent in a later one, if the process stalls or the request
 /// waits for an engine.
 #[test]
-fn permits_lapse() {
+fn permits_expire() {
     let mut node = Node::ready("a");
     let (id, first) = node.sent(plain("/list/1"));
-    assert_eq!(first.send_by, None, "the first attempt is not a repeat");
-    let second = again(node.ended(id, first.number, End::Failed));
+    assert_eq!(first.send_by, None, "the first attempt is not a retry");
+    let second = expect_send(node.ended(id, first.number, End::Failed));
     assert_eq!(second.send_by, Some(node.now + millis(500)));
     node.advance(millis(400));
     node.feed(Event::EngineActive(second.engine.clone()));
     node.advance(millis(300));
     // It was not sent in time, and its permit has expired: it needs another one.
-    let third = again(node.ended(id, second.number, End::Withheld));
+    let third = expect_send(node.ended(id, second.number, End::Withheld));
     assert_eq!(third.send_by, Some(node.now + millis(500)));
 }
 
 /// A permit that was not used is available to another request.
 #[test]
-fn permits_are_put_back() {
+fn unused_permits_are_returned() {
     let mut node = Node::ready("a");
-    // At this ratio, one request earns exactly one repeat.
+    // At this ratio, one request earns exactly one retry.
     let exact = Settings { repeat_ratio: 1.0 / 0.35, repeat_slack: 0.0, ..Settings::default() };
     node.feed(Event::Settings(Box::new(exact)));
     let (one, first) = node.sent(plain("/list/1"));
-    let second = again(node.ended(one, first.number, End::Failed));
+    let second = expect_send(node.ended(one, first.number, End::Failed));
     node.ended(one, second.number, End::Withheld);
     node.feed(Event::CallerGone(one));
-    let allowed = node.state.repeats().get("own").copied();
+    let granted = node.state.repeats().get("own").copied();
     let (two, third) = node.sent(plain("/list/2"));
-    let fourth = again(node.ended(two, third.number, End::Failed));
-    assert_eq!(allowed, Some(1));
+    let fourth = expect_send(node.ended(two, third.number, End::Failed));
+    assert_eq!(granted, Some(1));
     assert_eq!(fourth.send_by, second.send_by, "the returned permit keeps its expiry");
 }
--- a/fleet/tests/silent_engines.rs
+++ b/fleet/tests/silent_engines.rs
@@ -15,8 +15,8 @@
 use boragecove_fleet::request::{End, Step};
 use node::{Node, WRITER, entry, listing, millis, orders, row, short_stream};
 
-/// A leader of three engines. Only the first holds the requested model, and the others have room for it.
-fn leader() -> Node {
+/// A hub with three engines. Only the first holds the requested model, and the others have room for it.
+fn hub() -> Node {
     let mut node = Node::ready("a");
     let rows = vec![
         row(20, entry("w8", WRITER, "zone-a", &["m0", "m1"])),
@@ -26,14 +26,14 @@
     node.feed(listing(rows, 23, true));
     node.lead();
     for _ in 0..4 {
-        let given = pass(&mut node, millis(250));
-        assert_eq!(given, Vec::new(), "the placement needs no orders");
+        let orders_sent = advance(&mut node, millis(250));
+        assert_eq!(orders_sent, Vec::new(), "the placement needs no orders");
     }
     node
 }
 
 /// Advances the time. The store accepts the lease writes, and engines report their models but answer no orders. Returns the orders.
-fn pass(node: &mut Node, time: Duration) -> Vec<Order> {
+fn advance(node: &mut Node, time: Duration) -> Vec<Order> {
     let effects = node.advance(time);
     for effect in &effects {
         if let Effect::Lease(Call::Write { expected, .. }) = effect {
@@ -51,7 +51,7 @@
 }
 
 /// Sends a request to the engine that holds `m1`. Returns its id and the number of its attempt.
-fn send(node: &mut Node) -> (boragecove_fleet::request::Id, u32) {
+fn send_request(node: &mut Node) -> (boragecove_fleet::request::Id, u32) {
     let id = node.arrive(short_stream("m1"));
     let Some(Step::Send(attempt)) = node.step(id) else {
         panic!("the request is not sent");
@@ -61,61 +61,61 @@
 }
 
 /// Reports a probe of the engine's port.
-fn probed(node: &mut Node, reach: Port) {
+fn probe(node: &mut Node, reach: Port) {
     node.feed(Event::Probed { engine: Name::from("w8"), reach });
 }
 
-fn loads(orders: &[Order]) -> usize {
+fn count_loads(orders: &[Order]) -> usize {
     orders.iter().filter(|order| matches!(order, Order::Load { .. })).count()
 }
 
 /// Guards against loading the models of a silent engine elsewhere: it still holds them a second later.
 #[test]
-fn nothing_is_loaded() {
-    let mut node = leader();
-    let (id, attempt) = send(&mut node);
+fn nothing_is_loaded_for_a_silent_engine() {
+    let mut node = hub();
+    let (id, attempt) = send_request(&mut node);
     node.ended(id, attempt, End::Unsent);
-    let mut given = Vec::new();
+    let mut orders_sent = Vec::new();
     for _ in 0..4 {
-        given.extend(pass(&mut node, millis(250)));
-        probed(&mut node, Port::Silent);
+        orders_sent.extend(advance(&mut node, millis(250)));
+        probe(&mut node, Port::Silent);
     }
-    assert_eq!(loads(&given), 0, "{given:?}");
-    probed(&mut node, Port::Open);
+    assert_eq!(count_loads(&orders_sent), 0, "{orders_sent:?}");
+    probe(&mut node, Port::Open);
     assert_eq!(node.state.crashes().quarantined_count(node.now), 0);
-    send(&mut node);
+    send_request(&mut node);
 }
 
 /// An engine whose port refuses connections has ended, so its models are loaded elsewhere at once. The same happens if an engine stays
 /// silent for long.
 #[test]
-fn ended_is_replaced() {
+fn ended_engine_is_replaced() {
     for (reach, rounds) in [(Port::Closed, 4), (Port::Silent, 12)] {
-        let mut node = leader();
-        let (id, attempt) = send(&mut node);
+        let mut node = hub();
+        let (id, attempt) = send_request(&mut node);
         node.ended(id, attempt, End::Unsent);
-        probed(&mut node, reach);
-        let mut given = Vec::new();
+        probe(&mut node, reach);
+        let mut orders_sent = Vec::new();
         for _ in 0..rounds {
             node.arrive(short_stream("m1"));
-            given.extend(pass(&mut node, millis(250)));
-            probed(&mut node, reach);
+            orders_sent.extend(advance(&mut node, millis(250)));
+            probe(&mut node, reach);
         }
-        assert!(loads(&given) > 0, "{reach:?}: {given:?}");
+        assert!(count_loads(&orders_sent) > 0, "{reach:?}: {orders_sent:?}");
     }
 }
 
 /// A request whose connection breaks while the engine is silent is not blamed for a crash, and nothing is pushed to other entry VMs.
 #[test]
-fn no_verdict() {
-    let mut node = leader();
+fn no_request_is_blamed() {
+    let mut node = hub();
     for _ in 0..3 {
-        let (id, attempt) = send(&mut node);
+        let (id, attempt) = send_request(&mut node);
         node.ended(id, attempt, End::Lost);
         let effects = node.feed(Event::Probed { engine: "w8".into(), reach: Port::Silent }).to_vec();
         assert!(!effects.iter().any(|effect| matches!(effect, Effect::Push(_))), "{effects:?}");
-        pass(&mut node, millis(300));
-        probed(&mut node, Port::Open);
+        advance(&mut node, millis(300));
+        probe(&mut node, Port::Open);
         node.advance(millis(50));
     }
     assert_eq!(node.state.crashes().quarantined_count(node.now), 0);
--- a/fleet/tests/stream_builds.rs
+++ b/fleet/tests/stream_builds.rs
@@ -1,4 +1,4 @@
-//! All events of a stream are written by one build of its service's software, within one answer and over all attempts of its client at any entry
+//! All events of a stream are written by one build of its service's software, within one answer and over all attempts of its caller at any entry
 //! VMs, whatever happens to engines, entry VMs, zones and the store.
 
 mod node;
@@ -15,7 +15,7 @@
 use world::{Backends, World, ZONES};
 
 /// Number of engines of each build at the beginning.
-const EACH: usize = 6;
+const ENGINES_PER_BUILD: usize = 6;
 /// The other build.
 const NEXT: &str = "v1.1";
 const SECOND: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
 /// Streams that begin per second.
 const PER_S: f64 = 30.0;
 /// Share of the resumed streams that must continue, of those whose build still serves.
-const GO_ON: f64 = 0.95;
+const CONTINUED_MIN: f64 = 0.95;
 
 fn engine(number: usize, build: &str) -> Entry {
     let id = format!("w{number}");
@@ -37,7 +37,7 @@
 
 /// A deployment with six engines of each of two builds.
 fn mixed(vms: usize, seed: u64) -> World {
-    deployed(vms, seed, |number| if number < EACH { BUILD } else { NEXT })
+    deployed(vms, seed, |number| if number < ENGINES_PER_BUILD { BUILD } else { NEXT })
 }
 
 /// A deployment with twelve engines of one build.
@@ -46,8 +46,9 @@
 }
 
 fn deployed(vms: usize, seed: u64, build: impl Fn(usize) -> &'static str) -> World {
-    let rows: Vec<Row> =
-        (0..2 * EACH).map(|number| row(number as u64 + 1, engine(number, build(number)))).collect();
+    let rows: Vec<Row> = (0..2 * ENGINES_PER_BUILD)
+        .map(|number| row(number as u64 + 1, engine(number, build(number))))
+        .collect();
     let settings = Settings { repeat_ratio: 20.0, ..Settings::default() };
     let mut world = World::new(vms, node::config(1), &rows, settings, seed);
     world.long_polls = true;
@@ -58,7 +59,7 @@
 
 /// The faults of a simulation while streams are open.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
+enum Fault {
     /// An engine crashes at this interval in ms, and another one of its build starts.
     Crashes(u64),
     /// This share of the entry VMs is killed at the same time, at this interval in ms.
@@ -66,49 +67,49 @@
     /// Zones are cut off in turn, and this share of the entry VMs is killed as well.
     Cut(f64),
     /// The store serves nobody at times, and this share of the entry VMs is killed as well.
-    StoreAway(f64),
-    /// The leader is restarted at this interval in ms.
-    Leaders(u64),
+    StoreUnreachable(f64),
+    /// The hub is restarted at this interval in ms.
+    HubRestarts(u64),
     /// One half of the entry VMs is suspended, then the other half, then none.
-    Frozen,
+    Suspended,
     /// The engines of the older build are replaced by engines of the newer one, and this share of the entry VMs is killed as well.
     Rollout(f64),
 }
 
 /// Runs a deployment under faults for a while. Engines crash at intervals in any case.
-fn run(world: &mut World, trouble: Trouble, time: Duration) {
+fn run(world: &mut World, fault: Fault, time: Duration) {
     let end = world.now + time;
-    let mut next = 2 * EACH;
+    let mut next = 2 * ENGINES_PER_BUILD;
     let mut step = 0_u64;
     while world.now < end {
         step += 1;
         world.stream(millis(100), PER_S, EVENTS);
         let every = |ms: u64| (step * 100).is_multiple_of(ms);
-        match trouble {
-            Trouble::Crashes(ms) if every(ms) => replace(world, &mut next, None),
-            Trouble::Killed(part, ms) if every(ms) => kill(world, part),
-            Trouble::Cut(part) if every(2_000) => {
+        match fault {
+            Fault::Crashes(ms) if every(ms) => replace(world, &mut next, None),
+            Fault::Killed(share, ms) if every(ms) => kill(world, share),
+            Fault::Cut(share) if every(2_000) => {
                 let zone = (step / 20) as usize % ZONES.len();
                 (0..ZONES.len()).for_each(|of| world.cut(of, of == zone && step.is_multiple_of(40)));
-                kill(world, part);
+                kill(world, share);
             }
-            Trouble::StoreAway(part) if every(1_500) => {
+            Fault::StoreUnreachable(share) if every(1_500) => {
                 (0..world.len()).for_each(|at| world.set_store_access(at, step % 90 >= 45));
-                kill(world, part);
+                kill(world, share);
             }
-            Trouble::Leaders(ms) if every(ms) => {
+            Fault::HubRestarts(ms) if every(ms) => {
                 if let Some(leader) = world.leader() {
                     world.restart(leader);
                 }
             }
-            Trouble::Frozen if every(1_000) => {
+            Fault::Suspended if every(1_000) => {
                 for at in 0..world.len() {
                     world.suspend(at, at % 2 == (step / 10) as usize % 4);
                 }
             }
-            Trouble::Rollout(part) if every(1_000) => {
+            Fault::Rollout(share) if every(1_000) => {
                 replace(world, &mut next, Some(NEXT));
-                kill(world, part);
+                kill(world, share);
             }
             _ => {}
         }
@@ -141,8 +142,8 @@
 }
 
 /// Kills this share of the entry VMs and restarts them half a second later.
-fn kill(world: &mut World, part: f64) {
-    let count = (world.len() as f64 * part).round() as usize;
+fn kill(world: &mut World, share: f64) {
+    let count = (world.len() as f64 * share).round() as usize;
     let mut vms: Vec<usize> = (0..world.len()).collect();
     world.rng.shuffle(&mut vms);
     vms.truncate(count);
@@ -158,23 +159,23 @@
 }
 
 /// Simulates a deployment under faults and returns it. Prints the results of its streams.
-fn played(vms: usize, seed: u64, trouble: Trouble) -> World {
-    played_in(mixed(vms, seed), trouble)
+fn simulate(vms: usize, seed: u64, fault: Fault) -> World {
+    simulate_in(mixed(vms, seed), fault)
 }
 
-fn played_in(mut world: World, trouble: Trouble) -> World {
+fn simulate_in(mut world: World, fault: Fault) -> World {
     let vms = world.len();
-    run(&mut world, trouble, 12 * SECOND);
+    run(&mut world, fault, 12 * SECOND);
     let streams = &world.streams;
-    let (part, taken) = streams.gone_on();
-    let (mixed, all, whole) = (streams.mixed(), streams.clients.len(), streams.whole());
-    let (messages, told) = (0..vms)
+    let (share, resumed) = streams.continued_share();
+    let (mixed, all, complete) = (streams.mixed_builds(), streams.callers.len(), streams.complete_share());
+    let (messages, announced) = (0..vms)
         .map(|at| world.state(at).stream_reports())
         .fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-    let kept = (0..vms).map(|at| world.state(at).streams_stored()).max().unwrap_or_default();
-    let late = streams.refused_after().as_millis();
+    let stored = (0..vms).map(|at| world.state(at).streams_stored()).max().unwrap_or_default();
+    let late = streams.longest_refusal().as_millis();
     println!(
-        "{vms} {trouble:?}: {mixed} of {all} mixed, {whole:.3} complete, {part:.3} of {taken} resumed streams continued, {messages} messages with {told} origins, at most {kept} stored, refused within {late} ms"
+        "{vms} {fault:?}: {mixed} of {all} mixed, {complete:.3} complete, {share:.3} of {resumed} resumed streams continued, {messages} messages with {announced} origins, at most {stored} stored, refused within {late} ms"
     );
     world
 }
@@ -182,81 +183,81 @@
 /// A stream whose engine crashes continues, within the same answer, only at engines of the build that began it.
 #[test]
 fn builds_after_crashes() {
-    let world = played(6, 1, Trouble::Crashes(1_000));
-    assert_eq!(world.streams.mixed(), 0, "of {}", world.streams.clients.len());
+    let world = simulate(6, 1, Fault::Crashes(1_000));
+    assert_eq!(world.streams.mixed_builds(), 0, "of {}", world.streams.callers.len());
 }
 
 /// A stream whose entry VM is killed is resumed at another entry VM, only at engines of the build that began it.
 #[test]
 fn builds_after_kills() {
-    for (part, every_ms) in [(0.34, 1_000), (0.6, 2_000), (1.0, 3_000)] {
-        let world = played(6, 2, Trouble::Killed(part, every_ms));
-        assert_eq!(world.streams.mixed(), 0, "{part}: of {}", world.streams.clients.len());
+    for (share, every_ms) in [(0.34, 1_000), (0.6, 2_000), (1.0, 3_000)] {
+        let world = simulate(6, 2, Fault::Killed(share, every_ms));
+        assert_eq!(world.streams.mixed_builds(), 0, "{share}: of {}", world.streams.callers.len());
     }
 }
 
-/// The same while zones are cut off, the store is unreachable, leaders are lost, entry VMs are suspended or engines are replaced.
+/// The same while zones are cut off, the store is unreachable, hubs are lost, entry VMs are suspended or engines are replaced.
 #[test]
-fn builds_in_trouble() {
-    let troubles = [
-        Trouble::Cut(0.34),
-        Trouble::StoreAway(0.34),
-        Trouble::Leaders(1_500),
-        Trouble::Frozen,
-        Trouble::Rollout(0.34),
+fn builds_under_faults() {
+    let faults = [
+        Fault::Cut(0.34),
+        Fault::StoreUnreachable(0.34),
+        Fault::HubRestarts(1_500),
+        Fault::Suspended,
+        Fault::Rollout(0.34),
     ];
-    for trouble in troubles {
-        let world = played(9, 3, trouble);
-        assert_eq!(world.streams.mixed(), 0, "{trouble:?}: of {}", world.streams.clients.len());
+    for fault in faults {
+        let world = simulate(9, 3, fault);
+        assert_eq!(world.streams.mixed_builds(), 0, "{fault:?}: of {}", world.streams.callers.len());
     }
 }
 
-/// Clients that resume a stream are served as long as the build that began it serves. Refusing them all would pass the other tests.
+/// Callers that resume a stream are served as long as the build that began it serves. Refusing them all would pass the other tests.
 #[test]
-fn resumed_streams_served() {
-    for trouble in [Trouble::Killed(0.34, 1_500), Trouble::Killed(0.6, 3_000), Trouble::Leaders(1_500)] {
-        let world = played(9, 4, trouble);
-        let (part, taken) = world.streams.gone_on();
-        assert!(taken >= 12, "{trouble:?}: {taken} were resumed");
-        assert!(part >= GO_ON, "{trouble:?}: {part:.3} of {taken} continued");
-        assert_eq!(world.streams.mixed(), 0, "{trouble:?}: of {}", world.streams.clients.len());
+fn resumed_streams_are_served() {
+    for fault in [Fault::Killed(0.34, 1_500), Fault::Killed(0.6, 3_000), Fault::HubRestarts(1_500)] {
+        let world = simulate(9, 4, fault);
+        let (share, resumed) = world.streams.continued_share();
+        assert!(resumed >= 12, "{fault:?}: {resumed} were resumed");
+        assert!(share >= CONTINUED_MIN, "{fault:?}: {share:.3} of {resumed} continued");
+        assert_eq!(world.streams.mixed_builds(), 0, "{fault:?}: of {}", world.streams.callers.len());
     }
 }
 
-/// The checks detect mixed builds: entry VMs that ignore builds mix them, within one answer and over several attempts of a client.
+/// The checks detect mixed builds: entry VMs that ignore builds mix them, within one answer and over several attempts of a caller.
 #[test]
-fn unread_builds_seen() {
-    for trouble in [Trouble::Crashes(1_000), Trouble::Killed(0.34, 1_000)] {
+fn mixed_builds_are_detected() {
+    for fault in [Fault::Crashes(1_000), Fault::Killed(0.34, 1_000)] {
         let mut world = mixed(6, 1);
         world.ignores_builds = true;
         (0..world.len()).for_each(|at| world.restart(at));
-        let world = played_in(world, trouble);
-        assert!(world.streams.mixed() > 2, "{trouble:?}: {} mixed", world.streams.mixed());
+        let world = simulate_in(world, fault);
+        assert!(world.streams.mixed_builds() > 2, "{fault:?}: {} mixed", world.streams.mixed_builds());
     }
 }
 
-/// If a service has had only one build, no stream origins are sent, and streams are resumed after any kill, even if clients do not name them.
+/// If a service has had only one build, no stream origins are sent, and streams are resumed after any kill, even if callers do not name them.
 #[test]
-fn one_build_untold() {
-    for trouble in [Trouble::Killed(0.34, 1_500), Trouble::Killed(1.0, 3_000)] {
+fn one_build_needs_no_announcements() {
+    for fault in [Fault::Killed(0.34, 1_500), Fault::Killed(1.0, 3_000)] {
         let mut world = uniform(9, 5);
         world.streams.unnamed = true;
-        let world = played_in(world, trouble);
-        let (part, taken) = world.streams.gone_on();
-        assert!(taken >= 12, "{trouble:?}: {taken} were resumed");
-        assert!(part >= GO_ON, "{trouble:?}: {part:.3} of {taken} continued");
-        let told: u64 = (0..world.len()).map(|at| world.state(at).stream_reports().0).sum();
-        assert_eq!(told, 0, "{trouble:?}");
+        let world = simulate_in(world, fault);
+        let (share, resumed) = world.streams.continued_share();
+        assert!(resumed >= 12, "{fault:?}: {resumed} were resumed");
+        assert!(share >= CONTINUED_MIN, "{fault:?}: {share:.3} of {resumed} continued");
+        let announced: u64 = (0..world.len()).map(|at| world.state(at).stream_reports().0).sum();
+        assert_eq!(announced, 0, "{fault:?}");
     }
 }
 
 /// A second build appears while streams are open whose origins were not replicated, and entry VMs are killed meanwhile.
 #[test]
-fn second_build_comes() {
-    let world = played_in(uniform(9, 6), Trouble::Rollout(0.34));
-    assert_eq!(world.streams.mixed(), 0, "of {}", world.streams.clients.len());
-    let (part, taken) = world.streams.gone_on();
-    assert!(part >= GO_ON, "{part:.3} of {taken} continued");
+fn second_build_appears() {
+    let world = simulate_in(uniform(9, 6), Fault::Rollout(0.34));
+    assert_eq!(world.streams.mixed_builds(), 0, "of {}", world.streams.callers.len());
+    let (share, resumed) = world.streams.continued_share();
+    assert!(share >= CONTINUED_MIN, "{share:.3} of {resumed} continued");
 }
 
 /// A new build gets no resumable streams at first, as long as a build that all entry VMs know serves. After a while it does.
@@ -267,8 +268,8 @@
         world.start_engine(engine(number, NEXT));
     }
     let newer = |world: &World| {
-        let of_next = |client: &usize| world.streams.builds_of(*client).contains(&Name::from(NEXT));
-        (0..world.streams.clients.len()).filter(of_next).count()
+        let of_next = |caller: &usize| world.streams.builds_of(*caller).contains(&Name::from(NEXT));
+        (0..world.streams.callers.len()).filter(of_next).count()
     };
     world.stream(2 * SECOND, PER_S, EVENTS);
     assert_eq!(newer(&world), 0, "some entry VMs may not know the new build");
@@ -281,52 +282,52 @@
 /// An entry VM that is cut off has an old copy of the engines' table with only one build. It does not resume a stream on that basis, because
 /// another build may have appeared since.
 #[test]
-fn old_table_refused() {
+fn old_table_is_not_used() {
     let mut world = uniform(9, 8);
     world.cut(0, true);
     for number in (20..26).filter(|number| number % ZONES.len() != 0) {
         world.start_engine(engine(number, NEXT));
     }
     world.advance(6 * SECOND);
-    for number in (0..2 * EACH).filter(|number| number % ZONES.len() != 0) {
+    for number in (0..2 * ENGINES_PER_BUILD).filter(|number| number % ZONES.len() != 0) {
         world.crash_engine(&format!("w{number}"));
     }
-    let client = world.begin_stream_at(1, EVENTS);
+    let caller = world.begin_stream_at(1, EVENTS);
     world.advance(SECOND);
-    assert_eq!(world.streams.builds_of(client).into_iter().collect::<Vec<_>>(), [Name::from(NEXT)]);
-    world.move_stream(client, 1, 0);
+    assert_eq!(world.streams.builds_of(caller).into_iter().collect::<Vec<_>>(), [Name::from(NEXT)]);
+    world.move_stream(caller, 1, 0);
     world.advance(millis(200));
-    let taken = world.streams.taken.last().expect("the stream was resumed");
-    let (code, after) = taken.refused.expect("the request was refused");
+    let resumed = world.streams.resumed.last().expect("the stream was resumed");
+    let (code, after) = resumed.refused.expect("the request was refused");
     assert_eq!(code, Code::OriginUnknown);
     assert!(after <= millis(100), "refused after {after:?}, not at once");
-    assert_eq!(world.streams.mixed(), 0);
+    assert_eq!(world.streams.mixed_builds(), 0);
 }
 
 /// A stream is resumed three times in a row, each time at another entry VM after the one before was killed. Its id stays that of the attempt that
 /// delivered the first event.
 #[test]
-fn taken_up_again() {
+fn stream_is_resumed_repeatedly() {
     for seed in 0..10 {
         let mut world = mixed(9, 20 + seed);
-        let client = world.begin_stream_at(0, 200);
+        let caller = world.begin_stream_at(0, 200);
         world.advance(SECOND);
         for vm in 1..4 {
-            world.move_stream(client, vm - 1, vm);
+            world.move_stream(caller, vm - 1, vm);
             world.advance(SECOND);
         }
-        assert_eq!(world.streams.builds_of(client).len(), 1);
-        assert!(world.streams.taken.iter().all(|taken| taken.went_on), "{:?}", world.streams.taken);
+        assert_eq!(world.streams.builds_of(caller).len(), 1);
+        assert!(world.streams.resumed.iter().all(|resumed| resumed.continued), "{:?}", world.streams.resumed);
     }
 }
 
 /// Random faults: entry VMs are killed, suspended and cut off, the store serves only some of them, and engines crash and are replaced by engines of
 /// other builds.
 #[test]
-fn random_days() {
+fn random_faults() {
     arbtest(|u| {
         let mut world = if u.ratio(1, 2)? { mixed(6, u.arbitrary()?) } else { uniform(6, u.arbitrary()?) };
-        let mut next = 2 * EACH;
+        let mut next = 2 * ENGINES_PER_BUILD;
         for _ in 0..u.int_in_range(2..=8)? {
             for _ in 0..u.int_in_range(0..=3)? {
                 let at = u.int_in_range(0..=5)?;
@@ -343,7 +344,7 @@
         }
         world.heal();
         world.advance(2 * SECOND);
-        assert_eq!(world.streams.mixed(), 0, "of {}", world.streams.clients.len());
+        assert_eq!(world.streams.mixed_builds(), 0, "of {}", world.streams.callers.len());
         Ok(())
     })
     .budget_ms(world::budget_ms(4_000));
@@ -352,7 +353,7 @@
 /// The cost of replicating stream origins with two builds is a small number of messages per stream, whatever the number of entry VMs. Larger
 /// deployments are simulated by hand (`STREAM_SIZES=300,984`, `STREAM_PER_S=3000`).
 #[test]
-fn told_to_few() {
+fn announcements_per_stream() {
     let number = |name: &str| std::env::var(name).ok();
     let sizes = number("STREAM_SIZES").unwrap_or_else(|| "9,65".to_owned());
     let per_s: f64 = number("STREAM_PER_S").and_then(|text| text.parse().ok()).unwrap_or(PER_S);
@@ -361,18 +362,18 @@
         let mut world = mixed(vms, 9);
         world.advance(Duration::from_secs(if vms > 100 { 8 } else { 0 }));
         world.stream(time, per_s, EVENTS);
-        let told = (0..vms).map(|at| world.state(at).stream_reports());
-        let (messages, streams) = told.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        let begun = world.streams.clients.len() as f64;
+        let announced = (0..vms).map(|at| world.state(at).stream_reports());
+        let (messages, streams) = announced.fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
+        let begun = world.streams.callers.len() as f64;
         let each = messages as f64 / begun;
-        let kept = (0..vms).map(|at| world.state(at).streams_stored()).max().unwrap_or_default();
+        let stored = (0..vms).map(|at| world.state(at).streams_stored()).max().unwrap_or_default();
         println!(
-            "{vms} entry VMs, {per_s} streams a second: {each:.1} messages and {:.1} origins sent per stream, {:.1} messages a second by each, {kept} stored at most",
+            "{vms} entry VMs, {per_s} streams a second: {each:.1} messages and {:.1} origins sent per stream, {:.1} messages a second by each, {stored} stored at most",
             streams as f64 / begun,
             messages as f64 / time.as_secs_f64() / vms as f64
         );
         // Two replicas in each of three zones, notified at the beginning and then once in each of three seconds.
         assert!(each <= 6.0 * 4.0, "{vms}: {each:.1} messages a stream");
-        assert_eq!(world.streams.mixed(), 0);
+        assert_eq!(world.streams.mixed_builds(), 0);
     }
 }
--- a/fleet/tests/world/streams.rs
+++ b/fleet/tests/world/streams.rs
@@ -1,4 +1,4 @@
-//! Simulated streams from engine to client. Each event carries the build of the engine that wrote it, and clients resume broken streams at any
+//! Simulated streams from engine to caller. Each event carries the build of the engine that wrote it, and callers resume broken streams at any
 //! entry VM, naming the attempt that delivered the first event.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,29 +20,29 @@
 /// Time from one event to the next.
 const EVENT_MS: u64 = 50;
 /// Time until a broken connection is noticed.
-const BROKEN_MS: u64 = 3;
-/// Failed attempts after which a client gives a stream up.
-const TRIES: u32 = 4;
+const BREAK_NOTICED_MS: u64 = 3;
+/// Failed attempts after which a caller gives a stream up.
+const TRIES_MAX: u32 = 4;
 /// Number of serving engines of a build with which a resumed stream is expected to continue.
-const SERVING: usize = 2;
+const SERVING_MIN: usize = 2;
 /// The workspace of callers without a key.
-const NOBODY: &str = "";
+const NO_WORKSPACE: &str = "";
 
-/// An event of a stream as received by its client.
+/// An event of a stream as received by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Piece {
+pub struct ReceivedEvent {
     pub build: Name,
     pub engine: Name,
     pub at: Time,
 }
 
-/// A client of one stream.
+/// A caller of one stream.
 #[derive(Clone, Debug)]
-pub struct Client {
-    pub pieces: Vec<Piece>,
+pub struct Caller {
+    pub received: Vec<ReceivedEvent>,
     pub events: usize,
     /// When it sent its first attempt.
-    pub asked: Time,
+    pub requested_at: Time,
     /// The stream's id, from the attempt that delivered the first event.
     origin: Option<Stream>,
     attempt: String,
@@ -50,25 +50,25 @@
     pub end: Option<Ending>,
 }
 
-/// How a client's stream ended.
+/// How a caller's stream ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    Whole,
-    /// Refused or broken off in every attempt that the client makes.
+    Complete,
+    /// Refused or broken off in every attempt that the caller makes.
     Lost(Option<Code>),
 }
 
-/// An attempt of a client to resume a stream.
+/// An attempt of a caller to resume a stream.
 #[derive(Clone, Debug)]
-pub struct Taken {
+pub struct Resumed {
     pub at: Time,
-    pub client: usize,
+    pub caller: usize,
     /// Number of events that it had.
-    pub had: usize,
+    pub events_before: usize,
     /// Whether enough engines of its build were serving then.
     pub serves: bool,
     /// Whether another event arrived.
-    pub went_on: bool,
+    pub continued: bool,
     /// The code with which it was refused, and the time from the attempt to the refusal.
     pub refused: Option<(Code, Duration)>,
 }
@@ -76,51 +76,52 @@
 /// All streams of a deployment.
 #[derive(Debug, Default)]
 pub struct Streams {
-    pub clients: Vec<Client>,
-    pub taken: Vec<Taken>,
+    pub callers: Vec<Caller>,
+    pub resumed: Vec<Resumed>,
     pub(super) at: BTreeMap<(usize, Id), usize>,
-    /// When clients send their next attempt.
+    /// When callers send their next attempt.
     retries: Vec<(Time, usize)>,
     drawn: u64,
-    /// Whether clients do not name the stream that they resume.
+    /// Whether callers do not name the stream that they resume.
     pub unnamed: bool,
     crashed: BTreeSet<Name>,
 }
 
 impl Streams {
-    /// The builds that wrote this client's events.
-    pub fn builds_of(&self, client: usize) -> BTreeSet<Name> {
-        self.clients[client].pieces.iter().map(|piece| piece.build.clone()).collect()
+    /// The builds that wrote this caller's events.
+    pub fn builds_of(&self, caller: usize) -> BTreeSet<Name> {
+        self.callers[caller].received.iter().map(|event| event.build.clone()).collect()
     }
 
     /// Number of streams with events of more than one build.
-    pub fn mixed(&self) -> usize {
-        let mixed = |client: &&Client| client.pieces.windows(2).any(|pair| pair[0].build != pair[1].build);
-        self.clients.iter().filter(mixed).count()
+    pub fn mixed_builds(&self) -> usize {
+        let mixed_builds =
+            |caller: &&Caller| caller.received.windows(2).any(|pair| pair[0].build != pair[1].build);
+        self.callers.iter().filter(mixed_builds).count()
     }
 
-    /// Of the streams that were resumed while their build served, the share that continued within their clients' attempts, and their number. A
+    /// Of the streams that were resumed while their build served, the share that continued within their callers' attempts, and their number. A
     /// stream that breaks off twice counts twice.
-    pub fn gone_on(&self) -> (f64, usize) {
-        let mut breaks: BTreeMap<(usize, usize), bool> = BTreeMap::new();
-        for taken in self.taken.iter().filter(|taken| taken.serves) {
-            *breaks.entry((taken.client, taken.had)).or_default() |= taken.went_on;
+    pub fn continued_share(&self) -> (f64, usize) {
+        let mut interruptions: BTreeMap<(usize, usize), bool> = BTreeMap::new();
+        for resumed in self.resumed.iter().filter(|resumed| resumed.serves) {
+            *interruptions.entry((resumed.caller, resumed.events_before)).or_default() |= resumed.continued;
         }
-        let on = breaks.values().filter(|went_on| **went_on).count();
-        (on as f64 / breaks.len().max(1) as f64, breaks.len())
+        let continued = interruptions.values().filter(|continued| **continued).count();
+        (continued as f64 / interruptions.len().max(1) as f64, interruptions.len())
     }
 
-    /// The longest time until a client was refused because its stream cannot be resumed.
-    pub fn refused_after(&self) -> Duration {
-        let refused = self.taken.iter().filter_map(|taken| taken.refused);
+    /// The longest time until a caller was refused because its stream cannot be resumed.
+    pub fn longest_refusal(&self) -> Duration {
+        let refused = self.resumed.iter().filter_map(|resumed| resumed.refused);
         let unknown = refused.filter(|(code, _)| matches!(code, Code::OriginUnknown | Code::BuildGone));
         unknown.map(|(_, after)| after).max().unwrap_or_default()
     }
 
-    /// The share of streams that their clients received completely.
-    pub fn whole(&self) -> f64 {
-        let whole = self.clients.iter().filter(|client| client.end == Some(Ending::Whole)).count();
-        whole as f64 / self.clients.len().max(1) as f64
+    /// The share of streams that their callers received completely.
+    pub fn complete_share(&self) -> f64 {
+        let complete = self.callers.iter().filter(|caller| caller.end == Some(Ending::Complete)).count();
+        complete as f64 / self.callers.len().max(1) as f64
     }
 }
 
@@ -137,19 +138,19 @@
         let engine = Name::from(engine);
         self.truth.insert(engine.clone(), None);
         self.streams.crashed.insert(engine.clone());
-        let lost: Vec<(usize, Id)> = self.streams.at.keys().copied().collect();
-        for (vm, request) in lost {
+        let broken: Vec<(usize, Id)> = self.streams.at.keys().copied().collect();
+        for (vm, request) in broken {
             let backends = self.backends.as_ref().expect("engines");
             if backends.engine_of.get(&(vm, request)) != Some(&engine) {
                 continue;
             }
             if let Some(attempt) = backends.current.get(&(vm, request)).copied() {
-                self.post(vm, vm, BROKEN_MS, Load::Unanswered(request, attempt, End::Lost));
+                self.post(vm, vm, BREAK_NOTICED_MS, Load::Unanswered(request, attempt, End::Lost));
             }
         }
     }
 
-    /// Advances the time while clients begin `per_s` streams per second, of `events` events each, at random entry VMs.
+    /// Advances the time while callers begin `per_s` streams per second, of `events` events each, at random entry VMs.
     pub fn stream(&mut self, time: Duration, per_s: f64, events: usize) {
         let end = self.now + time;
         while self.now < end {
@@ -162,71 +163,68 @@
         }
     }
 
-    /// A client requests a stream at a random entry VM. Returns the client's index.
+    /// A caller requests a stream at a random entry VM. Returns the caller's index.
     pub fn begin_stream(&mut self, events: usize) -> usize {
-        let client = self.add_client(events);
-        self.try_stream(client);
-        client
+        let caller = self.add_caller(events);
+        self.try_stream(caller);
+        caller
     }
 
-    /// A client requests a stream at this entry VM. Returns the client's index.
+    /// A caller requests a stream at this entry VM. Returns the caller's index.
     pub fn begin_stream_at(&mut self, vm: usize, events: usize) -> usize {
-        let client = self.add_client(events);
-        self.try_stream_at(client, vm);
-        client
+        let caller = self.add_caller(events);
+        self.try_stream_at(caller, vm);
+        caller
     }
 
-    fn add_client(&mut self, events: usize) -> usize {
-        let client = self.streams.clients.len();
-        self.streams.clients.push(Client {
-            pieces: Vec::new(),
+    fn add_caller(&mut self, events: usize) -> usize {
+        let caller = self.streams.callers.len();
+        self.streams.callers.push(Caller {
+            received: Vec::new(),
             events,
-            asked: self.now,
+            requested_at: self.now,
             origin: None,
             attempt: String::new(),
             tries: 0,
             end: None,
         });
-        client
+        caller
     }
 
-    /// A client sends an attempt to a random entry VM.
-    fn try_stream(&mut self, client: usize) {
+    /// A caller sends an attempt to a random entry VM.
+    fn try_stream(&mut self, caller: usize) {
         let running: Vec<usize> = (0..self.len()).filter(|at| self.is_running(*at)).collect();
         if running.is_empty() {
-            self.streams.retries.push((self.now + Duration::from_millis(50), client));
+            self.streams.retries.push((self.now + Duration::from_millis(50), caller));
             return;
         }
         let vm = running[self.rng.usize(0..running.len())];
-        self.try_stream_at(client, vm);
+        self.try_stream_at(caller, vm);
     }
 
-    /// A client sends an attempt to this entry VM.
-    pub fn try_stream_at(&mut self, client: usize, vm: usize) {
+    /// A caller sends an attempt to this entry VM.
+    pub fn try_stream_at(&mut self, caller: usize, vm: usize) {
         let now = self.now;
         self.streams.drawn += 1;
         let attempt = format!("attempt-{}", self.streams.drawn);
         let (build, origin) = {
-            let known = &self.streams.clients[client];
-            (known.pieces.first().map(|piece| piece.build.clone()), known.origin)
+            let entry = &self.streams.callers[caller];
+            (entry.received.first().map(|event| event.build.clone()), entry.origin)
         };
         if let Some(build) = build {
-            let serves = self.serving(&build) >= SERVING;
-            let had = self.streams.clients[client].pieces.len();
-            let taken = Taken { at: now, client, had, serves, went_on: false, refused: None };
-            self.streams.taken.push(taken);
+            let serves = self.serving(&build) >= SERVING_MIN;
+            let events_before = self.streams.callers[caller].received.len();
+            let resumed = Resumed { at: now, caller, events_before, serves, continued: false, refused: None };
+            self.streams.resumed.push(resumed);
         }
         let named = !self.streams.unnamed;
-        let resumes = origin.map(|stream| Resumption { stream: named.then_some(stream) });
-        let arrival = Arrival {
-            stream: Some(Stream::of(&attempt)),
-            resumption: resumes,
-            ..streamed("/digest/1", "m0", None)
-        };
-        self.streams.clients[client].attempt = attempt;
+        let resumption = origin.map(|stream| Resumption { stream: named.then_some(stream) });
+        let arrival =
+            Arrival { stream: Some(Stream::of(&attempt)), resumption, ..streamed("/digest/1", "m0", None) };
+        self.streams.callers[caller].attempt = attempt;
         let request = Id(self.drawn + 1);
-        self.streams.at.insert((vm, request), client);
-        self.arrive(vm, &Name::from(NOBODY), 0.0, arrival);
+        self.streams.at.insert((vm, request), caller);
+        self.arrive(vm, &Name::from(NO_WORKSPACE), 0.0, arrival);
     }
 
     /// Number of running engines of a build that are not leaving.
@@ -254,10 +252,10 @@
         true
     }
 
-    /// An event of a stream arrives at the entry VM that serves its client.
+    /// An event of a stream arrives at the entry VM that serves its caller.
     pub(super) fn piece(&mut self, vm: usize, request: Id, written: Box<Written>) {
         let Written { attempt, build, relay } = &*written;
-        let Some(client) = self.streams.at.get(&(vm, request)).copied() else {
+        let Some(caller) = self.streams.at.get(&(vm, request)).copied() else {
             return;
         };
         let current = self.backends.as_ref().and_then(|backends| backends.current.get(&(vm, request)));
@@ -273,48 +271,49 @@
             self.post(vm, vm, EVENT_MS, Load::Piece(request, written));
             return;
         }
-        let piece = Piece { build: build.clone(), engine: attempt.engine.clone(), at: self.now };
-        let told = Event::Began { request, build: attempt.build.clone() };
+        let received = ReceivedEvent { build: build.clone(), engine: attempt.engine.clone(), at: self.now };
+        let event = Event::Began { request, build: attempt.build.clone() };
         let number = attempt.number;
-        let known = &mut self.streams.clients[client];
-        if known.origin.is_none() {
-            known.origin = Some(Stream::of(&known.attempt));
+        let entry = &mut self.streams.callers[caller];
+        if entry.origin.is_none() {
+            entry.origin = Some(Stream::of(&entry.attempt));
         }
-        known.pieces.push(piece);
-        let whole = known.pieces.len() >= known.events;
-        if let Some(taken) = self.streams.taken.iter_mut().rev().find(|taken| taken.client == client) {
-            taken.went_on = true;
+        entry.received.push(received);
+        let complete = entry.received.len() >= entry.events;
+        if let Some(resumed) = self.streams.resumed.iter_mut().rev().find(|resumed| resumed.caller == caller)
+        {
+            resumed.continued = true;
         }
-        self.feed(vm, told);
-        if whole {
-            self.streams.clients[client].end = Some(Ending::Whole);
+        self.feed(vm, event);
+        if complete {
+            self.streams.callers[caller].end = Some(Ending::Complete);
             self.ended(vm, request, number, End::Done);
         } else {
             self.post(vm, vm, EVENT_MS, Load::Piece(request, written));
         }
     }
 
-    /// A request of a client is refused, or its answer breaks off.
+    /// A request of a caller is refused, or its answer breaks off.
     pub(super) fn stream_refused(&mut self, vm: usize, request: Id, code: Code, after: Option<Duration>) {
-        let Some(client) = self.streams.at.remove(&(vm, request)) else {
+        let Some(caller) = self.streams.at.remove(&(vm, request)) else {
             return;
         };
         let now = self.now;
-        let last = self.streams.taken.iter_mut().rev().find(|taken| taken.client == client);
-        if let Some(taken) = last.filter(|taken| !taken.went_on) {
-            taken.refused = Some((code, now.since(taken.at)));
+        let last = self.streams.resumed.iter_mut().rev().find(|resumed| resumed.caller == caller);
+        if let Some(resumed) = last.filter(|resumed| !resumed.continued) {
+            resumed.refused = Some((code, now.since(resumed.at)));
         }
-        self.try_again(client, Some(code), after.unwrap_or(Duration::from_millis(20)));
+        self.try_again(caller, Some(code), after.unwrap_or(Duration::from_millis(20)));
     }
 
-    fn try_again(&mut self, client: usize, code: Option<Code>, wait: Duration) {
+    fn try_again(&mut self, caller: usize, code: Option<Code>, wait: Duration) {
         let at = self.now + wait;
-        let known = &mut self.streams.clients[client];
-        known.tries += 1;
-        if known.tries >= TRIES {
-            known.end = Some(Ending::Lost(code));
+        let entry = &mut self.streams.callers[caller];
+        entry.tries += 1;
+        if entry.tries >= TRIES_MAX {
+            entry.end = Some(Ending::Lost(code));
         } else {
-            self.streams.retries.push((at, client));
+            self.streams.retries.push((at, caller));
         }
     }
 
@@ -328,37 +327,37 @@
     }
 
     /// The entry VM answers, or the call times out. Whichever comes first cancels the other.
-    pub(super) fn traced(&mut self, vm: usize, request: Id, keeper: usize, origin: Option<Origin>) {
-        let same = |load: &Load| matches!(load, Load::Traced(of, by, _) if *of == request && *by == keeper);
+    pub(super) fn traced(&mut self, vm: usize, request: Id, replica: usize, origin: Option<Origin>) {
+        let same = |load: &Load| matches!(load, Load::Traced(of, by, _) if *of == request && *by == replica);
         self.on_way.retain(|way| way.to != vm || !same(&way.load));
         self.feed(vm, Event::OriginAnswered { request, origin });
     }
 
-    /// An entry VM has ended, so the connections of its clients break.
+    /// An entry VM has ended, so the connections of its callers break.
     pub(super) fn lose_streams(&mut self, vm: usize) {
-        let lost: Vec<((usize, Id), usize)> =
+        let broken: Vec<((usize, Id), usize)> =
             self.streams.at.extract_if(.., |(at, _), _| *at == vm).collect();
-        for (_, client) in lost {
-            if self.streams.clients[client].end.is_none() {
+        for (_, caller) in broken {
+            if self.streams.callers[caller].end.is_none() {
                 let wait = Duration::from_millis(self.rng.u64(5..60));
-                self.try_again(client, None, wait);
+                self.try_again(caller, None, wait);
             }
         }
     }
 
-    /// Kills an entry VM, and lets a client resume its stream at another one at once.
-    pub fn move_stream(&mut self, client: usize, from: usize, to: usize) {
+    /// Kills an entry VM, and lets a caller resume its stream at another one at once.
+    pub fn move_stream(&mut self, caller: usize, from: usize, to: usize) {
         self.kill(from);
-        self.streams.retries.retain(|(_, waiting)| *waiting != client);
-        self.try_stream_at(client, to);
+        self.streams.retries.retain(|(_, waiting)| *waiting != caller);
+        self.try_stream_at(caller, to);
     }
 
     /// Sends the attempts that are due.
     pub(super) fn retry_streams(&mut self) {
         let now = self.now;
         let due: Vec<(Time, usize)> = self.streams.retries.extract_if(.., |(at, _)| *at <= now).collect();
-        for (_, client) in due {
-            self.try_stream(client);
+        for (_, caller) in due {
+            self.try_stream(caller);
         }
     }
 }
