--- a/fleet/src/frame.rs
+++ b/fleet/src/frame.rs
@@ -49,14 +49,14 @@
 use crate::timer::Timer;
 
 /// Number of frame intervals without a reply after which the hub counts as lost.
-const FRAMES_MISSED: f64 = 2.5;
+const MISSED_FRAMES_MAX: f64 = 2.5;
 /// Longest time between frames of the entry VMs that read the store when the hub doesn't. They are few, and they
 /// detect for all others that the hub is lost or rejected by the store.
-const READER_EVERY: Duration = Duration::from_millis(500);
+const READER_INTERVAL_MAX: Duration = Duration::from_millis(500);
 /// How often the interval doubles at which a starting process asks the hub again.
 const START_DOUBLINGS: u32 = 4;
 /// Upper limit of the staleness of loads. Older loads carry no information.
-const LATENESS_MAX: Duration = Duration::from_secs(2);
+const STALENESS_MAX: Duration = Duration::from_secs(2);
 /// Maximum number of refusals that are reported again. An engine that is asked about one of them lists all that it
 /// holds.
 const ABSENT_MAX: usize = 64;
@@ -68,7 +68,7 @@
     /// Whether the hub reported that it holds the lease.
     pub(crate) leads: bool,
     /// Whether the store has answered the hub recently, so that the hub's data is as good as the store's.
-    fresh: bool,
+    store_fresh: bool,
     /// Number of entry VMs as counted by the hub.
     pub(crate) nodes: u32,
     /// Version of the engines' residencies known here.
@@ -76,21 +76,21 @@
     /// Residencies reported by the hub for engines, or starts of engines, whose rows haven't arrived yet.
     early: BTreeMap<Name, Resident>,
     /// When the hub last replied.
-    answered: Option<Time>,
+    replied_at: Option<Time>,
     /// Whether this process reads the store for other entry VMs when the hub doesn't.
     pub(crate) is_reader: bool,
     /// What the hub had when it last replied: its configuration version, and the revision of its engine table.
     pub(crate) reported_versions: (u64, Revision),
     /// As the hub: when the store last answered an entry VM that reads it.
-    read_at: Option<Time>,
+    reader_answered_at: Option<Time>,
     /// Whether the last frame got no reply.
-    unanswered: bool,
+    last_unanswered: bool,
     /// The frame that is waiting for its reply.
-    asking: Option<Asking>,
+    pending: Option<PendingFrame>,
     /// Number of the last frame.
-    number: u64,
+    frame_number: u64,
     /// Number of times that this process has asked the hub since its start, up to the limit of the backoff.
-    start_asks: u32,
+    start_attempts: u32,
     /// As the hub: packed tables for entry VMs that have no data yet.
     snapshots: Snapshots,
     /// Refusals that are still to be reported.
@@ -105,13 +105,13 @@
 
 /// A frame that is waiting for its reply.
 #[derive(Debug)]
-struct Asking {
+struct PendingFrame {
     /// Number of the frame.
     number: u64,
     /// When it was sent.
     at: Time,
     /// Whether requests have started to wait since then, which the frame doesn't report.
-    unsaid: bool,
+    has_unreported_waits: bool,
     /// The refusals that it reports.
     absent: Vec<Absent>,
     /// The last change of engine limits that it reports.
@@ -122,7 +122,7 @@
 
 #[derive(Debug)]
 struct Peer {
-    heard: Time,
+    received_at: Time,
     frame: Frame,
 }
 
@@ -135,8 +135,8 @@
     /// Whether the hub has replied recently.
     #[must_use]
     pub fn is_alive(&self, now: Time, settings: &Settings) -> bool {
-        let silence = settings.hub_silence.max(self.frame_interval(settings).mul_f64(FRAMES_MISSED));
-        self.answered.is_some_and(|at| now.since(at) < silence)
+        let silence = settings.hub_silence.max(self.frame_interval(settings).mul_f64(MISSED_FRAMES_MAX));
+        self.replied_at.is_some_and(|at| now.since(at) < silence)
     }
 
     /// Whether the hub's data can replace reading the store. With hundreds of entry VMs frames are seconds apart, and
@@ -144,8 +144,8 @@
     /// the data is older than `hub_silence`. The store is then read in addition, which neither puts more load on a
     /// hub that may only be busy nor replaces it.
     fn is_current(&self, now: Time, settings: &Settings) -> bool {
-        let doubted = self.unanswered && self.age(now) >= settings.hub_silence;
-        self.fresh && !doubted && self.is_alive(now, settings)
+        let in_doubt = self.last_unanswered && self.age(now) >= settings.hub_silence;
+        self.store_fresh && !in_doubt && self.is_alive(now, settings)
     }
 
     /// Factor by which this entry VM's intervals are longer in a large fleet; 1 in a small one.
@@ -156,18 +156,18 @@
     /// Time between frames of this process.
     fn frame_interval(&self, settings: &Settings) -> Duration {
         let every = settings.frame_every.mul_f64(self.size_factor(settings));
-        if self.is_reader { every.min(READER_EVERY.max(settings.frame_every)) } else { every }
+        if self.is_reader { every.min(READER_INTERVAL_MAX.max(settings.frame_every)) } else { every }
     }
 
     /// Time since the hub last replied.
     #[must_use]
     pub fn age(&self, now: Time) -> Duration {
-        self.answered.map_or(Duration::MAX, |at| now.since(at))
+        self.replied_at.map_or(Duration::MAX, |at| now.since(at))
     }
 
     /// As the hub: number and size of full snapshots sent, by reason.
     pub(crate) const fn full_snapshots(&self) -> &BTreeMap<Reason, Count> {
-        &self.snapshots.told
+        &self.snapshots.sent
     }
 
     /// Number of entry VMs known to this one as the hub, itself included.
@@ -177,8 +177,8 @@
 
     /// A frame number that this process hasn't used yet.
     pub(crate) const fn next_frame_number(&mut self) -> u64 {
-        self.number += 1;
-        self.number
+        self.frame_number += 1;
+        self.frame_number
     }
 
     /// The last frames of the other entry VMs.
@@ -223,18 +223,18 @@
 /// Mean time for which requests sent by other entry VMs are unknown here: the time since the hub's last reply, plus
 /// half of the interval between frames.
 pub(crate) fn load_staleness(state: &State, now: Time) -> Duration {
-    let told = if state.lease.held_term(now).is_some() { Duration::ZERO } else { state.hub.age(now) };
-    told.saturating_add(frame_interval(state) / 2).min(LATENESS_MAX)
+    let reply_age = if state.lease.held_term(now).is_some() { Duration::ZERO } else { state.hub.age(now) };
+    reply_age.saturating_add(frame_interval(state) / 2).min(STALENESS_MAX)
 }
 
 /// Sends a frame now, unless one is waiting for its reply.
 pub(crate) fn send(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.lease.held_term(now).is_some() {
         state.hub.leads = true;
-        state.hub.answered = Some(now);
+        state.hub.replied_at = Some(now);
         state.hub.nodes = state.hub.entry_vm_count();
         let term = state.residency_version().term;
-        let list = peers::counted(state);
+        let list = peers::listed_members(state);
         state.members.update_as_hub(now, term, &state.me.vm, list);
         state.hub.is_reader = state.members.is_reader(&state.me.vm);
         quota::allot_own(state, now);
@@ -244,17 +244,17 @@
     let Some(row) = state.lease.hub() else {
         return;
     };
-    if state.hub.asking.is_some() || row.holder == state.me.vm {
+    if state.hub.pending.is_some() || row.holder == state.me.vm {
         return;
     }
     let address = row.address;
     let (limits, limits_until) = state.rate_limits.unreported(now);
     let (departures, departures_until) = state.departures.unreported();
     let frame = Box::new(Frame { departures, limits, ..compose(state, now) });
-    state.hub.asking = Some(Asking {
+    state.hub.pending = Some(PendingFrame {
         number: frame.number,
         at: now,
-        unsaid: false,
+        has_unreported_waits: false,
         absent: frame.absent.clone(),
         limits: limits_until,
         departures: departures_until,
@@ -264,21 +264,21 @@
 
 /// Informs the hub that a request has started to wait: now, or as soon as the hub has replied to the frame under way.
 pub(crate) fn report_waiting(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    match &mut state.hub.asking {
-        Some(asking) => asking.unsaid = true,
+    match &mut state.hub.pending {
+        Some(pending) => pending.has_unreported_waits = true,
         None => send(state, now, out),
     }
 }
 
 /// Stops waiting for the reply to the frame under way, since its receiver is no longer the hub.
 pub(crate) fn abandon_frame(state: &mut State) {
-    let asked = state.hub.asking.take();
-    tell_again(state, asked);
+    let pending = state.hub.pending.take();
+    requeue_refusals(state, pending);
 }
 
 /// Queues the refusals of a frame that may not have reached the hub for the next frame.
-fn tell_again(state: &mut State, asked: Option<Asking>) {
-    let absent = asked.map(|asked| asked.absent).unwrap_or_default();
+fn requeue_refusals(state: &mut State, pending: Option<PendingFrame>) {
+    let absent = pending.map(|frame| frame.absent).unwrap_or_default();
     let room = ABSENT_MAX.saturating_sub(state.hub.absent.len());
     state.hub.absent.extend(absent.into_iter().take(room));
 }
@@ -342,7 +342,7 @@
     for id in &frame.suspects {
         suspicion::check_if_used(state, now, id, out);
     }
-    reading::heard(state, now, &frame, out);
+    reading::apply(state, now, &frame, out);
     evacuation::receive(state, now, &frame.evacuations, out);
     departure::receive(state, now, &frame.departures, Source::Frame, out);
     departure::notify(state, now, out);
@@ -353,52 +353,56 @@
     state.fleet_demand.mark_used(now, &frame.demand);
     // Looks at this frame only. Looking at everything that other entry VMs wait for would make the time per frame
     // grow with the square of their number.
-    let wanted = adapter::waiting_targets(&frame.demand);
-    peers::replace(state, now, frame);
-    adapter::place_targets(state, now, &wanted, out);
+    let targets = adapter::waiting_targets(&frame.demand);
+    peers::replace_frame(state, now, frame);
+    adapter::place_targets(state, now, &targets, out);
 }
 
 /// The hub's reply to the last frame of an entry VM.
 pub(crate) fn reply(state: &mut State, now: Time, asker: &Frame) -> Reply {
     let config = rollout::inline_update(state, asker);
     let quota = quota::allot(state, now, &asker.vm, asker.number, &asker.quota);
-    let loads::Told { named, placed } = loads::tell(state, &asker.loads, asker.engines_digest);
+    let loads::Loads { by_name, by_position } = loads::all_but(state, &asker.loads, asker.engines_digest);
     let whole = state.needs_full_table(asker.engines_revision);
     let packed = if whole { snapshot::rows(state, now, asker.engines_revision) } else { None };
-    let (rows, listed, rows_packed) = match packed {
+    let (rows, revision, rows_packed) = match packed {
         // Departed engines are reported as of now, because the asker's next frame may be seconds away.
-        Some((listed, packed)) => (state.departed_rows_after(now, listed), listed, packed),
+        Some((revision, packed)) => (state.departed_rows_after(now, revision), revision, packed),
         None => (state.missing_rows(now, asker.engines_revision), state.engines_revision, Bytes::new()),
     };
-    let holds = state.lease.held_term(now).is_some();
-    let view = state.residency_version();
-    let since = if asker.residency_version.term == view.term { asker.residency_version.version } else { 0 };
-    let packed =
-        if holds && since == 0 { snapshot::residencies(state, now, asker.residency_version) } else { None };
-    let (residencies, told_view, residencies_packed) = match packed {
-        Some((view, packed)) => (Vec::new(), view, packed),
-        None if holds => (state.ledger.changed_after(since), view, Bytes::new()),
-        None => (Vec::new(), view, Bytes::new()),
+    let leads_now = state.lease.held_term(now).is_some();
+    let version = state.residency_version();
+    let since =
+        if asker.residency_version.term == version.term { asker.residency_version.version } else { 0 };
+    let packed = if leads_now && since == 0 {
+        snapshot::residencies(state, now, asker.residency_version)
+    } else {
+        None
+    };
+    let (residencies, sent_version, residencies_packed) = match packed {
+        Some((sent, packed)) => (Vec::new(), sent, packed),
+        None if leads_now => (state.ledger.changed_after(since), version, Bytes::new()),
+        None => (Vec::new(), version, Bytes::new()),
     };
-    let (limits, limits_version) = state.rate_limits.changed_since(now, view.term, asker.limits_version);
+    let (limits, limits_version) = state.rate_limits.changed_since(now, version.term, asker.limits_version);
     let (departures, departures_version) =
-        state.departures.changed_since(view.term, asker.departures_version);
+        state.departures.changed_since(version.term, asker.departures_version);
     let outdated = asker.members_version != state.members.version();
     Reply {
         number: asker.number,
-        leads: holds,
+        leads: leads_now,
         era: state.era.number(),
         store_age: now.since(state.store_answered_at),
         reader_age: reading::age(state, now),
         // A process that is no hub, or has just become one, may have an empty list.
-        members: (holds && outdated && !state.members.list().is_empty())
+        members: (leads_now && outdated && !state.members.list().is_empty())
             .then(|| state.members.list().to_vec()),
-        membership: holds.then(|| state.members.membership(now, &asker.vm, outdated)),
+        membership: leads_now.then(|| state.members.membership(now, &asker.vm, outdated)),
         nodes: state.hub.entry_vm_count(),
-        loads_by_name: named,
+        loads_by_name: by_name,
         engines_digest: asker.engines_digest,
-        loads_by_position: placed,
-        residency_version: told_view,
+        loads_by_position: by_position,
+        residency_version: sent_version,
         residencies,
         residencies_packed,
         config,
@@ -410,7 +414,7 @@
         rows,
         rows_packed,
         engines_age: state.freshness.age(now),
-        engines_revision: listed,
+        engines_revision: revision,
         whole,
         suspects: suspects(state, now),
         evacuations_digest: state.evacuations.digest(),
@@ -422,6 +426,6 @@
         crash_digest: state.crashes.digest(now),
         crash_entries: state.crashes.verdicts_unless_equal(asker.crash_digest, now),
         quota,
-        builds: holds.then(|| state.history.report(now)).flatten(),
+        builds: leads_now.then(|| state.history.report(now)).flatten(),
     }
 }
--- a/fleet/src/frame/answered.rs
+++ b/fleet/src/frame/answered.rs
@@ -8,7 +8,9 @@
 
 use super::loads;
 use super::message::{Position, Reply, Resident};
-use super::{Asking, START_DOUBLINGS, can_serve, config_version, follow, send, size_factor, tell_again};
+use super::{
+    PendingFrame, START_DOUBLINGS, can_serve, config_version, follow, requeue_refusals, send, size_factor,
+};
 use crate::crash::{self, Report};
 use crate::departure::{self, Answer, Source};
 use crate::effect::Effect;
@@ -34,25 +36,25 @@
 
 /// The hub has replied, or could not be reached (`None`).
 pub(crate) fn reply_received(state: &mut State, now: Time, reply: Option<Reply>, out: &mut Vec<Effect>) {
-    let asked = state.hub.asking.take();
+    let pending = state.hub.pending.take();
     if !can_serve(state) {
-        ask_again(state, now, reply.as_ref().is_some_and(|reply| reply.leads));
+        schedule_lookup(state, now, reply.as_ref().is_some_and(|reply| reply.leads));
     }
-    state.hub.unanswered = reply.is_none();
+    state.hub.last_unanswered = reply.is_none();
     let Some(mut reply) = reply else {
-        return unanswered(state, now, asked, out);
+        return reply_missing(state, now, pending, out);
     };
     era::observe(state, now, reply.era, out);
     if state.lease.held_term(now).is_some() {
         return;
     }
     if reply.leads != state.hub.leads {
-        let found = if reply.leads { "found" } else { "lapsed" };
-        out.push(Effect::Record(Record::Hub { state: found, nodes: reply.nodes }));
+        let label = if reply.leads { "found" } else { "lapsed" };
+        out.push(Effect::Record(Record::Hub { state: label, nodes: reply.nodes }));
     }
     state.hub.leads = reply.leads;
     state.hub.nodes = reply.nodes;
-    state.hub.answered = Some(now);
+    state.hub.replied_at = Some(now);
     if let Some(members) = reply.members.take() {
         state.members.replace(now, members);
         state.hub.is_reader = state.members.is_reader(&state.me.vm);
@@ -67,28 +69,28 @@
         state.config_revision = state.config_revision.max(reply.declaration.store);
     }
     // A reply to an earlier frame would be dated too late.
-    let sent = asked.as_ref().filter(|asked| asked.number == reply.number).map(|asked| asked.at);
-    let told = sent.and(asked.as_ref()).map_or(0, |asked| asked.limits);
-    if let Some((sent, membership)) = sent.zip(reply.membership.take()) {
-        state.members.confirm(now, sent, membership);
+    let sent_at = pending.as_ref().filter(|pending| pending.number == reply.number).map(|pending| pending.at);
+    let limits_reported = sent_at.and(pending.as_ref()).map_or(0, |pending| pending.limits);
+    if let Some((sent_at, membership)) = sent_at.zip(reply.membership.take()) {
+        state.members.confirm(now, sent_at, membership);
     }
-    if let Some((sent, allotments)) = sent.zip(reply.quota.take()) {
-        quota::apply_allotments(state, now, sent, allotments);
+    if let Some((sent_at, allotments)) = sent_at.zip(reply.quota.take()) {
+        quota::apply_allotments(state, now, sent_at, allotments);
     }
-    if let Some((sent, age)) = sent.zip(reply.declaration.age)
+    if let Some((sent_at, age)) = sent_at.zip(reply.declaration.age)
         && reply.declaration.config <= config_version(state)
     {
-        proof::renew(state, now, sent - age, out);
+        proof::renew(state, now, sent_at - age, out);
     }
     state.hub.reported_versions = (reply.declaration.config, reply.engines_revision);
-    let fresh = |age: Duration| age < state.settings.hub_store_age;
+    let is_fresh = |age: Duration| age < state.settings.hub_store_age;
     // Entry VMs that read the store for the hub continue while the store rejects it.
-    let read = !state.hub.is_reader && reply.reader_age.is_some_and(fresh);
-    state.hub.fresh = reply.leads && (fresh(reply.store_age) || read);
-    learn_engines(state, now, &mut reply, sent, out);
-    if let Some((sent, builds)) = sent.zip(reply.builds.take()) {
-        let settling = pin::settling_time(state);
-        state.history.inherit(now, &builds, now.since(sent), settling);
+    let reader_fresh = !state.hub.is_reader && reply.reader_age.is_some_and(is_fresh);
+    state.hub.store_fresh = reply.leads && (is_fresh(reply.store_age) || reader_fresh);
+    apply_engines(state, now, &mut reply, sent_at, out);
+    if let Some((sent_at, builds)) = sent_at.zip(reply.builds.take()) {
+        let settling_time = pin::settling_time(state);
+        state.history.inherit(now, &builds, now.since(sent_at), settling_time);
     }
     for id in &reply.suspects {
         suspicion::check_if_used(state, now, id, out);
@@ -96,12 +98,12 @@
     if reply.leads {
         let answer = Answer {
             term: reply.residency_version.term,
-            reported_up_to: sent.and(asked.as_ref()).map_or(0, |asked| asked.departures),
+            reported_up_to: sent_at.and(pending.as_ref()).map_or(0, |pending| pending.departures),
             departing: reply.departures,
             version: reply.departures_version,
         };
         departure::hub_replied(state, now, &answer, out);
-        state.rate_limits.hub_replied(reply.residency_version.term, told);
+        state.rate_limits.hub_replied(reply.residency_version.term, limits_reported);
         for limit in &reply.limits {
             rate_limit::report_received(state, now, limit);
         }
@@ -112,24 +114,27 @@
     state.crashes.set_hub_digest(reply.crash_digest);
     crash::report_received(state, now, Report::of(reply.crash_entries), out);
     if reply.leads
-        && let Some(residencies) = unpacked(reply.residencies, &reply.residencies_packed, "residencies", out)
+        && let Some(residencies) =
+            unpack_items(reply.residencies, &reply.residencies_packed, "residencies", out)
     {
-        learn(state, reply.residency_version, residencies);
+        apply_residencies(state, reply.residency_version, residencies);
     }
-    freshness::replied(state, now, sent, out);
+    freshness::replied(state, now, sent_at, out);
     follow(state, now, out);
-    let waited = state.waiting.len();
+    let waiting_before = state.waiting.len();
     flow::rescan_waiting(state, now, out);
     // A reply that brought something wasn't held until the remaining adapters were ready.
-    let more = asked.is_some_and(|asked| asked.unsaid) || state.waiting.len() < waited;
-    if (more && !state.waiting.is_empty()) || (reply.leads && state.departures.has_unreported()) {
+    let has_more_to_report =
+        pending.is_some_and(|pending| pending.has_unreported_waits) || state.waiting.len() < waiting_before;
+    if (has_more_to_report && !state.waiting.is_empty()) || (reply.leads && state.departures.has_unreported())
+    {
         send(state, now, out);
     }
 }
 
 /// The hub didn't reply.
-fn unanswered(state: &mut State, now: Time, asked: Option<Asking>, out: &mut Vec<Effect>) {
-    tell_again(state, asked);
+fn reply_missing(state: &mut State, now: Time, pending: Option<PendingFrame>, out: &mut Vec<Effect>) {
+    requeue_refusals(state, pending);
     departure::notify_without_hub(state, out);
     if state.hub.leads && !state.hub.is_alive(now, &state.settings) {
         state.hub.leads = false;
@@ -139,25 +144,31 @@
 }
 
 /// Applies the hub's engine table and the loads of engines. `sent` is the time of the request.
-fn learn_engines(state: &mut State, now: Time, reply: &mut Reply, sent: Option<Time>, out: &mut Vec<Effect>) {
+fn apply_engines(
+    state: &mut State,
+    now: Time,
+    reply: &mut Reply,
+    sent_at: Option<Time>,
+    out: &mut Vec<Effect>,
+) {
     let by_name = reply.loads_by_position.is_empty();
     if !by_name {
         // Positions refer to the engines known before the new rows.
-        loads::take_placed(state, reply.engines_digest, &reply.loads_by_position);
+        loads::apply_by_position(state, reply.engines_digest, &reply.loads_by_position);
     }
-    let word = sent.zip(reply.engines_age);
-    let read = take_rows(state, now, reply, word.map(|(sent, age)| sent - age), out);
-    if let Some((sent, age)) = word.filter(|_| read) {
-        freshness::renew(state, now, Confirmation { asked: sent, age, source: "leader" }, out);
+    let confirmed = sent_at.zip(reply.engines_age);
+    let is_complete = apply_rows(state, now, reply, confirmed.map(|(sent_at, age)| sent_at - age), out);
+    if let Some((sent_at, age)) = confirmed.filter(|_| is_complete) {
+        freshness::renew(state, now, Confirmation { asked: sent_at, age, source: "leader" }, out);
     }
     if by_name {
-        loads::take_named(state, std::mem::take(&mut reply.loads_by_name));
+        loads::apply_by_name(state, std::mem::take(&mut reply.loads_by_name));
     }
 }
 
 /// Applies the hub's engine table, which contains all that the store had taken by `as_of`, if that time is known.
 /// Returns whether all of it could be decoded.
-fn take_rows(
+fn apply_rows(
     state: &mut State,
     now: Time,
     reply: &mut Reply,
@@ -166,7 +177,7 @@
 ) -> bool {
     let rows = std::mem::take(&mut reply.rows);
     if reply.engines_revision > state.engines_revision {
-        let Some(rows) = unpacked(rows, &reply.rows_packed, "engines", out) else {
+        let Some(rows) = unpack_items(rows, &reply.rows_packed, "engines", out) else {
             return false;
         };
         let listing = Listing { rows, version: reply.engines_revision, whole: reply.whole, as_of };
@@ -176,14 +187,14 @@
     // The hub may have received some rows after its last reading of the table.
     tables::receive_rows(state, now, rows, Source::Reply, out);
     departure::drop_pending(state, out);
-    if let Some(as_of) = as_of.filter(|_| state.hub.fresh && reply.era == state.era.number()) {
+    if let Some(as_of) = as_of.filter(|_| state.hub.store_fresh && reply.era == state.era.number()) {
         tables::confirm_returned(state, now, as_of, out);
     }
     true
 }
 
 /// The packed and the plain items of a reply; `None` if the packed ones can't be decoded.
-fn unpacked<T: DeserializeOwned>(
+fn unpack_items<T: DeserializeOwned>(
     plain: Vec<T>,
     packed: &[u8],
     what: &'static str,
@@ -208,16 +219,17 @@
 /// If the process asked is not the hub or doesn't answer, the hub is looked up again: after a restart of all entry
 /// VMs the next one is there within 30 ms. The interval doubles each time, since all entry VMs may be asking, and
 /// there may be no data yet.
-fn ask_again(state: &mut State, now: Time, leads: bool) {
-    let wait = state.settings.start_lookup_interval.mul_f64(size_factor(state)) * (1 << state.hub.start_asks);
-    state.hub.start_asks = (state.hub.start_asks + 1).min(START_DOUBLINGS);
+fn schedule_lookup(state: &mut State, now: Time, leads: bool) {
+    let wait =
+        state.settings.start_lookup_interval.mul_f64(size_factor(state)) * (1 << state.hub.start_attempts);
+    state.hub.start_attempts = (state.hub.start_attempts + 1).min(START_DOUBLINGS);
     state.timers.set(now + wait, if leads { Timer::FrameToNewHub } else { Timer::LeaseLookup });
 }
 
 /// Applies the residencies reported by the hub. Those reported by an earlier hub remain valid for all other engines:
 /// no orders are given to them until the new hub has asked them what they hold.
-fn learn(state: &mut State, view: Position, residencies: Vec<Resident>) {
-    state.hub.residency_version = view;
+fn apply_residencies(state: &mut State, version: Position, residencies: Vec<Resident>) {
+    state.hub.residency_version = version;
     for resident in residencies {
         let known = state.engines.get_mut(&resident.engine);
         match known.filter(|known| known.entry.incarnation >= resident.incarnation) {
--- a/fleet/src/frame/hold.rs
+++ b/fleet/src/frame/hold.rs
@@ -14,7 +14,7 @@
     if state.lease.ordering_term(now).is_none() {
         return false;
     }
-    wanted(frame).any(|target| {
+    awaited_adapters(frame).any(|target| {
         let serves = |engine| serves(state, now, engine, target);
         adapter::is_placed_or_loading(state, now, target) && !state.engines.keys().any(serves)
     })
@@ -22,11 +22,11 @@
 
 /// Whether an engine can now serve something that callers of this frame wait for.
 pub(crate) fn serves_waiting(state: &State, now: Time, engine: &Name, frame: &Frame) -> bool {
-    wanted(frame).any(|target| serves(state, now, engine, target))
+    awaited_adapters(frame).any(|target| serves(state, now, engine, target))
 }
 
 /// The adapters that callers of this frame wait for.
-fn wanted(frame: &Frame) -> impl Iterator<Item = &Target> {
+fn awaited_adapters(frame: &Frame) -> impl Iterator<Item = &Target> {
     let waiting = frame.demand.iter().filter(|demand| demand.waiting > 0);
     waiting.map(|demand| &demand.target).filter(|target| target.adapter.is_some())
 }
--- a/fleet/src/frame/loads.rs
+++ b/fleet/src/frame/loads.rs
@@ -16,7 +16,7 @@
 const READING_UNIT_US: u64 = 1_000;
 /// Numbers for each engine: the count of engines without load before it, its requests, and the time to read their
 /// prompts.
-const NUMBERS: usize = 3;
+const NUMBERS_PER_ENGINE: usize = 3;
 
 /// Hash of one engine id. The digest of all ids is the sum of these hashes, so that it doesn't depend on their order.
 pub(crate) fn engine_id_digest(engine: &Name) -> u64 {
@@ -25,44 +25,44 @@
 
 /// Loads in the form in which a reply contains them.
 #[derive(Debug, Default)]
-pub(super) struct Told {
+pub(super) struct Loads {
     /// Loads by engine name.
-    pub(super) named: Vec<EngineLoad>,
+    pub(super) by_name: Vec<EngineLoad>,
     /// Loads by position of the engine.
-    pub(super) placed: Vec<u32>,
+    pub(super) by_position: Vec<u32>,
 }
 
 /// All loads, less those that the asker reported as its own.
-pub(super) fn tell(state: &State, own: &[EngineLoad], engines: u64) -> Told {
+pub(super) fn all_but(state: &State, own: &[EngineLoad], engines: u64) -> Loads {
     let own: FxHashMap<&Name, Load> = own.iter().map(|entry| (&entry.engine, entry.load)).collect();
-    let beside = |engine: &Name, load: Load| load.minus(own.get(engine).copied().unwrap_or_default());
-    let loads = state.engines.iter().map(|(id, engine)| (id, beside(id, engine.load())));
-    let mut told = Told::default();
+    let remaining = |engine: &Name, load: Load| load.minus(own.get(engine).copied().unwrap_or_default());
+    let loads = state.engines.iter().map(|(id, engine)| (id, remaining(id, engine.load())));
+    let mut result = Loads::default();
     if engines != state.engines_digest {
         let loads = loads.filter(|(_, load)| *load != Load::default());
-        told.named = loads.map(|(engine, load)| EngineLoad { engine: engine.clone(), load }).collect();
-        return told;
+        result.by_name = loads.map(|(engine, load)| EngineLoad { engine: engine.clone(), load }).collect();
+        return result;
     }
-    let mut without = 0;
+    let mut unloaded = 0;
     for (_, load) in loads {
         if load == Load::default() {
-            without += 1;
+            unloaded += 1;
             continue;
         }
-        let reading = u32::try_from(load.reading_us.div_ceil(READING_UNIT_US)).unwrap_or(u32::MAX);
-        told.placed.extend([without, load.open, reading]);
-        without = 0;
+        let reading_units = u32::try_from(load.reading_us.div_ceil(READING_UNIT_US)).unwrap_or(u32::MAX);
+        result.by_position.extend([unloaded, load.open, reading_units]);
+        unloaded = 0;
     }
-    told
+    result
 }
 
 /// Applies loads by position among the engines with this digest. An engine that isn't listed has no load from others.
 /// Loads known before are kept if the set of engines known here differs.
-pub(super) fn take_placed(state: &mut State, engines: u64, placed: &[u32]) {
+pub(super) fn apply_by_position(state: &mut State, engines: u64, by_position: &[u32]) {
     if engines != state.engines_digest {
         return;
     }
-    let mut loads = placed.chunks_exact(NUMBERS).map(|numbers| (numbers[0], load(numbers)));
+    let mut loads = by_position.chunks_exact(NUMBERS_PER_ENGINE).map(|numbers| (numbers[0], load(numbers)));
     let mut next = loads.next();
     for engine in state.engines.values_mut() {
         engine.others_load = Load::default();
@@ -71,18 +71,18 @@
                 engine.others_load = *load;
                 next = loads.next();
             }
-            Some((without, _)) => *without -= 1,
+            Some((unloaded, _)) => *unloaded -= 1,
             None => {}
         }
     }
 }
 
 /// Applies loads by engine name.
-pub(super) fn take_named(state: &mut State, named: Vec<EngineLoad>) {
+pub(super) fn apply_by_name(state: &mut State, by_name: Vec<EngineLoad>) {
     for engine in state.engines.values_mut() {
         engine.others_load = Load::default();
     }
-    for EngineLoad { engine, load } in named {
+    for EngineLoad { engine, load } in by_name {
         if let Some(engine) = state.engines.get_mut(&engine) {
             engine.others_load = load;
         }
--- a/fleet/src/frame/message.rs
+++ b/fleet/src/frame/message.rs
@@ -94,7 +94,7 @@
     pub rows_after: Revision,
 }
 
-/// Version of the residencies that the leader distributes.
+/// Version of data that the hub distributes: residencies, departures or rate limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position {
     /// Term of the lease under which it was set.
--- a/fleet/src/frame/peers.rs
+++ b/fleet/src/frame/peers.rs
@@ -4,7 +4,7 @@
 
 use boragecove_core::time::Time;
 
-use super::{EngineLoad, FRAMES_MISSED, Frame, Peer, frame_interval};
+use super::{EngineLoad, Frame, MISSED_FRAMES_MAX, Peer, frame_interval};
 use crate::engine::Load;
 use crate::members::Member;
 use crate::state::{Identity, State};
@@ -13,7 +13,7 @@
 const PEER_SILENCE: Duration = Duration::from_secs(2);
 
 /// Replaces the last frame of an entry VM, and its part in the sums of loads.
-pub(super) fn replace(state: &mut State, now: Time, frame: Frame) {
+pub(super) fn replace_frame(state: &mut State, now: Time, frame: Frame) {
     let before = state.hub.peers.get(&frame.vm).map(|peer| peer.frame.loads.clone()).unwrap_or_default();
     for EngineLoad { engine, load } in before {
         if let Some(engine) = state.engines.get_mut(&engine) {
@@ -26,16 +26,16 @@
         }
     }
     state.hub.inherited.remove(&frame.vm);
-    state.hub.peers.insert(frame.vm.clone(), Peer { heard: now, frame });
+    state.hub.peers.insert(frame.vm.clone(), Peer { received_at: now, frame });
 }
 
 /// How long an entry VM that sends no frames still counts.
 fn silence_max(state: &State) -> Duration {
-    PEER_SILENCE.max(frame_interval(state).mul_f64(FRAMES_MISSED))
+    PEER_SILENCE.max(frame_interval(state).mul_f64(MISSED_FRAMES_MAX))
 }
 
 /// Takes over the member list of the previous hub, as this process has become the hub. The entry VMs in it count
-/// until they send frames of their own: their number determines the frame interval and the repeats allowed to each,
+/// until they send frames of their own: their number determines the frame interval and the retries allowed to each,
 /// and the owners of schedules don't change.
 pub(crate) fn inherit_members(state: &mut State, now: Time) {
     let others = state.members.list().iter().filter(|member| member.vm != state.me.vm);
@@ -45,14 +45,14 @@
 
 /// Removes entry VMs that have fallen silent.
 pub(super) fn expire(state: &mut State, now: Time) {
-    let longest = silence_max(state);
+    let limit = silence_max(state);
     if now >= state.hub.inherited_until {
         state.hub.inherited.clear();
     }
-    let silent = |peer: &Peer| now.since(peer.heard) > longest;
+    let silent = |peer: &Peer| now.since(peer.received_at) > limit;
     if state.hub.peers.values().any(silent) {
-        let gone = state.hub.peers.extract_if(.., |_, peer| silent(peer));
-        gone.for_each(|(vm, _)| state.rollout.forget(&vm));
+        let removed = state.hub.peers.extract_if(.., |_, peer| silent(peer));
+        removed.for_each(|(vm, _)| state.rollout.forget(&vm));
         recount(state);
     }
 }
@@ -73,8 +73,8 @@
 
 /// The entry VMs that the hub can reach: those whose frames arrive, and those inherited from the previous hub.
 pub(crate) fn reachable_members(state: &State) -> Vec<Member> {
-    let heard = state.hub.peers.values().filter_map(|peer| member(&peer.frame));
-    heard.chain(state.hub.inherited.values().cloned()).collect()
+    let reporting = state.hub.peers.values().filter_map(|peer| member(&peer.frame));
+    reporting.chain(state.hub.inherited.values().cloned()).collect()
 }
 
 fn member(frame: &Frame) -> Option<Member> {
@@ -87,7 +87,7 @@
 }
 
 /// The list of entry VMs as the hub distributes it, itself included, in the order of their names.
-pub(super) fn counted(state: &State) -> Vec<Member> {
+pub(super) fn listed_members(state: &State) -> Vec<Member> {
     let Identity { vm, zone, address } = state.me.clone();
     let mut list = Vec::with_capacity(state.hub.peers.len() + 1);
     if !state.stopping {
--- a/fleet/src/frame/reading.rs
+++ b/fleet/src/frame/reading.rs
@@ -9,7 +9,7 @@
 
 use boragecove_core::time::Time;
 
-use super::follow::read_lasts;
+use super::follow::reading_validity;
 use super::message::{Frame, Reading};
 use super::{config_version, send};
 use crate::departure::{self, Source};
@@ -24,24 +24,25 @@
     if state.follow_interval.is_none() || state.lease.held_term(now).is_some() {
         return Reading::default();
     }
-    let (config, listed) = state.hub.reported_versions;
+    let (config, revision) = state.hub.reported_versions;
     let newest = state.config.clone().filter(|newest| config > 0 && newest.version > config);
     // An update that can't be packed is logged when it is pushed.
     let update = newest.and_then(|newest| state.updates.prepare(config, &newest).ok().cloned());
-    let behind = listed.is_known() && state.newest_row > listed && !state.needs_full_table(listed);
+    let hub_is_behind =
+        revision.is_known() && state.newest_row > revision && !state.needs_full_table(revision);
     Reading {
         store_age: state.table_read_at.map(|at| now.since(at)),
         config: update,
-        rows: if behind { state.rows_after(now, listed) } else { Vec::new() },
-        rows_after: listed,
+        rows: if hub_is_behind { state.rows_after(now, revision) } else { Vec::new() },
+        rows_after: revision,
     }
 }
 
 /// As the hub: applies what an entry VM has read.
-pub(super) fn heard(state: &mut State, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
+pub(super) fn apply(state: &mut State, now: Time, frame: &Frame, out: &mut Vec<Effect>) {
     let Reading { store_age, config, rows, rows_after } = &frame.store_reading;
     if let Some(age) = store_age {
-        state.hub.read_at = state.hub.read_at.max(Some(now - *age));
+        state.hub.reader_answered_at = state.hub.reader_answered_at.max(Some(now - *age));
     }
     if let Some(update) = config {
         rollout::receive(state, now, update.clone(), "reader", out);
@@ -62,29 +63,29 @@
 /// As the hub: age of the data received from entry VMs that read the store. What they hear from it is valid until
 /// they have to ask again.
 pub(super) fn age(state: &State, now: Time) -> Option<Duration> {
-    let lasts = read_lasts(&state.settings);
-    state.hub.read_at.map(|at| now.since(at).saturating_sub(lasts))
+    let validity = reading_validity(&state.settings);
+    state.hub.reader_answered_at.map(|at| now.since(at).saturating_sub(validity))
 }
 
 /// Sends a frame at once if this process has read something that the hub may not have.
 pub(crate) fn report_reading(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let (config, listed) = state.hub.reported_versions;
-    let newer = config < config_version(state) || listed < state.engines_revision;
-    if reads_for_others(state, now) && newer {
+    let (config, revision) = state.hub.reported_versions;
+    let has_newer = config < config_version(state) || revision < state.engines_revision;
+    if is_active_reader(state, now) && has_newer {
         send(state, now, out);
     }
 }
 
 /// Whether this process pushes what it reads to its availability zone, because there is no hub or it doesn't answer.
 pub(crate) fn pushes_to_zone(state: &State, now: Time) -> bool {
-    reads_for_others(state, now) && !hub_responds(state, now)
+    is_active_reader(state, now) && !hub_responds(state, now)
 }
 
 /// Whether the hub answers this process.
 pub(crate) fn hub_responds(state: &State, now: Time) -> bool {
-    !state.hub.unanswered && state.hub.is_alive(now, &state.settings)
+    !state.hub.last_unanswered && state.hub.is_alive(now, &state.settings)
 }
 
-fn reads_for_others(state: &State, now: Time) -> bool {
+fn is_active_reader(state: &State, now: Time) -> bool {
     state.hub.is_reader && state.follow_interval.is_some() && state.lease.held_term(now).is_none()
 }
--- a/fleet/src/frame/snapshot.rs
+++ b/fleet/src/frame/snapshot.rs
@@ -17,12 +17,12 @@
 use crate::state::State;
 
 /// Number of engines from which on a snapshot is packed. Fewer fit into a few KB.
-const PACKED_FROM: usize = 64;
+const PACKED_ENGINES_MIN: usize = 64;
 /// How long a snapshot that is older than the current data is sent.
-const KEPT: Duration = Duration::from_millis(500);
+const REUSE_MAX: Duration = Duration::from_millis(500);
 /// How long a snapshot that equals the current data is sent. It also contains remaining waiting times, which go out
 /// of date.
-const KEPT_UNCHANGED: Duration = Duration::from_secs(5);
+const REUSE_UNCHANGED_MAX: Duration = Duration::from_secs(5);
 
 /// Packed data, and its version.
 #[derive(Clone, Debug)]
@@ -39,9 +39,9 @@
     RowsAtStart,
     /// Rows, to an entry VM that may lack removals.
     RowsGap,
-    /// Residencies, to an entry VM without any leader's data.
+    /// Residencies, to an entry VM without any hub's data.
     ResidenciesAtStart,
-    /// Residencies, to an entry VM with the data of another leader.
+    /// Residencies, to an entry VM with the data of another hub.
     ResidenciesNewTerm,
 }
 
@@ -72,65 +72,65 @@
 pub(crate) struct Snapshots {
     rows: Option<Snapshot<Revision>>,
     residencies: Option<Snapshot<Position>>,
-    pub(crate) told: BTreeMap<Reason, Count>,
+    pub(crate) sent: BTreeMap<Reason, Count>,
 }
 
 impl Snapshots {
-    fn count(&mut self, reason: Reason, bytes: usize) {
-        let told = self.told.entry(reason).or_default();
-        told.answers += 1;
-        told.bytes += bytes as u64;
+    fn count_sent(&mut self, reason: Reason, bytes: usize) {
+        let counts = self.sent.entry(reason).or_default();
+        counts.answers += 1;
+        counts.bytes += bytes as u64;
     }
 }
 
 impl<V: Copy + PartialEq> Snapshot<V> {
     /// The current snapshot, or a new one; `None` if there is too little data to pack.
     fn of<T: Serialize>(
-        kept: &mut Option<Self>,
+        current: &mut Option<Self>,
         now: Time,
         version: V,
         content: impl FnOnce() -> Vec<T>,
     ) -> Option<(V, Bytes)> {
-        if let Some(known) = kept {
-            let longest = if known.version == version { KEPT_UNCHANGED } else { KEPT };
-            if now.since(known.made) < longest {
-                return Some((known.version, known.bytes.clone()));
+        if let Some(last) = current {
+            let max_age = if last.version == version { REUSE_UNCHANGED_MAX } else { REUSE_MAX };
+            if now.since(last.made) < max_age {
+                return Some((last.version, last.bytes.clone()));
             }
         }
         let content = content();
-        if content.len() < PACKED_FROM {
+        if content.len() < PACKED_ENGINES_MIN {
             return None;
         }
         // Data that can't be packed is sent as it is.
         let bytes = pack::pack(&content).ok()?;
-        *kept = Some(Self { made: now, version, bytes: bytes.clone() });
+        *current = Some(Self { made: now, version, bytes: bytes.clone() });
         Some((version, bytes))
     }
 }
 
 /// All rows of the engine table and their revision, for an entry VM that has the table up to `known`.
 pub(super) fn rows(state: &mut State, now: Time, known: Revision) -> Option<(Revision, Bytes)> {
-    let mut kept =
-        state.hub.snapshots.rows.take().filter(|kept| kept.version.era == state.engines_revision.era);
-    let told =
-        Snapshot::of(&mut kept, now, state.engines_revision, || state.rows_after(now, Revision::default()));
-    state.hub.snapshots.rows = kept;
+    let mut last =
+        state.hub.snapshots.rows.take().filter(|last| last.version.era == state.engines_revision.era);
+    let snapshot =
+        Snapshot::of(&mut last, now, state.engines_revision, || state.rows_after(now, Revision::default()));
+    state.hub.snapshots.rows = last;
     let reason = if known.is_known() { Reason::RowsGap } else { Reason::RowsAtStart };
-    if let Some((_, bytes)) = &told {
-        state.hub.snapshots.count(reason, bytes.len());
+    if let Some((_, bytes)) = &snapshot {
+        state.hub.snapshots.count_sent(reason, bytes.len());
     }
-    told
+    snapshot
 }
 
 /// The residencies of all engines and their version, for an entry VM with those of another term or none.
 pub(super) fn residencies(state: &mut State, now: Time, known: Position) -> Option<(Position, Bytes)> {
-    let view = state.residency_version();
-    let mut kept = state.hub.snapshots.residencies.take().filter(|kept| kept.version.term == view.term);
-    let told = Snapshot::of(&mut kept, now, view, || state.ledger.changed_after(0));
-    state.hub.snapshots.residencies = kept;
+    let version = state.residency_version();
+    let mut last = state.hub.snapshots.residencies.take().filter(|last| last.version.term == version.term);
+    let snapshot = Snapshot::of(&mut last, now, version, || state.ledger.changed_after(0));
+    state.hub.snapshots.residencies = last;
     let reason = if known.term == 0 { Reason::ResidenciesAtStart } else { Reason::ResidenciesNewTerm };
-    if let Some((_, bytes)) = &told {
-        state.hub.snapshots.count(reason, bytes.len());
+    if let Some((_, bytes)) = &snapshot {
+        state.hub.snapshots.count_sent(reason, bytes.len());
     }
-    told
+    snapshot
 }
--- a/fleet/src/lib.rs
+++ b/fleet/src/lib.rs
@@ -7,15 +7,15 @@
 //! The modules, from the bottom up:
 //!
 //! - basic types: `bound`, `config`, `engine`, `request`, `revision` and `settings`;
-//! - data from the store and the engines: `entries` holds the store's tables, `freshness` their age, `era` what
-//!   outlasts a restore of the store from an older copy, `notice` and `intake` what engines report in their
-//!   responses;
-//! - serving of requests: `choose`, `spread`, `share`, `schedule`, `speed`, `budget`, `trust`, `path`, `pin`,
-//!   `admit`, `flow`, `outcome` and `crash`;
-//! - callers: `access` with `key` and `proof` authenticates them, `homes` and `evacuation` restrict where their
+//! - data from the store and the engines: `tables` holds the store's tables, `freshness` their age, `era` what
+//!   outlasts a restore of the store from an older copy, `notice` and `rate_limit` what engines report in
+//!   their responses;
+//! - serving of requests: `choose`, `spread`, `throttle`, `schedule`, `speed`, `budget`, `suspicion`, `path`,
+//!   `pin`, `admit`, `flow`, `outcome` and `crash`;
+//! - callers: `access` with `key` and `proof` authenticates them, `regions` and `evacuation` restrict where their
 //!   requests may run, `quota` limits the rate of a workspace;
-//! - exchange between entry VMs: `frame`, `members` with `ownership`, `push`, `rollout`, `update` and `pack`;
-//! - placement of models and adapters: `lease`, `ledger` with `book` and `order`, `demand`, `plan`, `place` with
+//! - exchange between entry VMs: `frame`, `members` with `ownership`, `push`, `rollout`, `update`, `cursor` and `pack`;
+//! - placement of models and adapters: `lease`, `ledger` with `holdings` and `order`, `demand`, `plan`, `place` with
 //!   `tally` and `adapter`.
 
 mod access;
--- a/fleet/src/members.rs
+++ b/fleet/src/members.rs
@@ -1,4 +1,5 @@
-//! The list of entry VMs as counted by the hub, and the owner of each shared task by rendezvous hashing.
+//! The list of entry VMs as counted by the hub, and the owner of each key by rendezvous hashing. A key names a shared task,
+//! such as the schedule of an engine.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,23 +16,24 @@
 use crate::request::Stream;
 use crate::state::Identity;
 
-/// How long an entry VM that a new list lacks still counts. It may receive that list later, and slots that it has
-/// granted are used later still.
-const DROPPED_KEPT: Duration = Duration::from_secs(3);
+/// How long an entry VM that a new list lacks still counts. It may receive that list later, and reservations
+/// that it has granted are used later still.
+const REMOVED_KEPT: Duration = Duration::from_secs(3);
 
-/// Number of entry VMs in each availability zone that read the store for the others when the leader doesn't. Some of
-/// them may be frozen, or rejected by the store.
+/// Number of entry VMs in each availability zone that read the store for the others when the hub doesn't. Some of
+/// them may have stalled, or be rejected by the store.
 const READERS: usize = 3;
-/// Number of entry VMs in each availability zone that keep the origin of a stream, since most may be killed at once.
-const KEEPERS: usize = 2;
-/// The entry VMs in each availability zone that keep stream origins: one in `KEEPING_PART`, but at least
-/// `KEEPING_MIN`. All others hold connections to them.
-const KEEPING_PART: usize = 4;
-const KEEPING_MIN: usize = 8;
-/// Hash key by which the keepers of stream origins are chosen.
-const KEEPING: &str = "streams";
+/// Number of entry VMs in each availability zone that store the origin of a stream. It is more than one, since most may
+/// be killed at once.
+const REPLICAS: usize = 2;
+/// One in this many entry VMs of each availability zone may be a replica of stream origins, but at least
+/// `REPLICAS_ELIGIBLE_MIN`. All others hold connections to these.
+const REPLICAS_ELIGIBLE_DIVISOR: usize = 4;
+const REPLICAS_ELIGIBLE_MIN: usize = 8;
+/// Hash key by which the replicas of stream origins are chosen.
+const REPLICAS_KEY: &str = "streams";
 /// Hash key by which the readers of the store are chosen.
-const READING: &str = "store";
+const READERS_KEY: &str = "store";
 
 /// An entry VM.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,22 +52,22 @@
 #[derive(Debug, Default)]
 pub struct Members {
     list: Vec<Member>,
-    /// Those that read the store for the others when the leader doesn't.
+    /// Those that read the store for the others when the hub doesn't.
     readers: Vec<Name>,
-    /// Those that keep stream origins, by availability zone.
-    keepers: Vec<Vec<Member>>,
+    /// Those that may be replicas of stream origins, by availability zone.
+    eligible_replicas: Vec<Vec<Member>>,
     version: u64,
-    /// Those removed from the list, and until when they may still grant slots.
-    dropped: Vec<(Member, Time)>,
+    /// Those removed from the list, and until when they may still grant reservations.
+    removed: Vec<(Member, Time)>,
     /// Those that did not answer, and until when no queries are sent to them.
     silent: Vec<(Name, Time)>,
-    /// As the leader: since when each member is listed.
+    /// As the hub: since when each member is listed.
     roster: Roster,
     /// This entry VM's own membership in the list.
     ownership: Ownership,
 }
 
-/// Whether an entry VM is the sole owner of something.
+/// Whether an entry VM is the sole owner of a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Claim {
     /// It is the owner, and no other acts as one.
@@ -92,12 +94,12 @@
     /// Replaces the list.
     pub fn replace(&mut self, now: Time, list: Vec<Member>) {
         let listed: FxHashSet<&Name> = list.iter().map(|member| &member.vm).collect();
-        self.dropped.retain(|(member, until)| *until > now && !listed.contains(&member.vm));
-        let gone = self.list.iter().filter(|member| !listed.contains(&member.vm));
-        self.dropped.extend(gone.map(|member| (member.clone(), now + DROPPED_KEPT)));
+        self.removed.retain(|(member, until)| *until > now && !listed.contains(&member.vm));
+        let missing = self.list.iter().filter(|member| !listed.contains(&member.vm));
+        self.removed.extend(missing.map(|member| (member.clone(), now + REMOVED_KEPT)));
         self.version = version(&list);
         self.readers = readers(&list);
-        self.keepers = keepers(&list);
+        self.eligible_replicas = eligible_replicas(&list);
         self.list = list;
     }
 
@@ -106,14 +108,14 @@
         self.list.iter().all(|member| member.vm == *vm)
     }
 
-    /// Whether an entry VM reads the store for the others when the leader doesn't. Each one does while the list is
+    /// Whether an entry VM reads the store for the others when the hub doesn't. Each one does while the list is
     /// empty.
     #[must_use]
     pub fn is_reader(&self, vm: &Name) -> bool {
         self.list.is_empty() || self.readers.contains(vm)
     }
 
-    /// As the leader of this term: replaces the list.
+    /// As the hub of this term: replaces the list.
     pub(crate) fn update_as_hub(&mut self, now: Time, term: u64, vm: &Name, list: Vec<Member>) {
         if list != self.list || !self.roster.is_for_term(term) {
             self.roster.update(now, term, &self.list, &list);
@@ -123,39 +125,39 @@
         self.ownership.renew(now, now, membership);
     }
 
-    /// As the leader: the membership that is sent to an entry VM.
+    /// As the hub: the membership that is sent to an entry VM.
     pub(crate) fn membership(&self, now: Time, vm: &Name, with_list: bool) -> Membership {
         self.roster.membership(now, vm, with_list)
     }
 
-    /// Renews this entry VM's membership: a leader answered a frame sent at `sent`.
+    /// Renews this entry VM's membership: a hub answered a frame sent at `sent`.
     pub(crate) fn confirm(&mut self, now: Time, sent: Time, membership: Membership) {
         self.ownership.renew(now, sent, membership);
     }
 
-    /// Whether `vm`, which must be this entry VM, is the sole owner of something in an availability zone.
+    /// Whether `vm`, which must be this entry VM, is the sole owner of a key in an availability zone.
     #[must_use]
-    pub fn claim(&self, vm: &Name, what: &Name, zone: &Name, now: Time) -> Claim {
-        if self.sole_owner(what, zone).is_none_or(|owner| owner.vm != *vm) {
+    pub fn claim(&self, vm: &Name, key: &Name, zone: &Name, now: Time) -> Claim {
+        if self.sole_owner(key, zone).is_none_or(|owner| owner.vm != *vm) {
             return Claim::None;
         }
         let all = self.list.iter().chain(self.ownership.recently_removed(now));
-        let first = first(all, what, zone).is_some_and(|owner| owner.vm == *vm);
+        let first = first_owner(all, key, zone).is_some_and(|owner| owner.vm == *vm);
         if first && self.ownership.is_settled(now) { Claim::Sole } else { Claim::Uncertain }
     }
 
-    /// Whether an entry VM is the owner of something by the current list and by all recent ones, whoever made them: a
-    /// new leader's list may lack most entry VMs for a while.
-    pub(crate) fn is_owner_by_recent_lists(&self, vm: &Name, what: &Name, zone: &Name, now: Time) -> bool {
-        let dropped = self.dropped.iter().filter(|(_, until)| *until > now).map(|(member, _)| member);
-        let all = self.list.iter().chain(dropped).chain(self.ownership.recently_removed(now));
-        first(all, what, zone).is_some_and(|owner| owner.vm == *vm)
+    /// Whether an entry VM is the owner of a key by the current list and by all recent ones, whoever made them: a
+    /// new hub's list may lack most entry VMs for a while.
+    pub(crate) fn is_owner_by_recent_lists(&self, vm: &Name, key: &Name, zone: &Name, now: Time) -> bool {
+        let removed = self.removed.iter().filter(|(_, until)| *until > now).map(|(member, _)| member);
+        let all = self.list.iter().chain(removed).chain(self.ownership.recently_removed(now));
+        first_owner(all, key, zone).is_some_and(|owner| owner.vm == *vm)
     }
 
-    /// The sole owner of something in an availability zone, whether it answers or not.
+    /// The sole owner of a key in an availability zone, whether it answers or not.
     #[must_use]
-    pub fn sole_owner(&self, what: &Name, zone: &Name) -> Option<&Member> {
-        first(self.list.iter(), what, zone)
+    pub fn sole_owner(&self, key: &Name, zone: &Name) -> Option<&Member> {
+        first_owner(self.list.iter(), key, zone)
     }
 
     /// Sends no queries to an entry VM until then.
@@ -164,33 +166,34 @@
         self.silent.push((vm.clone(), until));
     }
 
-    /// The owner of something in an availability zone among the entry VMs that answer: one of that zone, or of any
+    /// The owner of a key in an availability zone among the entry VMs that answer: one of that zone, or of any
     /// zone if none is there.
     #[must_use]
-    pub fn owner(&self, what: &Name, zone: &Name, now: Time) -> Option<&Member> {
+    pub fn owner(&self, key: &Name, zone: &Name, now: Time) -> Option<&Member> {
         let answers = |member: &Member| !self.is_silent(&member.vm, now);
-        self.first(what, zone, answers)
+        self.first_owner(key, zone, answers)
     }
 
-    /// One entry VM of each availability zone that owns a part of something, by zone name. Includes those that don't
+    /// One entry VM of each availability zone that owns a part of a key, by zone name. Includes those that don't
     /// answer.
     #[must_use]
-    pub fn owners(&self, what: &Name) -> Vec<&Member> {
-        let owners = owners(what, self.list.iter().map(|member| (&member.zone, &member.vm)));
+    pub fn owners(&self, key: &Name) -> Vec<&Member> {
+        let owners = owners(key, self.list.iter().map(|member| (&member.zone, &member.vm)));
         owners.into_iter().filter_map(|vm| self.list.iter().find(|member| member.vm == *vm)).collect()
     }
 
-    /// The entry VMs that keep the origin of a stream. Includes those that don't answer.
+    /// The entry VMs that store the origin of a stream. Includes those that don't answer.
     pub(crate) fn stream_replicas(&self, stream: Stream) -> Vec<&Member> {
-        let what = Name::from(stream.to_string());
+        let key = Name::from(stream.to_string());
         let first = |zone: &Vec<Member>| {
             let mut ranked: Vec<usize> = (0..zone.len()).collect();
-            ranked.sort_by_cached_key(|at| Reverse(weight(&what, &zone[*at].vm)));
-            ranked.truncate(KEEPERS);
+            ranked.sort_by_cached_key(|at| Reverse(weight(&key, &zone[*at].vm)));
+            ranked.truncate(REPLICAS);
             ranked
         };
-        let picked = self.keepers.iter().flat_map(|zone| first(zone).into_iter().map(|at| &zone[at]));
-        picked.collect()
+        let replicas =
+            self.eligible_replicas.iter().flat_map(|zone| first(zone).into_iter().map(|at| &zone[at]));
+        replicas.collect()
     }
 
     /// Whether no queries are sent to an entry VM now.
@@ -212,18 +215,18 @@
         silent.map(|(_, until)| until.since(now))
     }
 
-    /// An entry VM to ask how it sees something in an availability zone, among those not asked yet. It is one of that
+    /// An entry VM to ask what it sees of `key` in an availability zone, among those not asked yet. It is one of that
     /// zone, because across a partition other zones see no more than the asker. If `near` is set, the asker is in
     /// that zone too: then one of another zone is preferred, which has hardly lost the same connections, before any
     /// other.
     #[must_use]
-    pub fn pick_prober(&self, what: &Name, zone: &Name, near: bool, asked: &[Name]) -> Option<&Member> {
-        let new = |member: &Member| !asked.contains(&member.vm);
-        let there = || self.first(what, zone, |member| member.zone == *zone && new(member));
+    pub fn pick_prober(&self, key: &Name, zone: &Name, near: bool, asked: &[Name]) -> Option<&Member> {
+        let is_unasked = |member: &Member| !asked.contains(&member.vm);
+        let in_zone = || self.first_owner(key, zone, |member| member.zone == *zone && is_unasked(member));
         if !near {
-            return there();
+            return in_zone();
         }
-        self.first(what, zone, |member| member.zone != *zone && new(member)).or_else(there)
+        self.first_owner(key, zone, |member| member.zone != *zone && is_unasked(member)).or_else(in_zone)
     }
 
     /// An entry VM to ask whether it reaches an engine in an availability zone, among those not asked yet. In order
@@ -236,37 +239,41 @@
         me: &Identity,
         zone: &Name,
         asked: &[Name],
-        blind: impl Fn(&Name) -> bool,
+        is_cut_off: impl Fn(&Name) -> bool,
     ) -> Option<&Member> {
-        let what = Name::from(format!("{engine} {}", me.vm));
-        let asked_of = self.list.iter().filter(|member| asked.contains(&member.vm));
-        let zones: BTreeSet<&Name> = asked_of.map(|member| &member.zone).collect();
+        let key = Name::from(format!("{engine} {}", me.vm));
+        let queried = self.list.iter().filter(|member| asked.contains(&member.vm));
+        let zones: BTreeSet<&Name> = queried.map(|member| &member.zone).collect();
         let rank = |member: &&Member| {
             let near = if member.zone == me.zone { 2 } else { u8::from(member.zone == *zone) };
-            (!blind(&member.vm), !zones.contains(&member.zone), near, weight(&what, &member.vm))
+            (!is_cut_off(&member.vm), !zones.contains(&member.zone), near, weight(&key, &member.vm))
         };
         let others = self.list.iter().filter(|member| member.vm != me.vm && !asked.contains(&member.vm));
         others.max_by_key(rank)
     }
 
-    fn first(&self, what: &Name, zone: &Name, fits: impl Fn(&Member) -> bool) -> Option<&Member> {
-        first(self.list.iter().filter(|member| fits(member)), what, zone)
+    fn first_owner(&self, key: &Name, zone: &Name, fits: impl Fn(&Member) -> bool) -> Option<&Member> {
+        first_owner(self.list.iter().filter(|member| fits(member)), key, zone)
     }
 }
 
-/// The owner of something in an availability zone among `vms`: one of that zone, or of any zone if none is there.
-fn first<'a>(vms: impl Iterator<Item = &'a Member> + Clone, what: &Name, zone: &Name) -> Option<&'a Member> {
+/// The owner of a key in an availability zone among `vms`: one of that zone, or of any zone if none is there.
+fn first_owner<'a>(
+    vms: impl Iterator<Item = &'a Member> + Clone,
+    key: &Name,
+    zone: &Name,
+) -> Option<&'a Member> {
     let near = vms.clone().filter(|member| member.zone == *zone);
-    let first = near.max_by_key(|member| weight(what, &member.vm));
-    first.or_else(|| vms.max_by_key(|member| weight(what, &member.vm)))
+    let first = near.max_by_key(|member| weight(key, &member.vm));
+    first.or_else(|| vms.max_by_key(|member| weight(key, &member.vm)))
 }
 
-/// The owner in each availability zone of a part of something, by zone name. `vms` are pairs of zone and entry VM.
+/// The owner in each availability zone of a part of a key, by zone name. `vms` are pairs of zone and entry VM.
 #[must_use]
-pub fn owners<'a>(what: &Name, vms: impl Iterator<Item = (&'a Name, &'a Name)>) -> Vec<&'a Name> {
+pub fn owners<'a>(key: &Name, vms: impl Iterator<Item = (&'a Name, &'a Name)>) -> Vec<&'a Name> {
     let mut by_zone: BTreeMap<&Name, (u64, &Name)> = BTreeMap::new();
     for (zone, vm) in vms {
-        let weight = weight(what, vm);
+        let weight = weight(key, vm);
         let first = by_zone.entry(zone).or_insert((weight, vm));
         if weight > first.0 {
             *first = (weight, vm);
@@ -277,31 +284,31 @@
 
 /// The entry VMs of each availability zone that read the store for the others.
 fn readers(list: &[Member]) -> Vec<Name> {
-    let ranked = ranked(list, &Name::from(READING));
+    let ranked = ranked(list, &Name::from(READERS_KEY));
     ranked
         .into_iter()
         .flat_map(|zone| zone.into_iter().take(READERS).map(|member| member.vm.clone()))
         .collect()
 }
 
-/// The entry VMs of each availability zone that keep stream origins.
-fn keepers(list: &[Member]) -> Vec<Vec<Member>> {
+/// The entry VMs of each availability zone that may be replicas of stream origins.
+fn eligible_replicas(list: &[Member]) -> Vec<Vec<Member>> {
     let first = |zone: Vec<&Member>| {
-        let count = zone.len().div_ceil(KEEPING_PART).max(KEEPING_MIN);
+        let count = zone.len().div_ceil(REPLICAS_ELIGIBLE_DIVISOR).max(REPLICAS_ELIGIBLE_MIN);
         zone.into_iter().take(count).cloned().collect()
     };
-    ranked(list, &Name::from(KEEPING)).into_iter().map(first).collect()
+    ranked(list, &Name::from(REPLICAS_KEY)).into_iter().map(first).collect()
 }
 
 /// The entry VMs of each availability zone by rank of ownership, those on weak machines last.
-fn ranked<'a>(list: &'a [Member], what: &Name) -> Vec<Vec<&'a Member>> {
+fn ranked<'a>(list: &'a [Member], key: &Name) -> Vec<Vec<&'a Member>> {
     let mut by_zone: BTreeMap<&Name, Vec<&Member>> = BTreeMap::new();
     for member in list {
         by_zone.entry(&member.zone).or_default().push(member);
     }
     let mut zones: Vec<Vec<&Member>> = by_zone.into_values().collect();
     for zone in &mut zones {
-        zone.sort_by_cached_key(|member| (member.weak, Reverse(weight(what, &member.vm))));
+        zone.sort_by_cached_key(|member| (member.weak, Reverse(weight(key, &member.vm))));
     }
     zones
 }
@@ -315,6 +322,6 @@
     })
 }
 
-fn weight(what: &Name, vm: &Name) -> u64 {
-    xxh3_64_with_seed(what.as_bytes(), xxh3_64_with_seed(vm.as_bytes(), 0))
+fn weight(key: &Name, vm: &Name) -> u64 {
+    xxh3_64_with_seed(key.as_bytes(), xxh3_64_with_seed(vm.as_bytes(), 0))
 }
--- a/fleet/src/record.rs
+++ b/fleet/src/record.rs
@@ -62,7 +62,7 @@
         hub_age_ms: u64,
         /// Age of the engine table; none if it isn't known yet.
         listed_age_ms: Option<u64>,
-        /// Time until its slot in the engine's schedule.
+        /// Time until its reservation in the engine's schedule.
         wait_ms: u64,
         /// The operator's target time to an answer, or to its first event.
         target_ms: u64,
@@ -91,7 +91,7 @@
         /// Maximum waiting time.
         at_most_ms: u64,
     },
-    /// A request was allowed or denied a repeat.
+    /// A request was allowed or denied a retry.
     Repeat {
         /// The request's number.
         request: u64,
@@ -101,14 +101,14 @@
         allowed: bool,
         /// Who allowed it, or why it was denied.
         by: &'static str,
-        /// Repeats that this process has earned and not used.
+        /// Retries that this process has earned and not used.
         earned: usize,
         /// Time since the hub last replied.
         hub_age_ms: u64,
         /// Time since this process started.
         alive_ms: u64,
     },
-    /// A client resumed a stream, and the build that may continue it was determined.
+    /// A caller resumed a stream, and the build that may continue it was determined.
     Traced {
         /// The request's number.
         request: u64,
--- a/fleet/src/settings.rs
+++ b/fleet/src/settings.rs
@@ -10,11 +10,11 @@
 /// Limits, intervals and weights.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Repeats allowed in a window over all entry VMs, as a fraction of requests (bound of the platform).
+    /// Retries allowed in a window over all entry VMs, as a fraction of requests (bound of the platform).
     pub repeat_ratio: f64,
-    /// Repeats allowed in a window in addition to that fraction, over all entry VMs (bound of the platform).
+    /// Retries allowed in a window in addition to that fraction, over all entry VMs (bound of the platform).
     pub repeat_slack: f64,
-    /// The window over which repeats are counted (bound of the platform).
+    /// The window over which retries are counted (bound of the platform).
     pub repeat_window: Duration,
     /// The window over which loads from the weight store are counted (bound of the platform).
     pub load_window: Duration,
@@ -89,9 +89,9 @@
     /// Cost of each request under way at an engine, in ms of waiting, because it slows down the others of its batch.
     pub open_request_ms: f64,
     /// How much longer a prompt may have to wait at the chosen engine than at the next best one before the next best
-    /// one is asked for a slot, since the query takes several ms.
+    /// one is asked for a reservation, since the query takes several ms.
     pub schedule_slack: Duration,
-    /// How long a prompt waits at most for its slot in a schedule. Its engine may start to leave meanwhile, and must
+    /// How long a prompt waits at most for its reservation in a schedule. Its engine may start to leave meanwhile, and must
     /// get no new requests two seconds after that.
     pub schedule_wait: Duration,
     /// How long a request waits at most for a model or adapter to be loaded.
--- a/fleet/src/state.rs
+++ b/fleet/src/state.rs
@@ -43,9 +43,9 @@
 pub(crate) use rows::{Gap, Tombstone};
 
 /// Weight of a new sample in the mean run time of a service.
-const PACE_GAIN: f64 = 0.05;
+const RUN_GAIN: f64 = 0.05;
 /// Mean run time before the first sample, in ms.
-const PACE_MS: f64 = 200.0;
+const RUN_INITIAL_MS: f64 = 200.0;
 
 /// Identity of this process.
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
     pub(crate) resurrected: BTreeMap<Name, Row>,
     /// Departures of engines known from other sources than their rows, and who still has to be notified of them.
     pub(crate) departures: Departures,
-    /// Limits that engines have announced.
+    /// Rate limits that engines have announced.
     pub(crate) rate_limits: rate_limit::Table,
     /// The revision up to which the engine table is known.
     pub(crate) engines_revision: Revision,
@@ -88,7 +88,7 @@
     pub(crate) freshness: Freshness,
     /// The revision of the newest known row. It may have been pushed, and be beyond the revision of the table.
     pub(crate) newest_row: Revision,
-    /// The revision from which on `removed` is complete. Removals before the first complete reading of the table
+    /// The revision from which on `tombstones` is complete. Removals before the first complete reading of the table
     /// aren't known.
     pub(crate) tombstones_since: Revision,
     /// The revisions skipped by the last complete reading of a table that had been known before. Engines that came
@@ -138,7 +138,7 @@
     pub(crate) rollout: Rollout,
     pub(crate) crashes: Register,
     pub(crate) suspicions: suspicion::Limiter,
-    /// Stream origins stored here for other entry VMs.
+    /// Stream origins stored here.
     pub(crate) pins: Pins,
     /// The builds that have served requests.
     pub(crate) history: History,
@@ -148,7 +148,7 @@
     pub(crate) placement_searches: u64,
     /// Rows of the engine table that were skipped because newer ones were known.
     pub(crate) stale_rows_skipped: u64,
-    paces: FxHashMap<Name, f64>,
+    mean_runs_ms: FxHashMap<Name, f64>,
 }
 
 impl State {
@@ -218,7 +218,7 @@
             paths: Paths::default(),
             placement_searches: 0,
             stale_rows_skipped: 0,
-            paces: FxHashMap::default(),
+            mean_runs_ms: FxHashMap::default(),
         }
     }
 
@@ -328,7 +328,7 @@
         &self.retries
     }
 
-    /// Requests for a repeat, by who allowed it or why it was denied.
+    /// Retries that were wanted, by who allowed them or why they were denied.
     #[must_use]
     pub const fn repeats(&self) -> &BTreeMap<&'static str, u64> {
         &self.budget.decisions
@@ -340,7 +340,7 @@
         self.hub.full_snapshots()
     }
 
-    /// Streams that clients resumed, by how the build that may continue them was determined.
+    /// Streams that callers resumed, by how the build that may continue them was determined.
     #[must_use]
     pub const fn resumptions(&self) -> &BTreeMap<&'static str, u64> {
         &self.pins.decided
@@ -370,7 +370,7 @@
         self.engines.values().filter(|engine| self.rate_limits.is_brittle(engine)).count()
     }
 
-    /// Queries for slots at engines that have announced a limit, by result.
+    /// Reservation requests for engines that have announced a limit, by result.
     #[must_use]
     pub const fn limited_reservation_answers(&self) -> &BTreeMap<&'static str, u64> {
         self.rate_limits.answers()
@@ -483,13 +483,13 @@
 
     /// Mean run time of a service, in ms.
     pub(crate) fn mean_run_ms(&self, service: &Name) -> f64 {
-        self.paces.get(service).copied().unwrap_or(PACE_MS)
+        self.mean_runs_ms.get(service).copied().unwrap_or(RUN_INITIAL_MS)
     }
 
     /// Adds a run time of a service to its mean.
     pub(crate) fn record_run(&mut self, service: &Name, took: Duration) {
         let ms = took.as_secs_f64() * 1_000.0;
-        let pace = self.paces.entry(service.clone()).or_insert(ms);
-        *pace += PACE_GAIN * (ms - *pace);
+        let mean = self.mean_runs_ms.entry(service.clone()).or_insert(ms);
+        *mean += RUN_GAIN * (ms - *mean);
     }
 }
--- a/fleet/src/state/rows.rs
+++ b/fleet/src/state/rows.rs
@@ -50,12 +50,12 @@
     }
 
     pub(crate) fn rows_after(&self, now: Time, version: Revision) -> Vec<Row> {
-        let put = self.engines.values().filter(|engine| engine.changed > version);
-        let put = put.map(|engine| engine.row(now));
-        let returned = self.resurrected.values().filter(|row| row.version > version);
+        let present = self.engines.values().filter(|engine| engine.changed > version);
+        let present = present.map(|engine| engine.row(now));
+        let resurrected = self.resurrected.values().filter(|row| row.version > version);
         let removed = self.tombstones.iter().filter(|(_, removed)| removed.version > version);
         let removed = removed.map(|(id, removed)| removed.row(id));
-        put.chain(returned.cloned()).chain(removed).collect()
+        present.chain(resurrected.cloned()).chain(removed).collect()
     }
 
     /// The rows changed after this revision whose engines are leaving or gone.
--- a/fleet/src/timer.rs
+++ b/fleet/src/timer.rs
@@ -26,7 +26,7 @@
     Lease,
     /// Sends a frame to a hub that has just announced itself.
     FrameToNewHub,
-    /// Asks the store about changes of the engine table. The leader's data has been waited for since a stall that
+    /// Asks the store about changes of the engine table. The hub's data has been waited for since a stall that
     /// ended at this time.
     Refresh(Time),
     /// Ends the wait for fresh data on the engine table that began at this time: callers can't wait any longer.
@@ -35,11 +35,11 @@
     LeaseLookup,
     /// Asks the holders of shares of a workspace's limit once more, for this request.
     QuotaRetry(Id),
-    /// Lets requests that wait for a slot at this engine ask for another slot.
+    /// Lets requests that wait for a reservation at this engine ask for another one.
     RescheduleWaiting(Name),
-    /// Reports long streams to the entry VMs that keep their origin.
+    /// Announces long streams to the replicas of their origins.
     StreamReports,
-    /// An additional report of long streams between two regular ones.
+    /// Announces long streams once more between two regular times.
     StreamReportsRetry,
     /// Announces to all entry VMs that a part of prompts is sound.
     AnnounceCleared(Fingerprint),
--- a/fleet/tests/hub_frames.rs
+++ b/fleet/tests/hub_frames.rs
@@ -521,7 +521,7 @@
 }
 
 /// Guards against whole reads of the store by all entry VMs after a restart of all of them. With 3,000 engines each
-/// read 2 MB over a link of 10 Mbit/s while there was no leader, and left no room on it for the hub's replies. With
+/// read 2 MB over a link of 10 Mbit/s while there was no hub, and left no room on it for the hub's replies. With
 /// fewer engines the store is still read early.
 #[test]
 fn starts_wait_before_many_engines() {
--- a/fleet/tests/one_lost.rs
+++ b/fleet/tests/one_lost.rs
@@ -197,8 +197,8 @@
     }
 }
 
-/// Measures the calls to the store that the short waits cost. Without faults only the leader calls the store, as
-/// often as the bound requires, whatever the number of entry VMs. If the store rejects the leader, a limited number
+/// Measures the calls to the store that the short waits cost. Without faults only the hub calls the store, as
+/// often as the bound requires, whatever the number of entry VMs. If the store rejects the hub, a limited number
 /// of entry VMs calls it.
 #[test]
 fn calls_of_the_store() {
@@ -219,7 +219,7 @@
             "{vms} entry VMs: {calm:.1} calls per second, {turned_away:.1} if the store rejects the leader"
         );
         assert!(calm <= 2.0 / bound(vms).long_poll_timeout().as_secs_f64(), "{vms} entry VMs: {calm}");
-        // Nine entry VMs read each of two tables for all, and the leader retries.
+        // Nine entry VMs read each of two tables for all, and the hub retries.
         assert!(turned_away <= 9.0 * 2.0 / 0.5 + 20.0, "{vms} entry VMs: {turned_away}");
     }
 }
--- a/fleet/tests/shared_suspicions.rs
+++ b/fleet/tests/shared_suspicions.rs
@@ -12,7 +12,7 @@
 use boragecove_fleet::request::End;
 use node::{Node, WRITER, entry, hub_row, listing, millis, row, short_stream};
 
-/// An entry VM that knows this many engines, and has a leader.
+/// An entry VM that knows this many engines, and has a hub.
 fn entry_vm(engines: usize) -> Node {
     let mut node = Node::ready("a");
     let held = |at: usize| if at < 3 { ["m3"] } else { ["m1"] };
@@ -24,7 +24,7 @@
     node
 }
 
-/// The leader suspects all engines of a zone. Returns how many this entry VM probes.
+/// The hub suspects all engines of a zone. Returns how many this entry VM probes.
 fn tried(node: &mut Node, engines: usize) -> usize {
     let suspects = (0..engines).map(|at| format!("e{at}").as_str().into()).collect();
     let reply = Reply { leads: true, suspects, ..Reply::default() };
--- a/fleet/tests/stood_still.rs
+++ b/fleet/tests/stood_still.rs
@@ -48,7 +48,7 @@
     vec![row(version, Entry { leaving: true, ..entry("g1", GATEWAY, "zone-a", &[]) })]
 }
 
-/// A leader that has read the table just before it stalls.
+/// A hub that has read the table just before it stalls.
 fn leader() -> Node {
     let mut node = Node::ready("vm-1");
     node.lead();
@@ -57,7 +57,7 @@
     node
 }
 
-/// A follower whose leader has answered its frames until the stall.
+/// A follower whose hub has answered its frames until the stall.
 fn follower() -> (Node, Node) {
     let (mut hub, mut node) = (Node::ready("hub"), Node::ready("vm-1"));
     hub.lead();
@@ -98,7 +98,7 @@
     }
 }
 
-/// Guards against requests that a leader finds in its sockets after a stall and sends on the basis of outdated data.
+/// Guards against requests that a hub finds in its sockets after a stall and sends on the basis of outdated data.
 #[test]
 fn leader_asks_the_store() {
     let mut node = leader();
@@ -149,7 +149,7 @@
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
 
-/// A leader that has stalled too has no newer data, so the store is asked after a short time.
+/// A hub that has stalled too has no newer data, so the store is asked after a short time.
 #[test]
 fn leader_stood_still_too() {
     let (mut hub, mut node) = follower();
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -494,7 +494,7 @@
         &self.vms[at].state
     }
 
-    /// The owner of something in a zone, by the leader's list.
+    /// The owner of something in a zone, by the hub's list.
     pub fn owner_of(&self, what: &str, zone: &str) -> usize {
         let leader = self.leader().expect("a leader");
         let members = self.vms[leader].state.members();
@@ -585,7 +585,7 @@
         self.vms[at].side = if isolated { 100 + (at % 100) as u8 } else { 0 };
     }
 
-    /// Causes one of nine disturbances of an entry VM or of the leader.
+    /// Causes one of nine disturbances of an entry VM or of the hub.
     pub fn disturb(&mut self, kind: u8, at: usize) {
         let leader = self.leader().unwrap_or(at);
         match kind {
