--- a/fleet/benches/hub.rs
+++ b/fleet/benches/hub.rs
@@ -29,8 +29,8 @@
 const ADAPTERS_MAX: usize = 8;
 const ADAPTERS: usize = 64;
 /// Number of adapters that callers of all entry VMs together wait for, and that callers of one entry VM wait for.
-const WAITED_FOR: usize = 200;
-const WAITED_FOR_AT_EACH: usize = 4;
+const AWAITED: usize = 200;
+const AWAITED_AT_EACH: usize = 4;
 /// Number of targets for which one entry VM has requests under way, and number of engines on which it has load.
 const OPEN_AT_EACH: usize = 30;
 /// Numbers of entry VMs.
@@ -112,8 +112,8 @@
 
 /// The frame of one entry VM. All adapters that engines hold are in use, so that none can be replaced.
 fn frame(vm: usize) -> Frame {
-    let waited_for = |at: usize| {
-        let number = (vm * WAITED_FOR_AT_EACH + at) % WAITED_FOR;
+    let awaited = |at: usize| {
+        let number = (vm * AWAITED_AT_EACH + at) % AWAITED;
         let adapter = adapter(ADAPTERS - 1 - number % 2);
         let target = target(model(number % MODELS), Some(adapter));
         Demand { target, waiting: 1, arrived: 1, ..Demand::default() }
@@ -134,7 +134,7 @@
         config: 1,
         engines_revision: (ENGINES as u64).into(),
         loads: (0..OPEN_AT_EACH).map(load).collect(),
-        demand: (0..OPEN_AT_EACH).map(open).chain((0..WAITED_FOR_AT_EACH).map(waited_for)).collect(),
+        demand: (0..OPEN_AT_EACH).map(open).chain((0..AWAITED_AT_EACH).map(awaited)).collect(),
         ..Frame::default()
     }
 }
@@ -169,7 +169,7 @@
             let report = Report { held: held(number), ..Report::default() };
             hub.feed(Event::Reported { engine: engine(number), report: Some(report) });
         }
-        hub.hear_all(vms);
+        hub.receive_frames(vms);
         hub
     }
 
@@ -187,7 +187,7 @@
         }
     }
 
-    fn hear_all(&mut self, vms: usize) {
+    fn receive_frames(&mut self, vms: usize) {
         for vm in 0..vms {
             self.feed(Event::FrameReceived(Box::new(frame(vm))));
         }
@@ -217,6 +217,6 @@
 fn planned(bencher: Bencher<'_, '_>, vms: usize) {
     let hub = RefCell::new(Hub::new(vms));
     bencher
-        .with_inputs(|| hub.borrow_mut().hear_all(vms))
+        .with_inputs(|| hub.borrow_mut().receive_frames(vms))
         .bench_local_values(|()| hub.borrow_mut().pass(250));
 }
--- a/fleet/tests/bound_parts.rs
+++ b/fleet/tests/bound_parts.rs
@@ -10,12 +10,15 @@
 fn sum_of_waits() {
     for bound in [1_000, 2_000, 3_000, 4_000, 5_000, 60_000].map(Duration::from_millis) {
         let parts = Bound(bound);
-        let told = parts.poll_interval_max() + parts.long_poll_timeout() + parts.response_grace();
+        let received = parts.poll_interval_max() + parts.long_poll_timeout() + parts.response_grace();
         let pushed = parts.poll_interval_max();
-        let sum = told + pushed + parts.send_delay_max();
+        let sum = received + pushed + parts.send_delay_max();
         assert!(sum <= bound.mul_f64(0.9), "{bound:?}: {sum:?}");
-        assert!(parts.relayed_age_max() >= told, "{bound:?}: normal data would be in doubt after each stall");
+        assert!(
+            parts.relayed_age_max() >= received,
+            "{bound:?}: normal data would be in doubt after each stall"
+        );
         // One fault at a time: a stall just below the threshold, with the data received just before it.
-        assert!(parts.stall_threshold() + told + parts.send_delay_max() <= bound, "{bound:?}");
+        assert!(parts.stall_threshold() + received + parts.send_delay_max() <= bound, "{bound:?}");
     }
 }
--- a/fleet/tests/frame_bytes.rs
+++ b/fleet/tests/frame_bytes.rs
@@ -60,7 +60,7 @@
 /// All engines are overloaded at once, and each announces another limit in each response. Each change must be sent
 /// once to each entry VM, and nothing while nothing changes.
 #[test]
-fn limits_are_told_once() {
+fn limits_are_sent_once() {
     let mut hub = Node::ready("hub");
     hub.lead();
     let rows =
@@ -74,7 +74,7 @@
     let asker =
         Frame { vm: "front-hall-a-1".into(), engines_revision: 500.into(), config: 1, ..Frame::default() };
     let (without, _) = bytes_of(&mut hub, &asker);
-    let advert = |number: usize| Report {
+    let report = |number: usize| Report {
         start: Start {
             engine: id(number).as_str().into(),
             incarnation: Incarnation(Some(1_767_465_654_898)),
@@ -89,9 +89,9 @@
     });
     hub.feed(listing(rows.collect(), 800, false));
     let asker = Frame { engines_revision: 800.into(), ..asker };
-    let limits = (0..ENGINES).map(advert).collect();
-    let told = Frame { vm: "front-hall-a-2".into(), limits, ..Frame::default() };
-    hub.feed(Event::FrameReceived(Box::new(told)));
+    let limits = (0..ENGINES).map(report).collect();
+    let reported = Frame { vm: "front-hall-a-2".into(), limits, ..Frame::default() };
+    hub.feed(Event::FrameReceived(Box::new(reported)));
     let (with, known) = bytes_of(&mut hub, &asker);
     let each = (with - without) / ENGINES;
     let (after, _) = bytes_of(&mut hub, &Frame { limits_version: known, ..asker });
@@ -137,12 +137,12 @@
         };
         let mut reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
         let all = size(&reply);
-        let told = reply.loads_by_name.len() + reply.loads_by_position.len() / 3;
+        let reported = reply.loads_by_name.len() + reply.loads_by_position.len() / 3;
         (reply.loads_by_name, reply.loads_by_position) = (Vec::new(), Vec::new());
         let loads = all - size(&reply);
         reply.rows.clear();
         let rows = all - loads - size(&reply);
-        println!("{label}: {all} bytes: {loads} for loads of {told} engines, {rows} for rows");
+        println!("{label}: {all} bytes: {loads} for loads of {reported} engines, {rows} for rows");
         loads
     };
     let by_name = loads_of("asker with other engines", 5_000, 0);
--- a/fleet/tests/hub_frames.rs
+++ b/fleet/tests/hub_frames.rs
@@ -35,7 +35,7 @@
     Reply { leads: true, nodes: 3, engines_revision: 4.into(), ..Reply::default() }
 }
 
-fn follows(effects: &[Effect]) -> Option<bool> {
+fn starts_following(effects: &[Effect]) -> Option<bool> {
     effects.iter().rev().find_map(|effect| match effect {
         Effect::Follow(how) => Some(how.is_some()),
         _ => None,
@@ -43,19 +43,19 @@
 }
 
 #[test]
-fn others_without_the_asker() {
+fn loads_without_the_askers_own() {
     let mut hub = Node::ready("hub");
     hub.lead();
     hub.feed(Event::FrameReceived(Box::new(frame("b", 3))));
     hub.feed(Event::FrameReceived(Box::new(frame("c", 5))));
     hub.feed(Event::FrameReceived(Box::new(frame("b", 2))));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("b", 2));
+    let answer = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("b", 2));
     assert_eq!(
-        told.loads_by_name,
+        answer.loads_by_name,
         [EngineLoad { engine: "w1".into(), load: Load { open: 5, reading_us: 0 } }]
     );
-    assert_eq!(told.nodes, 3);
-    assert!(told.leads);
+    assert_eq!(answer.nodes, 3);
+    assert!(answer.leads);
 }
 
 /// If the asker knows the same engines, the reply lists loads by position, and they have the same effect as loads by
@@ -81,35 +81,35 @@
         _ => None,
     });
     let sent = sent.expect("a frame");
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &sent);
-    assert!(told.loads_by_name.is_empty() && told.loads_by_position.len() == 6, "{told:?}");
+    let answer = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &sent);
+    assert!(answer.loads_by_name.is_empty() && answer.loads_by_position.len() == 6, "{answer:?}");
     let by_name = boragecove_fleet::reply_to_frame(
         &mut hub.state,
         hub.now,
         &Frame { engines_digest: 0, ..*sent.clone() },
     );
     assert!(by_name.loads_by_name.len() == 2 && by_name.loads_by_position.is_empty(), "{by_name:?}");
-    asker.feed(Event::Replied(Some(Box::new(told.clone()))));
-    let taken = others(&asker);
-    assert_eq!(taken.iter().sum::<u32>(), 12);
+    asker.feed(Event::Replied(Some(Box::new(answer.clone()))));
+    let applied = others(&asker);
+    assert_eq!(applied.iter().sum::<u32>(), 12);
     let reading = asker.state.engines().map(|engine| engine.others_load.reading_us).max();
     assert_eq!(reading, Some(2_000), "in ms, rounded up");
     asker.feed(Event::Replied(Some(Box::new(by_name))));
-    assert_eq!(others(&asker), taken);
+    assert_eq!(others(&asker), applied);
     asker.feed(listing(vec![row(9, entry("a1", WRITER, "zone-c", &["m3"]))], 9, false));
-    asker.feed(Event::Replied(Some(Box::new(told))));
+    asker.feed(Event::Replied(Some(Box::new(answer))));
     assert_eq!(others(&asker).iter().sum::<u32>(), 12, "positions must not be applied to other engines");
-    assert_eq!(others(&asker)[1..], taken[..]);
+    assert_eq!(others(&asker)[1..], applied[..]);
 }
 
 #[test]
-fn silent_ones_are_forgotten() {
+fn silent_entry_vms_are_removed() {
     let mut hub = Node::ready("hub");
     hub.lead();
     hub.feed(Event::FrameReceived(Box::new(frame("b", 7))));
     hub.advance(Duration::from_secs(3));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("c", 0));
-    assert_eq!(told.loads_by_name, []);
+    let answer = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("c", 0));
+    assert_eq!(answer.loads_by_name, []);
 }
 
 #[test]
@@ -118,42 +118,42 @@
     hub.lead();
     hub.feed(Event::Configured(Arc::new(config(8))));
     hub.feed(listing(vec![row(12, entry("w9", WRITER, "zone-c", &["m3"]))], 12, false));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("b", 0));
-    assert_eq!(told.config.as_ref().map(|config| config.version), Some(8));
-    assert_eq!(told.rows.len(), 1);
+    let answer = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("b", 0));
+    assert_eq!(answer.config.as_ref().map(|config| config.version), Some(8));
+    assert_eq!(answer.rows.len(), 1);
     let mut asker = follower();
     asker.advance(millis(200));
-    asker.feed(Event::Replied(Some(Box::new(told))));
+    asker.feed(Event::Replied(Some(Box::new(answer))));
     assert_eq!(asker.state.config().map(|config| config.version), Some(8));
     assert!(asker.state.engines().any(|engine| *engine.entry.id == *"w9"));
 }
 
 #[test]
-fn same_word_survives_encoding() {
+fn reply_survives_encoding() {
     let mut hub = Node::ready("hub");
     hub.lead();
     hub.feed(Event::Configured(Arc::new(config(8))));
-    let told = boragecove_fleet::reply_to_frame(
+    let answer = boragecove_fleet::reply_to_frame(
         &mut hub.state,
         hub.now,
         &Frame { vm: "b".into(), ..Frame::default() },
     );
-    let bytes = rmp_serde::to_vec(&told).expect("encodes");
+    let bytes = rmp_serde::to_vec(&answer).expect("encodes");
     let read: Reply = rmp_serde::from_slice(&bytes).expect("decodes");
-    assert_eq!(read, told);
+    assert_eq!(read, answer);
 }
 
 #[test]
-fn store_is_left_to_the_hub() {
+fn follower_leaves_the_store_to_the_hub() {
     let mut node = follower();
-    assert_eq!(follows(&node.advance(Duration::from_secs(1))), Some(true), "no reply of the hub");
+    assert_eq!(starts_following(&node.advance(Duration::from_secs(1))), Some(true), "no reply of the hub");
     node.feed(Event::Replied(Some(Box::new(reply()))));
-    assert_eq!(follows(&node.effects), Some(false));
+    assert_eq!(starts_following(&node.effects), Some(false));
 }
 
 /// A starting process gets the configuration and the engines from the hub, without a call to the store for either.
 #[test]
-fn starts_by_the_hub() {
+fn starts_from_the_hub() {
     let mut hub = Node::ready("hub");
     hub.lead();
     let mut node = Node::bare("a");
@@ -163,27 +163,27 @@
         Effect::Frame { frame, .. } => Some(frame),
         _ => None,
     });
-    let told = boragecove_fleet::reply_to_frame(
+    let answer = boragecove_fleet::reply_to_frame(
         &mut hub.state,
         hub.now,
         &asked.expect("should send a frame at once"),
     );
-    node.feed(Event::Replied(Some(Box::new(told))));
+    node.feed(Event::Replied(Some(Box::new(answer))));
     assert!(node.effects.iter().any(|effect| matches!(effect, Effect::Ready(true))));
-    assert_eq!(follows(&node.effects), None, "should not follow the store");
+    assert_eq!(starts_following(&node.effects), None, "should not follow the store");
     assert_eq!(node.state.engines().count(), 4);
 }
 
 /// After all entry VMs were killed at once, the hub named in the lease has no data either. The next holder of the
 /// lease has to be looked up and asked within about 30 ms, not only when the next frame is due.
 #[test]
-fn starts_by_the_next_hub() {
+fn starts_from_the_next_hub() {
     let mut node = Node::bare("a");
     node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     node.feed(Event::Replied(Some(Box::new(Reply { nodes: 1, ..Reply::default() }))));
-    let looks = node.advance(millis(40));
-    assert!(looks.iter().any(|effect| matches!(effect, Effect::Lease(Call::Read))), "{looks:?}");
+    let lookups = node.advance(millis(40));
+    assert!(lookups.iter().any(|effect| matches!(effect, Effect::Lease(Call::Read))), "{lookups:?}");
     let mut next = hub_row();
     next.row.address = address(7_009);
     let asked = node.lease(40, Outcome::Read(Some(next))).to_vec();
@@ -194,8 +194,8 @@
 #[test]
 fn starts_without_a_hub() {
     let mut node = Node::bare("a");
-    assert_eq!(follows(&node.advance(millis(300))), None, "the hub may still answer");
-    assert_eq!(follows(&node.advance(millis(600))), Some(true));
+    assert_eq!(starts_following(&node.advance(millis(300))), None, "the hub may still answer");
+    assert_eq!(starts_following(&node.advance(millis(600))), Some(true));
 }
 
 /// Guards against a late change after the loss of a hub in a fleet of hundreds of entry VMs, whose frames are seconds
@@ -203,20 +203,20 @@
 /// some of that time left to read it. Without this, with 293 entry VMs, the last one had the change only 4.9 s after
 /// it was confirmed.
 #[test]
-fn lost_hub_at_size() {
+fn lost_hub_in_a_large_fleet() {
     let mut node = follower();
     node.advance(millis(200));
     node.feed(Event::Replied(Some(Box::new(Reply { nodes: 300, ..reply() }))));
     let begin = node.now;
     while node.now.since(begin) < millis(2_500) {
         let effects = node.advance(millis(10));
-        if follows(&effects) == Some(true) {
+        if starts_following(&effects) == Some(true) {
             return;
         }
         if effects.iter().any(|effect| matches!(effect, Effect::Frame { .. })) {
             node.advance(millis(400));
             node.feed(Event::Replied(None));
-            if follows(&node.effects) == Some(true) {
+            if starts_following(&node.effects) == Some(true) {
                 return;
             }
         }
@@ -226,22 +226,22 @@
 
 /// The rate of lease lookups by entry VMs that have lost their hub must not grow with the number of entry VMs.
 #[test]
-fn fewer_looks_of_many() {
-    let looks = |nodes: u32| {
+fn lease_lookups_do_not_grow() {
+    let lookups = |nodes: u32| {
         let mut node = follower();
         node.advance(millis(200));
         node.feed(Event::Replied(Some(Box::new(Reply { nodes, ..reply() }))));
-        let mut looks = 0;
+        let mut lookups = 0;
         for _ in 0..200 {
             let effects = node.advance(millis(50));
             if effects.iter().any(|effect| matches!(effect, Effect::Lease(_))) {
-                looks += 1;
+                lookups += 1;
                 node.lease(0, Outcome::Unknown);
             }
         }
-        looks
+        lookups
     };
-    let (few, many) = (looks(9), looks(90));
+    let (few, many) = (lookups(9), lookups(90));
     assert!(few >= 20, "{few} lookups in 10 s: the next hub should be found soon");
     assert!((5..=10).contains(&many), "{many} lookups in 10 s with 90 entry VMs");
 }
@@ -280,7 +280,11 @@
     node.advance(millis(200));
     let stale = Reply { store_age: millis(1_100), ..reply() };
     node.feed(Event::Replied(Some(Box::new(stale))));
-    assert_eq!(follows(&node.effects), Some(true), "the store has not answered the hub for too long");
+    assert_eq!(
+        starts_following(&node.effects),
+        Some(true),
+        "the store has not answered the hub for too long"
+    );
 }
 
 #[test]
@@ -289,7 +293,7 @@
     node.advance(millis(200));
     node.feed(Event::Replied(Some(Box::new(reply()))));
     let effects = node.advance(Duration::from_secs(1));
-    assert_eq!(follows(&effects), Some(true));
+    assert_eq!(starts_following(&effects), Some(true));
 }
 
 #[test]
@@ -299,12 +303,12 @@
     node.feed(Event::Replied(Some(Box::new(reply()))));
     node.advance(millis(200));
     node.feed(Event::Replied(None));
-    assert_eq!(follows(&node.effects), None, "the hub replied a short time ago");
+    assert_eq!(starts_following(&node.effects), None, "the hub replied a short time ago");
 }
 
 /// The rate of frames to the hub must not grow with the number of entry VMs.
 #[test]
-fn fewer_frames_of_many() {
+fn frames_do_not_grow() {
     let frames = |nodes: u32| {
         let mut node = follower();
         node.advance(millis(200));
@@ -325,12 +329,12 @@
 }
 
 #[test]
-fn suspicion_is_looked_into() {
+fn suspected_engine_is_probed() {
     let mut hub = Node::ready("hub");
     hub.lead();
-    let suspicious = Frame { suspects: vec!["w2".into()], ..frame("b", 0) };
+    let suspecting = Frame { suspects: vec!["w2".into()], ..frame("b", 0) };
     let probed = |hub: &mut Node| {
-        let effects = hub.feed(Event::FrameReceived(Box::new(suspicious.clone())));
+        let effects = hub.feed(Event::FrameReceived(Box::new(suspecting.clone())));
         effects.iter().any(|effect| matches!(effect, Effect::Probe { engine, .. } if **engine == *"w2"))
     };
     assert!(!probed(&mut hub), "it has sent no request to this engine");
@@ -341,41 +345,41 @@
     let (_, attempt) = hub.sent(short_stream("m2"));
     assert_eq!(*attempt.engine, *"w2", "should get work until the probe fails");
     hub.feed(Event::Probed { engine: "w2".into(), reach: Port::Silent });
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("c", 0));
-    assert_eq!(told.suspects, [boragecove_core::name::Name::from("w2")]);
+    let answer = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("c", 0));
+    assert_eq!(answer.suspects, [boragecove_core::name::Name::from("w2")]);
 }
 
 /// When the hub is lost, all entry VMs turn to the store at once. Each must ask only for changes since the hub's last
 /// reply: the whole document would take a small link most of a second.
 #[test]
-fn goes_on_from_the_hubs_word() {
+fn follows_from_the_hubs_revisions() {
     let mut hub = Node::ready("hub");
     hub.lead();
     let asked = hub.now;
     hub.feed(Event::OperatorTableRead { version: 40.into(), config: 1, asked });
     let mut node = follower();
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("a", 0));
-    node.feed(Event::Replied(Some(Box::new(told))));
+    let answer = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("a", 0));
+    node.feed(Event::Replied(Some(Box::new(answer))));
     let effects = node.advance(Duration::from_secs(2));
-    let followed = effects.iter().find_map(|effect| match effect {
+    let revisions = effects.iter().find_map(|effect| match effect {
         Effect::Follow(Some(how)) => Some((how.engines_version, how.operator_version)),
         _ => None,
     });
-    assert_eq!(followed, Some((4.into(), 40.into())));
+    assert_eq!(revisions, Some((4.into(), 40.into())));
 }
 
 /// A hub with a newer configuration doesn't confirm that the older one is the newest.
 #[test]
-fn older_one_is_not_declared() {
+fn older_configuration_is_not_confirmed() {
     let mut hub = Node::ready("hub");
     hub.lead();
     hub.feed(Event::Configured(Arc::new(config(8))));
     let asked = hub.now;
     hub.feed(Event::OperatorTableRead { version: 40.into(), config: 1, asked });
     let mut node = follower();
-    let mut told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("a", 0));
-    told.config = None;
-    node.feed(Event::Replied(Some(Box::new(told))));
+    let mut answer = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame("a", 0));
+    answer.config = None;
+    node.feed(Event::Replied(Some(Box::new(answer))));
     let effects = node.advance(Duration::from_secs(2));
     let declared = effects.iter().find_map(|effect| match effect {
         Effect::Follow(Some(how)) => Some(how.operator_version),
@@ -388,61 +392,61 @@
 /// engine, and the other entry VMs still have to learn from it that the engine is gone. Without this, engines got
 /// requests 3.5 s after their removal, when the hub was killed as they left and was back within half a second.
 #[test]
-fn gone_before_the_hub_started() {
+fn removed_before_the_hub_started() {
     let mut node = follower();
     let mut hub = Node::bare("hub");
     hub.feed(Event::Configured(Arc::new(config(1))));
     hub.feed(listing(vec![row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"]))], 12, true));
     hub.lead();
-    let told = boragecove_fleet::reply_to_frame(
+    let answer = boragecove_fleet::reply_to_frame(
         &mut hub.state,
         hub.now,
         &Frame { engines_revision: 4.into(), ..frame("a", 0) },
     );
-    node.feed(Event::Replied(Some(Box::new(told))));
-    let left: Vec<String> = node.state.engines().map(|engine| engine.entry.id.to_string()).collect();
-    assert_eq!(left, ["w1"]);
+    node.feed(Event::Replied(Some(Box::new(answer))));
+    let remaining: Vec<String> = node.state.engines().map(|engine| engine.entry.id.to_string()).collect();
+    assert_eq!(remaining, ["w1"]);
 }
 
 /// The hub has read the whole table again, since the store had dropped its history. It never knew the engines that
 /// came and went in between, and entry VMs that know them still have to drop them.
 #[test]
-fn gone_while_the_hub_read_anew() {
+fn removed_while_the_hub_reread() {
     let mut hub = Node::ready("hub");
     hub.lead();
     let rows = vec![row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"]))];
     hub.feed(listing(rows, 20, true));
     let mut node = follower();
     node.feed(listing(vec![row(9, entry("w9", WRITER, "zone-a", &["m0"]))], 9, false));
-    let told = boragecove_fleet::reply_to_frame(
+    let answer = boragecove_fleet::reply_to_frame(
         &mut hub.state,
         hub.now,
         &Frame { engines_revision: 9.into(), ..frame("a", 0) },
     );
-    node.feed(Event::Replied(Some(Box::new(told))));
-    let left: Vec<String> = node.state.engines().map(|engine| engine.entry.id.to_string()).collect();
-    assert_eq!(left, ["w1"]);
+    node.feed(Event::Replied(Some(Box::new(answer))));
+    let remaining: Vec<String> = node.state.engines().map(|engine| engine.entry.id.to_string()).collect();
+    assert_eq!(remaining, ["w1"]);
 }
 
 /// If the hub has followed the table all along, its replies contain the changed rows only.
 #[test]
-fn changes_alone() {
+fn changed_rows_only() {
     let mut hub = Node::ready("hub");
     hub.lead();
     hub.feed(listing(vec![row(6, entry("w1", WRITER, "zone-a", &["m2"]))], 6, false));
-    let told = boragecove_fleet::reply_to_frame(
+    let answer = boragecove_fleet::reply_to_frame(
         &mut hub.state,
         hub.now,
         &Frame { engines_revision: 5.into(), ..frame("a", 0) },
     );
-    assert_eq!(told.rows.len(), 1);
+    assert_eq!(answer.rows.len(), 1);
 }
 
 /// Guards against a flood of calls in a fleet that starts before its first configuration is written. A hub without
 /// data is asked again at growing intervals, and the store isn't asked for the hub. Without this, 62 entry VMs made a
 /// thousand calls to the store in a second.
 #[test]
-fn nothing_to_know_yet() {
+fn no_configuration_yet() {
     let mut node = Node::bare("a");
     node.advance(millis(10));
     let mut calls = 1;
@@ -471,7 +475,7 @@
 /// After a restart of all entry VMs, a starting process gets all engines in a packed snapshot that may be slightly
 /// old, and later changes with its next frame.
 #[test]
-fn starts_by_packed_rows() {
+fn starts_from_packed_rows() {
     let many = |count: usize| {
         (0..count).map(|at| row(10 + at as u64, entry(&format!("m{at}"), WRITER, "zone-a", &["m0"])))
     };
@@ -487,13 +491,13 @@
             Effect::Frame { frame, .. } => Some(frame),
             _ => None,
         });
-        let told = boragecove_fleet::reply_to_frame(
+        let answer = boragecove_fleet::reply_to_frame(
             &mut hub.state,
             hub.now,
             &asked.expect("should send a frame at once"),
         );
-        assert!(told.rows.len() == since && told.whole && !told.rows_packed.is_empty());
-        node.feed(Event::Replied(Some(Box::new(told))));
+        assert!(answer.rows.len() == since && answer.whole && !answer.rows_packed.is_empty());
+        node.feed(Event::Replied(Some(Box::new(answer))));
         node
     };
     let first = start("a", 0, &mut hub);
@@ -510,21 +514,21 @@
         "removals since the snapshot should come at once: the next frame may be seconds away"
     );
     assert_eq!(second.state.engines().count(), 303, "the snapshot should be reused");
-    let told = exchange(&mut hub, &mut second);
-    assert_eq!(told.rows.len(), 2);
+    let answer = exchange(&mut hub, &mut second);
+    assert_eq!(answer.rows.len(), 2);
     assert!(knows(&second, "late") && !knows(&second, "m7"));
     hub.advance(Duration::from_secs(1));
     let third = start("c", 0, &mut hub);
     assert!(third.state.engines().any(|engine| *engine.entry.id == *"late"), "the snapshot should be new");
-    let told = hub.state.full_snapshots()[&Reason::RowsAtStart];
-    assert!(told.answers == 3 && told.bytes > 0, "{told:?}");
+    let sent = hub.state.full_snapshots()[&Reason::RowsAtStart];
+    assert!(sent.answers == 3 && sent.bytes > 0, "{sent:?}");
 }
 
 /// Guards against whole reads of the store by all entry VMs after a restart of all of them. With 3,000 engines each
 /// read 2 MB over a link of 10 Mbit/s while there was no hub, and left no room on it for the hub's replies. With
 /// fewer engines the store is still read early.
 #[test]
-fn starts_wait_before_many_engines() {
+fn start_waits_longer_with_many_engines() {
     let reads_after = |engines: u32| {
         let mut node = Node::bare("a");
         node.advance(millis(10));
@@ -532,7 +536,7 @@
         hub.row.engines = engines;
         node.lease(0, Outcome::Read(Some(hub)));
         let begin = node.now;
-        while follows(&node.advance(millis(50))).is_none() {
+        while starts_following(&node.advance(millis(50))).is_none() {
             assert!(node.now.since(begin) < Duration::from_secs(9), "should read the store");
         }
         node.now.since(begin)
@@ -544,17 +548,18 @@
 
 /// Packed rows that can't be decoded are logged and change nothing.
 #[test]
-fn unreadable_rows() {
+fn undecodable_rows() {
     let mut node = follower();
     node.advance(millis(200));
-    let word = Reply {
+    let garbled = Reply {
         engines_revision: 9.into(),
         whole: true,
         rows_packed: b"garbled".as_slice().into(),
         ..reply()
     };
-    let told = node.feed(Event::Replied(Some(Box::new(word)))).to_vec();
-    let said = |effect: &Effect| matches!(effect, Effect::Record(Record::Unusable { what: "engines", .. }));
-    assert!(told.iter().any(said));
+    let effects = node.feed(Event::Replied(Some(Box::new(garbled)))).to_vec();
+    let is_unusable =
+        |effect: &Effect| matches!(effect, Effect::Record(Record::Unusable { what: "engines", .. }));
+    assert!(effects.iter().any(is_unusable));
     assert_eq!(node.state.engines().count(), 4);
 }
--- a/fleet/tests/node/mod.rs
+++ b/fleet/tests/node/mod.rs
@@ -36,7 +36,7 @@
     pub state: State,
     pub now: Time,
     pub effects: Vec<Effect>,
-    drawn: u64,
+    requests: u64,
 }
 
 pub fn millis(ms: u64) -> Duration {
@@ -215,7 +215,7 @@
 
     pub fn with_settings(vm: &str, settings: Settings) -> Self {
         let now = Time::from_millis(START_MS);
-        Self { state: State::new(identity(vm), settings, 7, now), now, effects: Vec::new(), drawn: 0 }
+        Self { state: State::new(identity(vm), settings, 7, now), now, effects: Vec::new(), requests: 0 }
     }
 
     /// A process with a configuration, two model engines and two plain ones.
@@ -251,8 +251,8 @@
 
     /// A request arrives. Returns its number and keeps the effects.
     pub fn arrive(&mut self, arrival: Arrival) -> Id {
-        self.drawn += 1;
-        let request = Id(self.drawn);
+        self.requests += 1;
+        let request = Id(self.requests);
         self.feed(Event::Arrive { request, arrival: Box::new(arrival) });
         request
     }
--- a/fleet/tests/one_lost.rs
+++ b/fleet/tests/one_lost.rs
@@ -63,7 +63,7 @@
 enum Fault {
     Loss(Loss),
     /// An entry VM is stalled from `before` the departure until `after` it.
-    Standstill {
+    Stall {
         vm: usize,
         before: Duration,
         after: Duration,
@@ -71,34 +71,36 @@
 }
 
 /// Lets an engine leave with one fault. Returns the violations of the bound.
-fn leave(world: &mut World, number: usize, fault: Fault, offset: Duration) -> Vec<String> {
+fn depart(world: &mut World, number: usize, fault: Fault, offset: Duration) -> Vec<String> {
     let bound = bound(world.len());
     let engine = id(number);
     if let Fault::Loss(loss) = fault {
         world.loss = Some(loss);
     }
     pass(world, offset);
-    if let Fault::Standstill { vm, before, .. } = fault {
+    if let Fault::Stall { vm, before, .. } = fault {
         world.suspend(vm, true);
         pass(world, before);
     }
     world.register(Entry { leaving: true, ..gateway(number) });
-    let taken = world.now;
-    let mut still = None;
-    if let Fault::Standstill { vm, after, .. } = fault {
+    let departed_at = world.now;
+    let mut stalled = None;
+    if let Fault::Stall { vm, after, .. } = fault {
         pass(world, after);
         world.suspend(vm, false);
-        still = Some(vm);
+        stalled = Some(vm);
     }
-    pass(world, (taken + bound.0).since(world.now));
+    pass(world, (departed_at + bound.0).since(world.now));
     // For an entry VM that stalled only the requests that it sends count.
-    let wrong = |vm: &usize| Some(*vm) != still && world.would_send_to(*vm, &engine);
-    let wrong = (0..world.len()).filter(wrong).map(|vm| format!("vm {vm} would still send to {engine}"));
-    let mut faults: Vec<String> = wrong.collect();
+    let violates = |vm: &usize| Some(*vm) != stalled && world.would_send_to(*vm, &engine);
+    let violations =
+        (0..world.len()).filter(violates).map(|vm| format!("vm {vm} would still send to {engine}"));
+    let mut faults: Vec<String> = violations.collect();
     pass(world, Duration::from_secs(2));
-    let late = world.senders(&engine, taken + bound.0, world.now);
-    faults
-        .extend(late.iter().map(|(vm, at)| format!("vm {vm} sent to {engine} after {:?}", at.since(taken))));
+    let late = world.senders(&engine, departed_at + bound.0, world.now);
+    faults.extend(
+        late.iter().map(|(vm, at)| format!("vm {vm} sent to {engine} after {:?}", at.since(departed_at))),
+    );
     world.loss = None;
     // The next departure starts without any fault.
     world.register(gateway(number));
@@ -114,47 +116,48 @@
     }
     let before = Duration::from_millis(u.int_in_range(0..=400)?);
     let after = Duration::from_millis(u.int_in_range(0..=4_000)?);
-    Ok(Fault::Standstill { vm, before, after })
+    Ok(Fault::Stall { vm, before, after })
 }
 
 /// Faults injected into the code.
 #[derive(Clone, Copy, Debug, Default)]
-struct Broken {
+struct Injected {
     /// Additional time for which an overdue response is waited for.
-    patient: Duration,
+    long_poll_patience: Duration,
     /// Old data is used after a stall.
-    credulous: bool,
+    trusts_stale_state: bool,
 }
 
 /// Runs some departures with one fault each. Returns the violations.
-fn play(u: &mut Unstructured<'_>, sizes: &[usize], broken: Broken) -> arbitrary::Result<Vec<String>> {
+fn run(u: &mut Unstructured<'_>, sizes: &[usize], injected: Injected) -> arbitrary::Result<Vec<String>> {
     let vms = *u.choose(sizes)?;
     let mut world = world(vms, u.arbitrary()?);
-    world.long_poll_patience = broken.patient;
-    world.trusts_stale_state = broken.credulous;
+    world.long_poll_patience = injected.long_poll_patience;
+    world.trusts_stale_state = injected.trusts_stale_state;
     let mut faults = Vec::new();
     for _ in 0..u.int_in_range(1..=4)? {
         let (number, fault) = (u.int_in_range(0..=ENGINES - 1)?, fault(u, &world)?);
         let offset = Duration::from_millis(u.int_in_range(0..=600)?);
         let leader = world.leader();
-        let late = leave(&mut world, number, fault, offset);
-        let told = late.iter().take(3);
-        faults.extend(told.map(|late| format!("{late}; leader {leader:?}, {fault:?}, offset {offset:?}")));
+        let late = depart(&mut world, number, fault, offset);
+        let reported = late.iter().take(3);
+        faults
+            .extend(reported.map(|late| format!("{late}; leader {leader:?}, {fault:?}, offset {offset:?}")));
     }
     Ok(faults)
 }
 
-fn day(seed: u64, sizes: &[usize], broken: Broken) -> Vec<String> {
+fn run_seed(seed: u64, sizes: &[usize], injected: Injected) -> Vec<String> {
     let mut bytes = vec![0; 1_024];
     fastrand::Rng::with_seed(seed).fill(&mut bytes);
-    play(&mut Unstructured::new(&bytes), sizes, broken).expect("enough bytes")
+    run(&mut Unstructured::new(&bytes), sizes, injected).expect("enough bytes")
 }
 
 /// Guards against a wait on the path of a departure that exceeds the operators' bound when its message is lost.
 #[test]
-fn any_message() {
+fn any_single_fault() {
     arbtest(|u| {
-        let faults = play(u, &[6, 6, 9, 20], Broken::default())?;
+        let faults = run(u, &[6, 6, 9, 20], Injected::default())?;
         assert!(faults.is_empty(), "{faults:#?}");
         Ok(())
     })
@@ -163,10 +166,10 @@
 
 /// The same with hundreds of entry VMs, and with a thousand.
 #[test]
-fn of_hundreds() {
-    let days = [(0, 65), (1, 65), (2, 65), (3, 300), (4, 300), (5, 984)];
-    for (seed, vms) in days {
-        let faults = day(seed, &[vms], Broken::default());
+fn any_single_fault_in_large_fleets() {
+    let runs = [(0, 65), (1, 65), (2, 65), (3, 300), (4, 300), (5, 984)];
+    for (seed, vms) in runs {
+        let faults = run_seed(seed, &[vms], Injected::default());
         assert!(faults.is_empty(), "seed {seed}: {faults:#?}");
     }
 }
@@ -179,7 +182,7 @@
         let mut world = world(vms, 7);
         for number in 0..6 {
             let fault = Fault::Loss(Loss { channel: Channel::Push, vm: world.last_frame_from });
-            let late = leave(&mut world, number, fault, Duration::ZERO);
+            let late = depart(&mut world, number, fault, Duration::ZERO);
             assert!(late.is_empty(), "{vms} entry VMs, {fault:?}: {late:#?}");
         }
         assert_eq!(world.lost, 6, "{vms} entry VMs");
@@ -189,11 +192,11 @@
 /// Checks that the test detects two injected faults: an overdue response that is waited for as long as formerly, and
 /// old data that is used after a stall.
 #[test]
-fn check_bites() {
-    let patient = Broken { patient: millis(2_200), ..Broken::default() };
-    let credulous = Broken { credulous: true, ..Broken::default() };
-    for broken in [patient, credulous] {
-        assert!((0..60).any(|seed| !day(seed, &[6, 9], broken).is_empty()), "{broken:?}");
+fn injected_faults_are_detected() {
+    let long_poll_patience = Injected { long_poll_patience: millis(2_200), ..Injected::default() };
+    let trusts_stale_state = Injected { trusts_stale_state: true, ..Injected::default() };
+    for injected in [long_poll_patience, trusts_stale_state] {
+        assert!((0..60).any(|seed| !run_seed(seed, &[6, 9], injected).is_empty()), "{injected:?}");
     }
 }
 
@@ -201,7 +204,7 @@
 /// often as the bound requires, whatever the number of entry VMs. If the store rejects the hub, a limited number
 /// of entry VMs calls it.
 #[test]
-fn calls_of_the_store() {
+fn store_call_rate() {
     for vms in [6, 300, 984] {
         let mut world = world(vms, 5);
         let seconds = 10;
@@ -214,12 +217,12 @@
         let leader = world.leader().expect("a leader");
         world.set_store_access(leader, false);
         world.advance(Duration::from_secs(3));
-        let turned_away = count(&mut world);
+        let rejected = count(&mut world);
         println!(
-            "{vms} entry VMs: {calm:.1} calls per second, {turned_away:.1} if the store rejects the leader"
+            "{vms} entry VMs: {calm:.1} calls per second, {rejected:.1} if the store rejects the leader"
         );
         assert!(calm <= 2.0 / bound(vms).long_poll_timeout().as_secs_f64(), "{vms} entry VMs: {calm}");
         // Nine entry VMs read each of two tables for all, and the hub retries.
-        assert!(turned_away <= 9.0 * 2.0 / 0.5 + 20.0, "{vms} entry VMs: {turned_away}");
+        assert!(rejected <= 9.0 * 2.0 / 0.5 + 20.0, "{vms} entry VMs: {rejected}");
     }
 }
--- a/fleet/tests/shared_suspicions.rs
+++ b/fleet/tests/shared_suspicions.rs
@@ -25,7 +25,7 @@
 }
 
 /// The hub suspects all engines of a zone. Returns how many this entry VM probes.
-fn tried(node: &mut Node, engines: usize) -> usize {
+fn probes(node: &mut Node, engines: usize) -> usize {
     let suspects = (0..engines).map(|at| format!("e{at}").as_str().into()).collect();
     let reply = Reply { leads: true, suspects, ..Reply::default() };
     let effects = node.feed(Event::Replied(Some(Box::new(reply)))).to_vec();
@@ -33,7 +33,7 @@
 }
 
 /// Sends this many requests for the model that three of the engines hold.
-fn use_some(node: &mut Node, requests: usize) {
+fn send_requests(node: &mut Node, requests: usize) {
     for _ in 0..requests {
         let id = node.arrive(short_stream("m3"));
         if let Some(boragecove_fleet::request::Step::Send(attempt)) = node.step(id) {
@@ -45,39 +45,39 @@
 
 /// A zone with 766 or 1,600 engines is cut off: an entry VM that uses none of them probes none.
 #[test]
-fn nothing_that_is_not_used() {
+fn unused_engines_are_not_probed() {
     for engines in [766, 1_600] {
         let mut node = entry_vm(engines);
-        assert_eq!(tried(&mut node, engines), 0, "{engines} engines");
+        assert_eq!(probes(&mut node, engines), 0, "{engines} engines");
     }
 }
 
 /// No entry VM probes more engines than it has sent requests recently, however many are suspected.
 #[test]
-fn no_more_than_requests() {
+fn no_more_probes_than_requests() {
     for engines in [766, 1_600] {
         for requests in [1, 5, 20] {
             let mut node = entry_vm(engines);
-            use_some(&mut node, requests);
+            send_requests(&mut node, requests);
             node.advance(Duration::from_secs(2));
-            let tried = tried(&mut node, engines);
-            assert!(tried <= requests.min(3), "{engines} engines, {requests} requests: {tried} probes");
+            let probes = probes(&mut node, engines);
+            assert!(probes <= requests.min(3), "{engines} engines, {requests} requests: {probes} probes");
         }
     }
 }
 
 /// An engine in use is probed. Long after its last request it isn't probed any more.
 #[test]
-fn what_is_used() {
+fn used_engines_are_probed() {
     let mut node = entry_vm(3);
-    use_some(&mut node, 60);
+    send_requests(&mut node, 60);
     node.advance(Duration::from_secs(1));
-    let used = tried(&mut node, 3);
+    let used = probes(&mut node, 3);
     assert!(used > 0, "engines in use should be probed");
     for at in 0..3 {
         let engine = format!("e{at}").as_str().into();
         node.feed(Event::Probed { engine, reach: Port::Open });
     }
     node.advance(Duration::from_secs(20));
-    assert_eq!(tried(&mut node, 3), 0, "engines without recent requests should not be probed");
+    assert_eq!(probes(&mut node, 3), 0, "engines without recent requests should not be probed");
 }
--- a/fleet/tests/stood_still.rs
+++ b/fleet/tests/stood_still.rs
@@ -14,34 +14,34 @@
 use node::{GATEWAY, Node, entry, exchange, hub_row, listed, millis, plain, row, short_stream, step_of};
 
 /// The log records of stalls among the effects: duration of the stall, and age of the engine table.
-fn noted(effects: &[Effect]) -> Vec<(u64, Option<u64>)> {
-    let noted = |effect: &Effect| match effect {
+fn stall_records(effects: &[Effect]) -> Vec<(u64, Option<u64>)> {
+    let stall = |effect: &Effect| match effect {
         Effect::Record(Record::StoodStill { for_ms, listed_age_ms, .. }) => Some((*for_ms, *listed_age_ms)),
         _ => None,
     };
-    effects.iter().filter_map(noted).collect()
+    effects.iter().filter_map(stall).collect()
 }
 
 /// A stall is logged and counted, with the age of the engine table. A process that runs normally logs none.
 #[test]
-fn is_noted() {
+fn stall_is_logged() {
     let mut node = Node::ready("vm-1");
     let asked = node.now;
     node.feed(listed(asked, Vec::new(), 4, false));
-    let calm = node.advance(millis(2_000));
-    assert!(noted(&calm).is_empty(), "{:?}", noted(&calm));
+    let running = node.advance(millis(2_000));
+    assert!(stall_records(&running).is_empty(), "{:?}", stall_records(&running));
     node.now = node.now + millis(1_500);
-    let noted = noted(&node.advance(millis(10)));
-    let [(stood_ms, listed_age_ms)] = noted[..] else {
-        panic!("expected one record: {noted:?}");
+    let stall_records = stall_records(&node.advance(millis(10)));
+    let [(stall_ms, listed_age_ms)] = stall_records[..] else {
+        panic!("expected one record: {stall_records:?}");
     };
-    assert!((1_250..=1_510).contains(&stood_ms), "the next timer was due within 250 ms: {stood_ms}");
+    assert!((1_250..=1_510).contains(&stall_ms), "the next timer was due within 250 ms: {stall_ms}");
     assert_eq!(listed_age_ms, Some(3_510));
     assert_eq!(node.state.stalls(), 1);
 }
 
 /// Duration of the stall: shorter than the lease, and longer than the engine table stays valid.
-const STOOD: u64 = 1_500;
+const STALL_MS: u64 = 1_500;
 
 /// The row by which an engine announces its departure.
 fn leaving(version: u64) -> Vec<boragecove_fleet::engine::Row> {
@@ -53,7 +53,7 @@
     let mut node = Node::ready("vm-1");
     node.lead();
     node.feed(listed(node.now, Vec::new(), 4, false));
-    node.now = node.now + millis(STOOD);
+    node.now = node.now + millis(STALL_MS);
     node
 }
 
@@ -66,8 +66,8 @@
     hub.feed(listed(hub.now, Vec::new(), 4, false));
     exchange(&mut hub, &mut node);
     hub.now = node.now;
-    node.now = node.now + millis(STOOD);
-    hub.advance(millis(STOOD));
+    node.now = node.now + millis(STALL_MS);
+    hub.advance(millis(STALL_MS));
     (hub, node)
 }
 
@@ -84,7 +84,7 @@
 }
 
 /// The hub answers a frame, and the process applies the reply.
-fn answer(hub: &mut Node, node: &mut Node, frame: &Frame) -> Vec<Effect> {
+fn exchange_frame(hub: &mut Node, node: &mut Node, frame: &Frame) -> Vec<Effect> {
     hub.now = node.now;
     hub.feed(Event::FrameReceived(Box::new(frame.clone())));
     let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, frame);
@@ -145,18 +145,18 @@
     assert_eq!((node.step(request), refreshes(&node.effects)), (None, 0));
     let frame = frames(&node.effects).pop().expect("a frame at once");
     node.now = node.now + millis(5);
-    answer(&mut hub, &mut node, &frame);
+    exchange_frame(&mut hub, &mut node, &frame);
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
 
 /// A hub that has stalled too has no newer data, so the store is asked after a short time.
 #[test]
-fn leader_stood_still_too() {
+fn leader_stalled_too() {
     let (mut hub, mut node) = follower();
     let request = node.arrive(plain("/list/1"));
     let frame = frames(&node.effects).pop().expect("a frame at once");
     node.now = node.now + millis(5);
-    answer(&mut hub, &mut node, &frame);
+    exchange_frame(&mut hub, &mut node, &frame);
     assert_eq!(node.step(request), None, "its data is as old");
     assert_eq!(refreshes(&node.advance(millis(100))), 1);
     node.feed(listed(node.now, leaving(5), 5, false));
@@ -165,33 +165,33 @@
 
 /// A reply to a frame from before the stall doesn't confirm the time since.
 #[test]
-fn answered_before() {
+fn reply_from_before_the_stall() {
     let (mut hub, mut node) = follower();
-    node.now = node.now - millis(STOOD);
+    node.now = node.now - millis(STALL_MS);
     let frame = frames(&node.advance(millis(200))).pop().expect("a frame");
     hub.now = node.now;
     hub.feed(Event::FrameReceived(Box::new(frame.clone())));
     let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame);
-    node.now = node.now + millis(STOOD);
-    hub.advance(millis(STOOD));
+    node.now = node.now + millis(STALL_MS);
+    hub.advance(millis(STALL_MS));
     hub.feed(listed(hub.now, leaving(5), 5, false));
     let request = node.arrive(plain("/list/1"));
     node.feed(Event::Replied(Some(Box::new(reply))));
     assert_eq!(node.step(request), None, "the reply predates the departure");
     let frame = frames(&node.effects).pop().expect("another frame at once");
-    answer(&mut hub, &mut node, &frame);
+    exchange_frame(&mut hub, &mut node, &frame);
     assert_eq!(engine_of(node.step(request)).as_deref(), Some("g2"));
 }
 
 /// A future slot in a schedule is given up, since the engine may have left meanwhile.
 #[test]
-fn scheduled_before() {
+fn reservation_from_before_the_stall() {
     let mut node = Node::ready("vm-1");
     node.lead();
     node.feed(listed(node.now - millis(700), Vec::new(), 4, false));
-    let stood = millis(800);
-    let later = |node: &Node, attempt: &Attempt| attempt.at > node.now + stood + millis(10);
-    let mut waits = Vec::new();
+    let stall = millis(800);
+    let later = |node: &Node, attempt: &Attempt| attempt.at > node.now + stall + millis(10);
+    let mut reserved = Vec::new();
     for _ in 0..60 {
         let mut long = short_stream("m1");
         long.prompt.as_mut().expect("a prompt").tokens = 4_000;
@@ -199,13 +199,13 @@
         if let Some(Step::Send(attempt)) = node.step(id)
             && later(&node, &attempt)
         {
-            waits.push(id);
+            reserved.push(id);
         }
     }
-    assert!(!waits.is_empty(), "prompts should be spaced");
-    node.now = node.now + stood;
+    assert!(!reserved.is_empty(), "prompts should be spaced");
+    node.now = node.now + stall;
     let effects = node.advance(millis(10));
-    for id in &waits {
+    for id in &reserved {
         assert_eq!(step_of(&effects, *id), Some(Step::Hold), "{id}");
     }
 }
@@ -226,13 +226,13 @@
 /// Guards against answers that wait in the sockets of a process that stalled: their engines weren't silent, and the
 /// requests must not be sent again.
 #[test]
-fn own_standstill_is_no_silence() {
+fn own_stall_is_no_engine_silence() {
     let mut node = Node::ready("vm-1");
     node.lead();
     node.feed(listed(node.now, Vec::new(), 4, false));
     let (request, attempt) = node.sent(plain("/list/1"));
     node.advance(millis(100));
-    node.now = node.now + millis(STOOD);
+    node.now = node.now + millis(STALL_MS);
     let woken = node.feed(Event::Wake).to_vec();
     assert_eq!(step_of(&woken, request), None, "should not be sent again");
     assert!(
--- a/fleet/tests/world/backends.rs
+++ b/fleet/tests/world/backends.rs
@@ -19,7 +19,7 @@
 const HEAD_MS: u64 = 20;
 pub(super) const RUN_MS: u64 = 150;
 /// The platform's rule on limits: time after which an announcement binds the entry VM that received it.
-const TOLD: Duration = Duration::from_millis(500);
+const GRACE: Duration = Duration::from_millis(500);
 /// The window over which requests are counted, the multiple of the limit allowed in it, and the requests allowed
 /// beyond that.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -44,7 +44,7 @@
 
 /// A limit announced by an engine.
 #[derive(Clone, Copy, Debug)]
-struct Need {
+struct Limit {
     per_s: f64,
     since: Time,
 }
@@ -53,9 +53,9 @@
 #[derive(Debug, Default)]
 pub struct Backends {
     zones: BTreeMap<Name, Name>,
-    in_need: BTreeMap<Name, Need>,
-    told: BTreeMap<(usize, Name), Time>,
-    reached: BTreeMap<Name, Vec<Arrived>>,
+    limits: BTreeMap<Name, Limit>,
+    known_since: BTreeMap<(usize, Name), Time>,
+    arrivals: BTreeMap<Name, Vec<Arrived>>,
     /// The attempt to be sent for each request.
     pub(super) current: BTreeMap<(usize, Id), u32>,
     /// The engine that last ran each request.
@@ -83,9 +83,9 @@
     /// All requests that reached engines, with the engine's id and zone.
     pub fn all(&self) -> impl Iterator<Item = (&Name, &str, &Arrived)> {
         let zone = |engine: &Name| self.zones.get(engine).map_or("", |zone| zone);
-        self.reached
+        self.arrivals
             .iter()
-            .flat_map(move |(engine, all)| all.iter().map(move |one| (engine, zone(engine), one)))
+            .flat_map(move |(engine, all)| all.iter().map(move |arrived| (engine, zone(engine), arrived)))
     }
 }
 
@@ -94,23 +94,24 @@
     pub fn set_limit(&mut self, engine: &str, per_s: Option<f64>) {
         let since = self.now;
         let backends = self.backends.as_mut().expect("engines");
-        backends.told.retain(|(_, told), _| **told != *engine);
+        backends.known_since.retain(|(_, known_since), _| **known_since != *engine);
         match per_s {
-            Some(per_s) => backends.in_need.insert(engine.into(), Need { per_s, since }),
-            None => backends.in_need.remove(engine),
+            Some(per_s) => backends.limits.insert(engine.into(), Limit { per_s, since }),
+            None => backends.limits.remove(engine),
         };
     }
 
     /// Number of requests that have reached an engine since then.
     pub fn arrivals(&self, engine: &str, since: Time) -> usize {
-        let reached = self.backends.as_ref().and_then(|backends| backends.reached.get(engine));
-        reached.map_or(0, |all| all.iter().filter(|one| one.at >= since).count())
+        let arrivals = self.backends.as_ref().and_then(|backends| backends.arrivals.get(engine));
+        arrivals.map_or(0, |all| all.iter().filter(|arrived| arrived.at >= since).count())
     }
 
     /// The largest number of requests that reached an engine within any second of a time span.
     pub fn most_in_a_second(&self, engine: &str, from: Time, until: Time) -> usize {
-        let reached = self.backends.as_ref().and_then(|backends| backends.reached.get(engine));
-        let times = reached.into_iter().flatten().map(|one| one.at).filter(|at| (from..until).contains(at));
+        let arrivals = self.backends.as_ref().and_then(|backends| backends.arrivals.get(engine));
+        let times =
+            arrivals.into_iter().flatten().map(|arrived| arrived.at).filter(|at| (from..until).contains(at));
         let times: Vec<Time> = times.collect();
         let within = |end: &Time| times.iter().filter(|at| **at <= *end && end.since(**at) < SECOND).count();
         times.iter().map(within).max().unwrap_or_default()
@@ -118,15 +119,15 @@
 
     /// Number of requests that ran more than once.
     pub fn repeated(&self) -> usize {
-        self.ran_beyond(|_| 1)
+        self.ran_more_than(|_| 1)
     }
 
     /// Number of requests that ran more often than allowed: once, or as often as their route has attempts.
     pub fn over_repeated(&self) -> usize {
-        self.ran_beyond(|once| if once { 1 } else { ATTEMPTS })
+        self.ran_more_than(|once| if once { 1 } else { ATTEMPTS })
     }
 
-    fn ran_beyond(&self, most: impl Fn(bool) -> u32) -> usize {
+    fn ran_more_than(&self, most: impl Fn(bool) -> u32) -> usize {
         let Some(backends) = &self.backends else {
             return 0;
         };
@@ -137,17 +138,20 @@
     /// `contact` after it first announced its limit; negative if the rule was kept.
     pub fn limit_excess(&self, engine: &str, contact: Duration) -> f64 {
         let backends = self.backends.as_ref().expect("engines");
-        let Some(need) = backends.in_need.get(engine) else {
+        let Some(limit) = backends.limits.get(engine) else {
             return f64::NEG_INFINITY;
         };
-        let counted = |one: &&Arrived| one.limit_known_since.is_some_and(|told| one.at.since(told) >= TOLD);
-        let reached = backends.reached.get(engine).into_iter().flatten();
-        let times: Vec<Time> =
-            reached.filter(|one| one.at >= need.since).filter(counted).map(|one| one.at).collect();
-        let from = need.since + contact;
+        let binding = |one: &&Arrived| one.limit_known_since.is_some_and(|at| one.at.since(at) >= GRACE);
+        let arrivals = backends.arrivals.get(engine).into_iter().flatten();
+        let times: Vec<Time> = arrivals
+            .filter(|arrived| arrived.at >= limit.since)
+            .filter(binding)
+            .map(|arrived| arrived.at)
+            .collect();
+        let from = limit.since + contact;
         let ends = times.iter().copied().filter(|at| *at >= from).chain([from]);
         let most = ends.map(|end| times.iter().filter(|at| **at <= end && end.since(**at) < WINDOW).count());
-        most.max().unwrap_or_default() as f64 - (OVERAGE * need.per_s * WINDOW.as_secs_f64() + SLACK)
+        most.max().unwrap_or_default() as f64 - (OVERAGE * limit.per_s * WINDOW.as_secs_f64() + SLACK)
     }
 
     /// Whether requests from an entry VM reach an engine, which they don't across the edge of a zone that is cut off.
@@ -182,7 +186,7 @@
         if self.now >= attempt.write_by || attempt.send_by.is_some_and(|by| self.now >= by) {
             return self.ended(vm, request, attempt.number, End::Withheld);
         }
-        if self.sent_apart(vm, request, attempt)
+        if self.relay_or_fail(vm, request, attempt)
             || self.sheds(vm, request, attempt)
             || self.turned_away_by(vm, request, attempt)
         {
@@ -197,17 +201,17 @@
     /// Runs a request on an engine.
     pub(super) fn run(&mut self, vm: usize, relay: Option<usize>, request: Id, attempt: &Attempt) {
         let (now, engine) = (self.now, attempt.engine.clone());
-        let calm = self.calm_since(vm);
+        let undisturbed = self.calm_since(vm);
         let backends = self.backends.as_mut().expect("engines");
-        let told = backends.told.get(&(vm, engine.clone())).copied();
+        let known_since = backends.known_since.get(&(vm, engine.clone())).copied();
         backends.engine_of.insert((vm, request), engine.clone());
         *backends.runs.entry((vm, request)).or_default() += 1;
-        backends.reached.entry(engine).or_default().push(Arrived {
+        backends.arrivals.entry(engine).or_default().push(Arrived {
             at: now,
             vm,
             relay,
-            limit_known_since: told,
-            undisturbed_since: calm,
+            limit_known_since: known_since,
+            undisturbed_since: undisturbed,
         });
         self.post(vm, vm, HEAD_MS, Load::Head(request, attempt.clone(), now));
     }
@@ -216,15 +220,15 @@
     pub(super) fn head(&mut self, vm: usize, request: Id, attempt: &Attempt, at: Time) {
         let now = self.now;
         let backends = self.backends.as_mut().expect("engines");
-        let need = backends.in_need.get(&attempt.engine).copied();
-        if need.is_some() {
-            backends.told.entry((vm, attempt.engine.clone())).or_insert(now);
+        let limit = backends.limits.get(&attempt.engine).copied();
+        if limit.is_some() {
+            backends.known_since.entry((vm, attempt.engine.clone())).or_insert(now);
         }
         let brittle = self.brittleness(&attempt.engine);
-        if need.is_none() && !attempt.limited && brittle.is_none() {
+        if limit.is_none() && !attempt.limited && brittle.is_none() {
             return;
         }
-        let intake = need.map_or(Rate::Unlimited, |need| Rate::PerSecond(need.per_s));
+        let intake = limit.map_or(Rate::Unlimited, |limit| Rate::PerSecond(limit.per_s));
         let brittle = brittle.map_or(Tolerance::Unlimited, Tolerance::PerSecond);
         let notice = Notice { rate_limit: intake, rejection_limit: brittle, ..Notice::default() };
         let from = Start { engine: attempt.engine.clone(), incarnation: attempt.incarnation };
@@ -241,7 +245,7 @@
     /// Drops an entry VM's knowledge of limits and its requests under way, since it was killed.
     pub(super) fn forget_vm(&mut self, vm: usize) {
         if let Some(backends) = &mut self.backends {
-            backends.told.retain(|(of, _), _| *of != vm);
+            backends.known_since.retain(|(of, _), _| *of != vm);
             backends.current.retain(|(of, _), _| *of != vm);
             backends.engine_of.retain(|(of, _), _| *of != vm);
         }
--- a/fleet/tests/world/losses.rs
+++ b/fleet/tests/world/losses.rs
@@ -39,8 +39,8 @@
 
 impl World {
     /// Whether the message that arrives now is the one to be lost.
-    pub(super) fn loses(&mut self, road: Channel, vm: usize) -> bool {
-        let lost = self.loss == Some(Loss { channel: road, vm });
+    pub(super) fn loses(&mut self, channel: Channel, vm: usize) -> bool {
+        let lost = self.loss == Some(Loss { channel, vm });
         if lost {
             self.loss = None;
             self.lost += 1;
@@ -60,17 +60,17 @@
     }
 
     /// Resumes an entry VM after a stall. Its requests may be read before anything else, or after.
-    pub(super) fn go_on(&mut self, at: usize) {
+    pub(super) fn resume(&mut self, at: usize) {
         if self.trusts_stale_state {
             self.feed(at, Event::Wake);
             self.feed(at, Event::RefreshFailed);
         } else if self.rng.bool() {
             return;
         }
-        let requests = |way: &mut OnWay| way.to == at && matches!(way.load, Load::Arrive(_, _));
+        let requests = |message: &mut OnWay| message.to == at && matches!(message.load, Load::Arrive(_, _));
         let requests: Vec<OnWay> = self.on_way.extract_if(.., requests).collect();
-        for way in requests {
-            self.deliver(way);
+        for message in requests {
+            self.deliver(message);
         }
     }
 
@@ -78,7 +78,7 @@
     pub fn senders(&self, engine: &str, from: Time, until: Time) -> Vec<(usize, Time)> {
         let backends = self.backends.as_ref().expect("engines");
         let reached =
-            backends.all().filter(|(id, _, one)| ***id == *engine && (from..until).contains(&one.at));
-        reached.map(|(_, _, one)| (one.vm, one.at)).collect()
+            backends.all().filter(|(id, _, arrived)| ***id == *engine && (from..until).contains(&arrived.at));
+        reached.map(|(_, _, arrived)| (arrived.vm, arrived.at)).collect()
     }
 }
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -140,9 +140,9 @@
     pub streams: Streams,
     zones_cut: [bool; ZONES.len()],
     /// Entry VMs that can't reach engines.
-    parted: BTreeMap<usize, partitions::Partition>,
+    partitions: BTreeMap<usize, partitions::Partition>,
     /// When the store was last restored from a copy.
-    drilled: Option<Time>,
+    restored_at: Option<Time>,
     /// Evacuated zones, with the start and the end of the evacuation.
     evacuated: Vec<(usize, Time, Option<Time>)>,
 }
@@ -167,7 +167,7 @@
     /// The revision up to which it has read the engine table.
     table: Option<Revision>,
     /// When it was last disturbed.
-    troubled: Time,
+    disturbed_at: Time,
 }
 
 /// A time in which an entry VM was allowed to give orders.
@@ -304,8 +304,8 @@
             backends: None,
             streams: Streams::default(),
             zones_cut: [false; ZONES.len()],
-            parted: BTreeMap::new(),
-            drilled: None,
+            partitions: BTreeMap::new(),
+            restored_at: None,
             evacuated: Vec::new(),
         };
         for entry in rows.iter().filter_map(|row| row.entry.clone()) {
@@ -338,15 +338,18 @@
     /// Number of requests that reached an engine of an evacuated zone later than `bound` after the start of the
     /// evacuation and after the last disturbance of the entry VM that sent them.
     pub fn sent_to_evacuated(&self, bound: Duration) -> usize {
-        let broken = |zone: &str, one: &Arrived| {
+        let violates = |zone: &str, arrived: &Arrived| {
             self.evacuated.iter().any(|(of, from, until)| {
-                let in_touch =
-                    one.undisturbed_since.is_some_and(|calm| one.at.since(calm.max(*from)) > bound);
-                ZONES[*of] == zone && one.at > *from && until.is_none_or(|until| one.at < until) && in_touch
+                let is_connected =
+                    arrived.undisturbed_since.is_some_and(|since| arrived.at.since(since.max(*from)) > bound);
+                ZONES[*of] == zone
+                    && arrived.at > *from
+                    && until.is_none_or(|until| arrived.at < until)
+                    && is_connected
             })
         };
         let backends = self.backends.as_ref().expect("engines");
-        backends.all().filter(|(_, zone, one)| broken(zone, one)).count()
+        backends.all().filter(|(_, zone, arrived)| violates(zone, arrived)).count()
     }
 
     /// Makes the next read of the engine table by an entry VM a complete one, as when the store has dropped its
@@ -367,7 +370,7 @@
     /// platform guarantees.
     pub fn restore_store(&mut self, back: Duration) {
         self.store.restore(self.now, back);
-        self.drilled = Some(self.now);
+        self.restored_at = Some(self.now);
         self.rewrites.clear();
         let within = REWRITTEN.as_millis() as u64;
         let mut lost = vec![Rewrite::Config];
@@ -405,7 +408,7 @@
     }
 
     /// Records the entry VMs that may give orders now.
-    fn note_orderers(&mut self) {
+    fn record_orderers(&mut self) {
         let now = self.now;
         for (vm, state) in self.vms.iter().enumerate().filter(|(_, vm)| vm.running && !vm.suspended) {
             let Some(term) = state.state.lease().ordering_term(now) else {
@@ -422,7 +425,7 @@
     /// Adds an entry VM.
     pub fn add(&mut self) {
         let at = self.vms.len();
-        let state = self.state_of(at);
+        let state = self.new_state(at);
         self.vms.push(Vm {
             state,
             wake: Some(self.now),
@@ -436,19 +439,19 @@
             held_until: None,
             overdue_at: None,
             table: None,
-            troubled: self.now,
+            disturbed_at: self.now,
         });
-        self.inform(at);
+        self.deliver_tables(at);
     }
 
-    fn state_of(&mut self, at: usize) -> State {
+    fn new_state(&mut self, at: usize) -> State {
         let zone = ZONES[at % ZONES.len()].into();
         let me = Identity { vm: format!("vm-{at}").into(), zone, address: address(at) };
         State::new(me, self.settings.clone(), self.rng.u64(..), self.now)
     }
 
     /// Passes the store's tables to a starting process.
-    fn inform(&mut self, at: usize) {
+    fn deliver_tables(&mut self, at: usize) {
         self.vms[at].table = None;
         if let Some(config) = self.store.config().cloned() {
             self.feed(at, Event::Configured(config));
@@ -513,15 +516,16 @@
     /// others or from the store.
     pub fn calm_since(&self, at: usize) -> Option<Time> {
         let vm = &self.vms[at];
-        let in_touch = vm.running && !vm.suspended && vm.served && vm.side == 0;
-        in_touch.then(|| self.drilled.map_or(vm.troubled, |drilled| drilled.max(vm.troubled)))
+        let is_connected = vm.running && !vm.suspended && vm.served && vm.side == 0;
+        is_connected
+            .then(|| self.restored_at.map_or(vm.disturbed_at, |restored_at| restored_at.max(vm.disturbed_at)))
     }
 
     /// When the entry VM was last disturbed, whether or not the store accepts its calls; `None` while it isn't
     /// running, or is cut off from the others.
     pub fn linked_since(&self, at: usize) -> Option<Time> {
         let vm = &self.vms[at];
-        (vm.running && !vm.suspended && vm.side == 0).then_some(vm.troubled)
+        (vm.running && !vm.suspended && vm.side == 0).then_some(vm.disturbed_at)
     }
 
     /// Number of the running start of an entry VM.
@@ -536,7 +540,7 @@
     }
 
     pub fn kill(&mut self, at: usize) {
-        self.vms[at].troubled = self.now;
+        self.vms[at].disturbed_at = self.now;
         self.vms[at].running = false;
         self.vms[at].start += 1;
         self.forget_vm(at);
@@ -546,11 +550,11 @@
 
     pub fn restart(&mut self, at: usize) {
         self.kill(at);
-        self.vms[at].state = self.state_of(at);
+        self.vms[at].state = self.new_state(at);
         self.vms[at].running = true;
         self.vms[at].suspended = false;
         self.vms[at].wake = Some(self.now);
-        self.inform(at);
+        self.deliver_tables(at);
     }
 
     pub fn is_running(&self, at: usize) -> bool {
@@ -558,15 +562,15 @@
     }
 
     pub fn suspend(&mut self, at: usize, suspended: bool) {
-        self.vms[at].troubled = self.now;
+        self.vms[at].disturbed_at = self.now;
         self.vms[at].suspended = suspended;
         if !suspended {
-            self.go_on(at);
+            self.resume(at);
         }
     }
 
     pub fn set_store_access(&mut self, at: usize, served: bool) {
-        self.vms[at].troubled = self.now;
+        self.vms[at].disturbed_at = self.now;
         self.vms[at].served = served;
     }
 
@@ -575,13 +579,13 @@
         self.zones_cut[zone] = cut;
         for at in (0..self.vms.len()).filter(|at| at % ZONES.len() == zone) {
             self.vms[at].side = if cut { zone as u8 + 1 } else { 0 };
-            self.vms[at].troubled = self.now;
+            self.vms[at].disturbed_at = self.now;
         }
     }
 
     /// Cuts an entry VM off from the others and from the store, though not from engines, or reconnects it.
     pub fn isolate(&mut self, at: usize, isolated: bool) {
-        self.vms[at].troubled = self.now;
+        self.vms[at].disturbed_at = self.now;
         self.vms[at].side = if isolated { 100 + (at % 100) as u8 } else { 0 };
     }
 
@@ -701,14 +705,14 @@
             }
         }
         let now = self.now;
-        let mut due: Vec<OnWay> = self.on_way.extract_if(.., |way| way.at <= now).collect();
+        let mut due: Vec<OnWay> = self.on_way.extract_if(.., |message| message.at <= now).collect();
         // Messages that waited in the socket of a suspended machine are read first, in the order of their arrival.
-        let lay = |way: &OnWay| way.at + TICK < now;
-        due.sort_by_key(|way| if lay(way) { way.at } else { now });
-        for way in due {
-            self.deliver(way);
+        let was_delayed = |message: &OnWay| message.at + TICK < now;
+        due.sort_by_key(|message| if was_delayed(message) { message.at } else { now });
+        for message in due {
+            self.deliver(message);
         }
-        self.note_orderers();
+        self.record_orderers();
     }
 
     pub fn feed(&mut self, at: usize, event: Event) {
--- a/fleet/tests/world/partitions.rs
+++ b/fleet/tests/world/partitions.rs
@@ -17,7 +17,7 @@
 /// Time after which opening a connection is given up, as in the process.
 const CONNECT_MS: u64 = 400;
 /// Time limit for the answer of another entry VM on how a port responds, as in the process.
-const LOOK_MS: u64 = 300;
+const PROBE_MS: u64 = 300;
 
 /// The engines that an entry VM can't reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,8 +40,8 @@
     /// Starts or ends a partition of an entry VM from engines. If new connections are refused, open ones are reset.
     pub fn partition(&mut self, vm: usize, partition: Option<Partition>) {
         match partition {
-            Some(partition) => self.parted.insert(vm, partition),
-            None => self.parted.remove(&vm),
+            Some(partition) => self.partitions.insert(vm, partition),
+            None => self.partitions.remove(&vm),
         };
         if partition.is_some_and(|partition| partition.refused) {
             self.reset(vm);
@@ -50,8 +50,8 @@
 
     /// Breaks an entry VM's connections to the engines that it can't reach.
     fn reset(&mut self, vm: usize) {
-        let under_way = |way: &OnWay| match way.load {
-            Load::Ended(request, attempt) if way.from == vm && way.to == vm => Some((request, attempt)),
+        let under_way = |msg: &OnWay| match msg.load {
+            Load::Ended(request, attempt) if msg.from == vm && msg.to == vm => Some((request, attempt)),
             _ => None,
         };
         let runs: Vec<(Id, u32)> = self.on_way.iter().filter_map(under_way).collect();
@@ -61,27 +61,27 @@
             if engine.is_none_or(|engine| self.reach(vm, &engine) == Port::Open) {
                 continue;
             }
-            self.on_way.retain(|way| under_way(way) != Some((request, attempt)));
+            self.on_way.retain(|msg| under_way(msg) != Some((request, attempt)));
             self.post(vm, vm, 1, Load::Unanswered(request, attempt, End::Lost));
         }
     }
 
     /// How an attempt to connect from an entry VM to an engine ends.
     fn reach(&self, vm: usize, engine: &Name) -> Port {
-        let parted = self.parted.get(&vm).filter(|partition| match partition.lost {
+        let partition = self.partitions.get(&vm).filter(|partition| match partition.lost {
             Lost::All => true,
             Lost::Half => engine.bytes().last().is_some_and(|last| last % 2 == 0),
         });
-        match parted {
+        match partition {
             Some(Partition { refused: true, .. }) => Port::Closed,
-            None if !self.stands(engine) => Port::Closed,
+            None if !self.is_up(engine) => Port::Closed,
             None if self.reaches_engine(vm, engine) => Port::Open,
             Some(_) | None => Port::Silent,
         }
     }
 
     /// Whether an engine is running.
-    fn stands(&self, engine: &Name) -> bool {
+    fn is_up(&self, engine: &Name) -> bool {
         self.truth.get(engine).is_some_and(Option::is_some)
     }
 
@@ -95,34 +95,34 @@
     /// Asks another entry VM how a port responds there.
     pub(super) fn ask_path(&mut self, vm: usize, by: Relay, engine: Name) {
         self.path_queries += 1;
-        let reach = self.reach_seen(vm, by.address, &engine);
-        let ms = if reach == Some(Port::Open) { 5 } else { LOOK_MS };
+        let reach = self.reported_reach(vm, by.address, &engine);
+        let ms = if reach == Some(Port::Open) { 5 } else { PROBE_MS };
         self.post(vm, vm, ms, Load::Event(Box::new(Event::PathSeen { engine, by, reach })));
     }
 
     /// Asks another entry VM whether an engine has crashed.
     pub(super) fn ask_crash(&mut self, vm: usize, address: SocketAddr, engine: Name) {
-        let reach = self.reach_seen(vm, address, &engine);
-        let ms = if reach.is_some_and(|reach| reach != Port::Silent) { 5 } else { LOOK_MS };
+        let reach = self.reported_reach(vm, address, &engine);
+        let ms = if reach.is_some_and(|reach| reach != Port::Silent) { 5 } else { PROBE_MS };
         self.post(vm, vm, ms, Load::Event(Box::new(Event::ProbedIndirectly { engine, reach })));
     }
 
     /// What another entry VM reports about an engine's port; `None` if it doesn't answer, or can't tell.
-    fn reach_seen(&self, vm: usize, address: SocketAddr, engine: &Name) -> Option<Port> {
+    fn reported_reach(&self, vm: usize, address: SocketAddr, engine: &Name) -> Option<Port> {
         let to = self.at(address);
         if !self.reaches(vm, to) || self.vms[to].suspended {
             return None;
         }
-        let look = boragecove_fleet::reachability_check(&self.vms[to].state, self.now, engine)?;
+        let check = boragecove_fleet::reachability_check(&self.vms[to].state, self.now, engine)?;
         let reach = self.reach(to, engine);
         let others = self.truth.keys().filter(|other| *other != engine);
         let mut control = others.filter(|other| self.reach(to, other) == Port::Open);
-        (reach == Port::Open || look.control.is_none() || control.next().is_some()).then_some(reach)
+        (reach == Port::Open || check.control.is_none() || control.next().is_some()).then_some(reach)
     }
 
     /// Sends a request that is due through a relay, or fails it if the engine can't be reached. Returns whether it
     /// did either.
-    pub(super) fn sent_apart(&mut self, vm: usize, request: Id, attempt: &Attempt) -> bool {
+    pub(super) fn relay_or_fail(&mut self, vm: usize, request: Id, attempt: &Attempt) -> bool {
         let ended = |end| Load::Unanswered(request, attempt.number, end);
         if let Some(relay) = &attempt.relay {
             let to = self.at(relay.address);
@@ -183,9 +183,10 @@
     /// Callers' requests that arrived at each entry VM in a time span: the number served, and the total.
     pub fn served_and_total(&self, from: Time, until: Time) -> BTreeMap<usize, (usize, usize)> {
         let mut tries: BTreeMap<usize, (usize, usize)> = BTreeMap::new();
-        for done in self.outcomes.iter().filter(|done| (from..until).contains(&done.asked)) {
-            let (served, all) = tries.entry(done.vm).or_default();
-            *served += usize::from(done.refused.is_none());
+        for completion in self.outcomes.iter().filter(|completion| (from..until).contains(&completion.asked))
+        {
+            let (served, all) = tries.entry(completion.vm).or_default();
+            *served += usize::from(completion.refused.is_none());
             *all += 1;
         }
         let open = self.open.iter().filter(|(_, (asked, _, _))| (from..until).contains(asked));
