--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -471,7 +471,7 @@
     fn seen_words(&self, mut listing: evacuation::Listing) -> evacuation::Listing {
         if self.hides_era {
             listing.version.era = 0;
-            listing.zones.iter_mut().for_each(|word| word.revision.era = 0);
+            listing.zones.iter_mut().for_each(|zone| zone.revision.era = 0);
         }
         listing
     }
