--- a/fleet/src/adapter.rs
+++ b/fleet/src/adapter.rs
@@ -53,7 +53,7 @@
         return;
     }
     for target in targets.iter().filter(|target| target.adapter.is_some()) {
-        place(state, now, target, out);
+        load_if_absent(state, now, target, out);
     }
 }
 
@@ -64,26 +64,26 @@
 }
 
 /// Loads an adapter at an engine unless it is loaded or being loaded at one already.
-fn place(state: &mut State, now: Time, target: &Target, out: &mut Vec<Effect>) {
+fn load_if_absent(state: &mut State, now: Time, target: &Target, out: &mut Vec<Effect>) {
     state.placement_searches += 1;
     if !is_placed_or_loading(state, now, target) {
-        bring(state, now, target, f64::INFINITY, out);
+        load_at_best(state, now, target, f64::INFINITY, out);
     }
 }
 
 /// Whether an adapter is loaded or expected at an engine that accepts requests.
 pub(crate) fn is_placed_or_loading(state: &State, now: Time, target: &Target) -> bool {
-    holders(state, now, target).any(|(_, book)| is_expected(book, target))
+    holders(state, now, target).any(|(_, holdings)| is_expected(holdings, target))
 }
 
-/// The engines that accept requests and hold a target's model in any phase, with their inventories.
+/// The engines that accept requests and hold a target's model in any phase, with their holdings.
 fn holders<'a>(
     state: &'a State,
     now: Time,
     target: &'a Target,
 ) -> impl Iterator<Item = (&'a Engine, &'a Holdings)> {
-    let holding = state.ledger.holding(&target.model);
-    let engines = holding.filter_map(|(id, book)| Some((state.engines.get(id)?, book)));
+    let holding = state.ledger.holders_of(&target.model);
+    let engines = holding.filter_map(|(id, holdings)| Some((state.engines.get(id)?, holdings)));
     engines.filter(move |(engine, _)| engine.entry.service == target.service && is_usable(engine, now))
 }
 
@@ -94,7 +94,7 @@
     }
     for target in targets(state, |demand| demand.open > 0) {
         if let Some(least) = crowding(state, now, &target) {
-            bring(state, now, &target, least - RELIEF, out);
+            load_at_best(state, now, &target, least - RELIEF, out);
         }
     }
 }
@@ -104,30 +104,30 @@
 fn crowding(state: &State, now: Time, target: &Target) -> Option<f64> {
     let name = target.adapter.as_ref()?;
     let mut least: Option<f64> = None;
-    for (engine, _) in holders(state, now, target).filter(|(_, book)| is_expected(book, target)) {
+    for (engine, _) in holders(state, now, target).filter(|(_, holdings)| is_expected(holdings, target)) {
         if !engine.serves(&target.model, Some(name), now) {
             return None;
         }
-        least = Some(least.map_or(taken(state, now, engine), |least| least.min(taken(state, now, engine))));
+        least = Some(least.map_or(usage(state, now, engine), |least| least.min(usage(state, now, engine))));
     }
     least.filter(|least| *least >= CROWDED)
 }
 
 /// Number of slots in use at an engine; more than it has if requests wait there. An engine with a rate limit
 /// counts as full, however few requests it has.
-fn slots_taken(state: &State, now: Time, engine: &Engine) -> u32 {
+fn slots_used(state: &State, now: Time, engine: &Engine) -> u32 {
     let open = engine.load().open;
     if state.rate_limits.limit_of(engine, now).is_some() { open.max(engine.entry.slots) } else { open }
 }
 
 /// Fraction of slots in use at an engine; more than one if requests wait there.
-fn taken(state: &State, now: Time, engine: &Engine) -> f64 {
-    f64::from(slots_taken(state, now, engine)) / f64::from(engine.entry.slots.max(1))
+fn usage(state: &State, now: Time, engine: &Engine) -> f64 {
+    f64::from(slots_used(state, now, engine)) / f64::from(engine.entry.slots.max(1))
 }
 
 /// Whether an adapter is loaded, loading or to be loaded at an engine.
-fn is_expected(book: &Holdings, target: &Target) -> bool {
-    target.adapter.as_ref().is_some_and(|name| book.expects_adapter(&target.model, name))
+fn is_expected(holdings: &Holdings, target: &Target) -> bool {
+    target.adapter.as_ref().is_some_and(|name| holdings.expects_adapter(&target.model, name))
 }
 
 fn is_usable(engine: &Engine, now: Time) -> bool {
@@ -136,7 +136,7 @@
 
 /// Loads an adapter at the best engine that holds its model but not the adapter, and whose fraction of slots in
 /// use is at most `taken_max`.
-fn bring(state: &mut State, now: Time, target: &Target, taken_max: f64, out: &mut Vec<Effect>) {
+fn load_at_best(state: &mut State, now: Time, target: &Target, used_max: f64, out: &mut Vec<Effect>) {
     let Some(name) = &target.adapter else {
         return;
     };
@@ -144,24 +144,24 @@
         return;
     };
     let mut best: Option<(f64, Name, Option<Order>)> = None;
-    for (engine, book) in holders(state, now, target) {
-        let ready = book.copy_of(&target.model).is_some_and(|copy| copy.phase == Phase::Ready);
-        if !ready || taken(state, now, engine) > taken_max || book.expects_adapter(&target.model, name) {
+    for (engine, holdings) in holders(state, now, target) {
+        let ready = holdings.copy_of(&target.model).is_some_and(|copy| copy.phase == Phase::Ready);
+        if !ready || usage(state, now, engine) > used_max || holdings.expects_adapter(&target.model, name) {
             continue;
         }
-        let victim = if book.adapters_expected() < pool.adapters_max as usize {
+        let victim = if holdings.adapters_expected() < pool.adapters_max as usize {
             None
         } else {
-            let Some(victim) = idlest(state, now, &engine.entry.id, &target.service) else {
+            let Some(victim) = least_recently_used(state, now, &engine.entry.id, &target.service) else {
                 continue;
             };
             Some(victim)
         };
-        if !book.accepts_adapter_orders(1 + usize::from(victim.is_some())) {
+        if !holdings.accepts_adapter_orders(1 + usize::from(victim.is_some())) {
             continue;
         }
         let zone = if engine.entry.zone == state.me.zone { 0.0 } else { ZONE_COST };
-        let cost = f64::from(slots_taken(state, now, engine))
+        let cost = f64::from(slots_used(state, now, engine))
             + f64::from(u8::from(victim.is_some())) * VICTIM_COST
             + zone;
         if best.as_ref().is_none_or(|(least, ..)| cost < *least) {
@@ -177,11 +177,11 @@
 
 /// An order to unload the least recently used adapter of an engine, if it has been idle for the configured
 /// time.
-fn idlest(state: &State, now: Time, engine: &Name, service: &Name) -> Option<Order> {
-    let book = state.ledger.inventory(engine)?;
+fn least_recently_used(state: &State, now: Time, engine: &Name, service: &Name) -> Option<Order> {
+    let holdings = state.ledger.holdings(engine)?;
     let mut best: Option<(Time, Order)> = None;
-    for (model, adapter) in book.adapters() {
-        if book.drops_adapter(model, adapter) {
+    for (model, adapter) in holdings.adapters() {
+        if holdings.drops_adapter(model, adapter) {
             continue;
         }
         let target =
--- a/fleet/src/crash.rs
+++ b/fleet/src/crash.rs
@@ -38,7 +38,7 @@
     announce_cleared, answer_began, answer_continued, evaluate_accused, mark_sound, shared_parts,
 };
 
-use register::{Loss, QUARANTINE_MAX, REMEMBERED, Run};
+use register::{EVIDENCE_TTL, QUARANTINE_MAX, Run, SuspectedCrash};
 
 /// Maximum number of other entry VMs that are asked whether an engine has crashed: some may be gone or cut off.
 const PROBERS_MAX: usize = 3;
@@ -47,7 +47,7 @@
 const SOUND_AFTER: Duration = Duration::from_millis(300);
 /// Maximum number of broken runs that wait for the result whether their engine has crashed, and of runs in one
 /// message.
-const LOSSES_MAX: usize = 64;
+const RUNS_MAX: usize = 64;
 
 /// Message about crashes from one entry VM to the others.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -60,8 +60,8 @@
 
 impl Report {
     /// Returns a message that contains verdicts only.
-    pub(crate) const fn of(entries: Vec<Verdict>) -> Self {
-        Self { suspects: Vec::new(), verdicts: entries }
+    pub(crate) const fn of(verdicts: Vec<Verdict>) -> Self {
+        Self { suspects: Vec::new(), verdicts }
     }
 }
 
@@ -147,15 +147,15 @@
     let Some(known) = state.engines.get(engine).filter(|engine| !engine.is_leaving()) else {
         return;
     };
-    let runs: usize = state.crashes.losses.values().map(|loss| loss.runs.len()).sum();
-    if runs >= LOSSES_MAX {
+    let runs: usize = state.crashes.suspected_crashes.values().map(|suspicion| suspicion.runs.len()).sum();
+    if runs >= RUNS_MAX {
         return;
     }
-    let loss = state.crashes.losses.entry(engine.clone()).or_insert_with(|| {
+    let suspicion = state.crashes.suspected_crashes.entry(engine.clone()).or_insert_with(|| {
         out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
-        Loss { asked: vec![state.me.vm.clone()], ..Loss::default() }
+        SuspectedCrash { asked: vec![state.me.vm.clone()], ..SuspectedCrash::default() }
     });
-    loss.runs.push(Run { id, request, parts, begun, sent, broke: now });
+    suspicion.runs.push(Run { id, request, parts, begun, sent, broke: now });
 }
 
 /// Handles an answer that ended with its connection shortly after it had begun. This may be a complete answer,
@@ -167,7 +167,7 @@
     };
     let run =
         Run { id, request: flow.fingerprint, parts: Arc::clone(&flow.parts), begun: true, sent, broke: now };
-    state.crashes.close(engine, run, now);
+    state.crashes.store_closed(engine, run, now);
 }
 
 /// Handles the result of a probe of an engine's port from this machine. A partition can also cause a refused
@@ -175,12 +175,12 @@
 pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Port, out: &mut Vec<Effect>) {
     let alone = state.members.is_alone(&state.me.vm);
     if reach == Port::Closed && state.engines.get(engine).is_some_and(|known| !known.is_leaving()) {
-        state.crashes.reopen(engine, &state.me.vm, now);
+        state.crashes.suspect_closed(engine, &state.me.vm, now);
     }
     match reach {
-        Port::Closed if alone => confirm(state, now, engine, out),
-        Port::Closed => ask(state, engine, out),
-        Port::Open | Port::Silent => dismiss(state, engine),
+        Port::Closed if alone => confirm_crash(state, now, engine, out),
+        Port::Closed => ask_next_prober(state, engine, out),
+        Port::Open | Port::Silent => drop_suspicion(state, engine),
     }
 }
 
@@ -194,19 +194,19 @@
     out: &mut Vec<Effect>,
 ) {
     match reach {
-        Some(Port::Closed) => agree(state, now, engine, out),
-        Some(Port::Open | Port::Silent) => dismiss(state, engine),
-        None => ask(state, engine, out),
+        Some(Port::Closed) => confirmed_by_peer(state, now, engine, out),
+        Some(Port::Open | Port::Silent) => drop_suspicion(state, engine),
+        None => ask_next_prober(state, engine, out),
     }
 }
 
 /// Handles a second probe that finds the port closed. Some entry VMs may have lost exactly the same engines. If
 /// an entry VM is being asked for a path to the engine, its answer is awaited first, which takes no longer.
-fn agree(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+fn confirmed_by_peer(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let asking = state.engines.get(engine).is_some_and(|known| known.path.is_asking());
-    match state.crashes.losses.get_mut(engine) {
-        Some(loss) if asking => loss.agreed = true,
-        Some(_) | None => confirm(state, now, engine, out),
+    match state.crashes.suspected_crashes.get_mut(engine) {
+        Some(suspicion) if asking => suspicion.confirmed_by_peer = true,
+        Some(_) | None => confirm_crash(state, now, engine, out),
     }
 }
 
@@ -218,42 +218,42 @@
     reach: Option<Port>,
     out: &mut Vec<Effect>,
 ) {
-    let agreed = state.crashes.losses.get(engine).is_some_and(|loss| loss.agreed);
+    let confirmed = state.crashes.suspected_crashes.get(engine).is_some_and(|found| found.confirmed_by_peer);
     match reach {
-        Some(Port::Open) => dismiss(state, engine),
-        Some(Port::Closed | Port::Silent) | None if agreed => confirm(state, now, engine, out),
+        Some(Port::Open) => drop_suspicion(state, engine),
+        Some(Port::Closed | Port::Silent) | None if confirmed => confirm_crash(state, now, engine, out),
         Some(Port::Closed | Port::Silent) | None => {}
     }
 }
 
 /// Asks the next entry VM for a probe. If none is left to ask, nothing is counted against the requests.
-fn ask(state: &mut State, engine: &Name, out: &mut Vec<Effect>) {
-    let Some(loss) = state.crashes.losses.get_mut(engine) else {
+fn ask_next_prober(state: &mut State, engine: &Name, out: &mut Vec<Effect>) {
+    let Some(suspicion) = state.crashes.suspected_crashes.get_mut(engine) else {
         return;
     };
     let zone = state.engines.get(engine).map(|known| &known.entry.zone);
-    let prober =
-        zone.and_then(|zone| state.members.pick_prober(engine, zone, *zone == state.me.zone, &loss.asked));
-    match prober.filter(|_| loss.asked.len() <= PROBERS_MAX) {
+    let prober = zone
+        .and_then(|zone| state.members.pick_prober(engine, zone, *zone == state.me.zone, &suspicion.asked));
+    match prober.filter(|_| suspicion.asked.len() <= PROBERS_MAX) {
         Some(prober) => {
-            loss.asked.push(prober.vm.clone());
+            suspicion.asked.push(prober.vm.clone());
             out.push(Effect::IndirectProbe { address: prober.address, engine: engine.clone() });
         }
-        None => dismiss(state, engine),
+        None => drop_suspicion(state, engine),
     }
 }
 
 /// Drops the suspicion that an engine has crashed.
-fn dismiss(state: &mut State, engine: &Name) {
-    state.crashes.losses.remove(engine);
+fn drop_suspicion(state: &mut State, engine: &Name) {
+    state.crashes.suspected_crashes.remove(engine);
 }
 
 /// Counts the crash of an engine against the runs that broke there.
-fn confirm(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    let Some(mut loss) = state.crashes.losses.remove(engine) else {
+fn confirm_crash(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+    let Some(mut suspicion) = state.crashes.suspected_crashes.remove(engine) else {
         return;
     };
-    loss.runs.extend(state.crashes.take_closed(engine, now));
+    suspicion.runs.extend(state.crashes.take_closed(engine, now));
     let service = state.engines.get(engine).map(|known| &known.entry.service);
     let runs_models = service.is_some_and(|service| state.pool(service).is_some());
     let suspect = |run: &Run| Suspect {
@@ -264,17 +264,17 @@
         parts: Arc::clone(&run.parts),
         answer_begun: run.begun,
     };
-    let suspects: Vec<Suspect> = loss.runs.iter().map(suspect).collect();
-    for (run, suspect) in loss.runs.iter().zip(&suspects) {
-        take_suspect(state, now, suspect, Some((run.id, engine)), out);
+    let suspects: Vec<Suspect> = suspicion.runs.iter().map(suspect).collect();
+    for (run, suspect) in suspicion.runs.iter().zip(&suspects) {
+        apply_suspect(state, now, suspect, Some((run.id, engine)), out);
     }
-    shared::strike(state, now, &suspects);
+    shared::record_crashes(state, now, &suspects);
     push::notify_crashes(state, Report { suspects, verdicts: Vec::new() }, out);
 }
 
 /// Logs that a request is refused because its content is quarantined.
 pub(crate) fn log_refusal(state: &State, id: Id, request: Fingerprint, out: &mut Vec<Effect>) {
-    note(state, request, "refused", Some(id), None, out);
+    log_crash(state, request, "refused", Some(id), None, out);
 }
 
 /// Handles a successful answer: the request does not crash engines. A failure is no evidence, since an engine
@@ -284,20 +284,20 @@
     if !against {
         return;
     }
-    let entry = Verdict { request, status: Status::Cleared { left: REMEMBERED } };
-    state.crashes.learn(entry, now);
-    note(state, request, "cleared", None, None, out);
-    push::notify_crashes(state, Report::of(vec![entry]), out);
+    let verdict = Verdict { request, status: Status::Cleared { left: EVIDENCE_TTL } };
+    state.crashes.apply_verdict(verdict, now);
+    log_crash(state, request, "cleared", None, None, out);
+    push::notify_crashes(state, Report::of(vec![verdict]), out);
 }
 
 /// Handles a message about crashes from another entry VM.
-pub(crate) fn report_received(state: &mut State, now: Time, news: Report, out: &mut Vec<Effect>) {
-    for suspect in &news.suspects {
-        take_suspect(state, now, suspect, None, out);
+pub(crate) fn report_received(state: &mut State, now: Time, report: Report, out: &mut Vec<Effect>) {
+    for suspect in &report.suspects {
+        apply_suspect(state, now, suspect, None, out);
     }
-    shared::strike(state, now, &news.suspects);
-    for entry in news.verdicts {
-        take_entry(state, now, entry, out);
+    shared::record_crashes(state, now, &report.suspects);
+    for verdict in report.verdicts {
+        apply_verdict(state, now, verdict, out);
     }
 }
 
@@ -313,12 +313,12 @@
         // After a restore from a copy, the store's clock may be that of another machine.
         let left = Duration::from_millis(until_ms - store_ms).min(QUARANTINE_MAX);
         let status = Status::Quarantined { left, times: *times };
-        take_entry(state, now, Verdict { request: *request, status }, out);
+        apply_verdict(state, now, Verdict { request: *request, status }, out);
     }
 }
 
 /// `own`: the run at this entry VM and its engine; none if another entry VM reported the run.
-fn take_suspect(
+fn apply_suspect(
     state: &mut State,
     now: Time,
     suspect: &Suspect,
@@ -329,27 +329,27 @@
         return;
     }
     let request = suspect.request;
-    let quarantines = state.crashes.count(suspect, now);
+    let quarantines = state.crashes.count_crash(suspect, now);
     let label = if quarantines { "quarantined" } else { "suspected" };
     let (id, engine) = own.unzip();
     // The entry VM that saw the crash logs each run that it broke; the others log the requests that they block
     // from now on.
     if own.is_some() || quarantines {
-        note(state, request, label, id, engine, out);
+        log_crash(state, request, label, id, engine, out);
     }
     if quarantines {
         enforce(state, now, request, out);
     }
 }
 
-fn take_entry(state: &mut State, now: Time, entry: Verdict, out: &mut Vec<Effect>) {
-    let before = state.crashes.is_quarantined(entry.request, now);
-    let begins = state.crashes.learn(entry, now);
-    match entry.status {
-        Status::Cleared { .. } if before => note(state, entry.request, "cleared", None, None, out),
+fn apply_verdict(state: &mut State, now: Time, verdict: Verdict, out: &mut Vec<Effect>) {
+    let before = state.crashes.is_quarantined(verdict.request, now);
+    let begins = state.crashes.apply_verdict(verdict, now);
+    match verdict.status {
+        Status::Cleared { .. } if before => log_crash(state, verdict.request, "cleared", None, None, out),
         Status::Quarantined { .. } if begins => {
-            note(state, entry.request, "told", None, None, out);
-            enforce(state, now, entry.request, out);
+            log_crash(state, verdict.request, "told", None, None, out);
+            enforce(state, now, verdict.request, out);
         }
         Status::Cleared { .. } | Status::Quarantined { .. } => {}
     }
@@ -359,16 +359,16 @@
 fn enforce(state: &mut State, now: Time, request: Fingerprint, out: &mut Vec<Effect>) {
     let begun = |stage: &Stage| matches!(stage, Stage::Sent { begun: true, .. });
     let holds = |flow: &Flow| flow.fingerprint == request || flow.parts.contains(&request);
-    let like = state.flows.iter().filter(|(_, flow)| holds(flow) && !begun(&flow.stage));
-    let mut like: Vec<Id> = like.map(|(id, _)| *id).collect();
-    like.sort_unstable();
-    for id in like {
+    let affected = state.flows.iter().filter(|(_, flow)| holds(flow) && !begun(&flow.stage));
+    let mut affected: Vec<Id> = affected.map(|(id, _)| *id).collect();
+    affected.sort_unstable();
+    for id in affected {
         log_refusal(state, id, request, out);
         flow::give_up(state, now, id, Code::CrashesBackends, None, out);
     }
 }
 
-fn note(
+fn log_crash(
     state: &State,
     request: Fingerprint,
     label: &'static str,
--- a/fleet/src/crash/register.rs
+++ b/fleet/src/crash/register.rs
@@ -8,7 +8,7 @@
 use boragecove_core::time::Time;
 use rustc_hash::FxHashMap;
 
-use super::parts::{Charge, Parts, STRIKES_SUSPECT, View};
+use super::parts::{Candidate, Context, Parts, SUSPECT_CRASHES};
 use super::{Quarantine, Status, Suspect, Verdict};
 use crate::record::ms;
 use crate::request::{Fingerprint, Id};
@@ -21,7 +21,7 @@
 /// call runs at many of them, and all may fail together.
 const BURST_MAX: usize = 3;
 /// Time for which evidence for or against a request is remembered if none is added.
-pub(super) const REMEMBERED: Duration = Duration::from_mins(10);
+pub(super) const EVIDENCE_TTL: Duration = Duration::from_mins(10);
 /// Duration of the first quarantine: engines may be repaired meanwhile. After it, one crash suffices for the
 /// next.
 const QUARANTINE: Duration = Duration::from_mins(10);
@@ -32,13 +32,13 @@
 /// Maximum number of stored answers that ended with their connections, and the time for which they are stored:
 /// the next request to the engine shows whether the engine still runs.
 const CLOSED_MAX: usize = 256;
-const CLOSED_KEPT: Duration = Duration::from_secs(2);
+const CLOSED_TTL: Duration = Duration::from_secs(2);
 /// Maximum number of requests that are tracked: an attacker needs a crash for each.
-const CASES_MAX: usize = 256;
+const REQUESTS_MAX: usize = 256;
 
 /// Evidence about a request or a part of prompts, and its quarantine.
 #[derive(Clone, Debug, Default)]
-struct Case {
+struct RequestRecord {
     /// Number of crashes that count.
     crashes: u32,
     /// Model engines that have crashed under the request.
@@ -50,14 +50,14 @@
     /// End of the quarantine.
     quarantined_until: Option<Time>,
     /// Time from which the evidence for the quarantine dates.
-    basis: Time,
+    evidence_since: Time,
     /// When an engine answered it successfully; none if no engine did, or if a crash has counted since.
     cleared: Option<Time>,
     /// When this record expires.
     forget_at: Time,
 }
 
-impl Case {
+impl RequestRecord {
     fn is_quarantined(&self, now: Time) -> bool {
         self.quarantined_until.is_some_and(|until| now < until)
     }
@@ -66,7 +66,7 @@
         self.times = self.times.max(times);
         self.cleared = None;
         self.quarantined_until = Some(now + left);
-        self.forget_at = now + left + left.max(REMEMBERED);
+        self.forget_at = now + left + left.max(EVIDENCE_TTL);
     }
 
     /// Whether it is quarantined or cleared; none if neither.
@@ -83,13 +83,13 @@
 
 /// Runs that broke at an engine that may have crashed, until that is decided.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Loss {
+pub(super) struct SuspectedCrash {
     pub(super) runs: Vec<Run>,
     /// This entry VM, and the others that were asked for a probe.
     pub(super) asked: Vec<Name>,
     /// Whether one of those found the engine's port closed, while another entry VM is still asked whether it
     /// reaches the engine.
-    pub(super) agreed: bool,
+    pub(super) confirmed_by_peer: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -105,22 +105,22 @@
 
 /// Whether an answer ended too long ago for a crash that is found now to have ended it.
 fn is_stale(run: &Run, now: Time) -> bool {
-    now.since(run.broke) > CLOSED_KEPT
+    now.since(run.broke) > CLOSED_TTL
 }
 
 /// Duration of the quarantine number `times`.
-fn length(times: u32) -> Duration {
+fn quarantine_length(times: u32) -> Duration {
     QUARANTINE.saturating_mul(QUARANTINE_GROWTH.saturating_pow(times.saturating_sub(1))).min(QUARANTINE_MAX)
 }
 
 /// Register of requests and shared parts of prompts under which engines have crashed.
 #[derive(Debug, Default)]
 pub struct Register {
-    cases: FxHashMap<Fingerprint, Case>,
+    records: FxHashMap<Fingerprint, RequestRecord>,
     pub(super) parts: Parts,
     /// Whether the timer for the evaluation of quarantine candidates is set.
-    judging: bool,
-    pub(super) losses: BTreeMap<Name, Loss>,
+    evaluating: bool,
+    pub(super) suspected_crashes: BTreeMap<Name, SuspectedCrash>,
     /// Runs whose answers ended with their connections, each with its engine.
     closed: VecDeque<(Name, Run)>,
     /// The hub's last digest of its quarantined and cleared requests.
@@ -130,7 +130,7 @@
 impl Register {
     /// Whether a request is quarantined.
     pub(crate) fn is_quarantined(&self, request: Fingerprint, now: Time) -> bool {
-        self.cases.get(&request).is_some_and(|case| case.is_quarantined(now))
+        self.records.get(&request).is_some_and(|record| record.is_quarantined(now))
     }
 
     /// The quarantined fingerprint that blocks a request: its own, or that of one of its parts.
@@ -146,18 +146,18 @@
 
     /// Whether one of these parts is suspected.
     pub(crate) fn has_suspected_part(&self, parts: &[Fingerprint]) -> bool {
-        parts.iter().any(|part| self.parts.strikes(*part) >= STRIKES_SUSPECT)
+        parts.iter().any(|part| self.parts.crash_count(*part) >= SUSPECT_CRASHES)
     }
 
     /// Whether an engine has crashed under a request and none has answered it since.
     pub(crate) fn is_suspected(&self, request: Fingerprint) -> bool {
-        self.cases.get(&request).is_some_and(|case| case.crashes > 0)
+        self.records.get(&request).is_some_and(|record| record.crashes > 0)
     }
 
     /// Number of quarantined requests and parts.
     #[must_use]
     pub fn quarantined_count(&self, now: Time) -> usize {
-        self.cases.values().filter(|case| case.is_quarantined(now)).count()
+        self.records.values().filter(|record| record.is_quarantined(now)).count()
     }
 
     /// Number of parts of prompts for which evidence of crashes is stored.
@@ -169,32 +169,32 @@
     /// Quarantined requests and parts in the form of the lease's row. `store_ms` is the latest time that the
     /// store's clock can show now.
     pub(crate) fn stored_quarantines(&self, now: Time, store_ms: u64) -> Vec<Quarantine> {
-        let quarantined = self.cases.iter().filter(|(_, case)| case.is_quarantined(now));
-        let kept = quarantined.map(|(request, case)| Quarantine {
+        let quarantined = self.records.iter().filter(|(_, record)| record.is_quarantined(now));
+        let kept = quarantined.map(|(request, record)| Quarantine {
             request: *request,
-            until_ms: store_ms + case.quarantined_until.map_or(0, |until| ms(until.since(now))),
-            times: case.times,
+            until_ms: store_ms + record.quarantined_until.map_or(0, |until| ms(until.since(now))),
+            times: record.times,
         });
         kept.collect()
     }
 
     /// The verdict on a request or part, if there is one.
-    pub(super) fn entry(&self, request: Fingerprint, now: Time) -> Option<Verdict> {
-        let status = self.cases.get(&request)?.status(now)?;
+    pub(super) fn verdict(&self, request: Fingerprint, now: Time) -> Option<Verdict> {
+        let status = self.records.get(&request)?.status(now)?;
         Some(Verdict { request, status })
     }
 
     /// All verdicts.
-    fn entries(&self, now: Time) -> Vec<Verdict> {
-        let known = |(request, case): (&Fingerprint, &Case)| {
-            case.status(now).map(|status| Verdict { request: *request, status })
+    fn verdicts(&self, now: Time) -> Vec<Verdict> {
+        let known = |(request, record): (&Fingerprint, &RequestRecord)| {
+            record.status(now).map(|status| Verdict { request: *request, status })
         };
-        self.cases.iter().filter_map(known).collect()
+        self.records.iter().filter_map(known).collect()
     }
 
     /// Digest of all verdicts, equal for all entry VMs with the same verdicts; 0 if there is none.
     pub(crate) fn digest(&self, now: Time) -> u64 {
-        let known = self.cases.iter().filter_map(|(request, case)| Some((request, case.status(now)?)));
+        let known = self.records.iter().filter_map(|(request, record)| Some((request, record.status(now)?)));
         let cleared = |status| matches!(status, Status::Cleared { .. });
         known.fold(0, |sum, (request, status)| sum ^ request.digest(cleared(status)))
     }
@@ -202,7 +202,7 @@
     /// Verdicts for another entry VM with this digest: all of them, or none if the digest is equal to the own
     /// one.
     pub(crate) fn verdicts_unless_equal(&self, digest: u64, now: Time) -> Vec<Verdict> {
-        if digest == self.digest(now) { Vec::new() } else { self.entries(now) }
+        if digest == self.digest(now) { Vec::new() } else { self.verdicts(now) }
     }
 
     /// Verdicts that the hub may lack.
@@ -216,47 +216,47 @@
     }
 
     /// Returns the record of a request. If there are too many, the one that expires first is evicted.
-    fn case(&mut self, request: Fingerprint, now: Time) -> &mut Case {
-        self.cases.retain(|_, case| now < case.forget_at);
-        if self.cases.len() >= CASES_MAX && !self.cases.contains_key(&request) {
-            let first = self.cases.iter().min_by_key(|(request, case)| (case.forget_at, **request));
+    fn record_of(&mut self, request: Fingerprint, now: Time) -> &mut RequestRecord {
+        self.records.retain(|_, record| now < record.forget_at);
+        if self.records.len() >= REQUESTS_MAX && !self.records.contains_key(&request) {
+            let first = self.records.iter().min_by_key(|(request, record)| (record.forget_at, **request));
             if let Some(first) = first.map(|(request, _)| *request) {
-                self.cases.remove(&first);
+                self.records.remove(&first);
             }
         }
-        self.cases.entry(request).or_default()
+        self.records.entry(request).or_default()
     }
 
     /// Counts a crash against the request of a broken run. Returns whether that quarantines the request.
-    pub(super) fn count(&mut self, suspect: &Suspect, now: Time) -> bool {
-        let case = self.case(suspect.request, now);
-        let again = now - suspect.sent_ago >= case.since;
-        if case.is_quarantined(now) || (case.cleared.is_some() && !again) {
+    pub(super) fn count_crash(&mut self, suspect: &Suspect, now: Time) -> bool {
+        let record = self.record_of(suspect.request, now);
+        let sent_again = now - suspect.sent_ago >= record.since;
+        if record.is_quarantined(now) || (record.cleared.is_some() && !sent_again) {
             return false;
         }
-        if case.crashes == 0 {
-            case.basis = now - suspect.broken_ago;
+        if record.crashes == 0 {
+            record.evidence_since = now - suspect.broken_ago;
         }
-        case.forget_at = case.forget_at.max(now + REMEMBERED);
-        if let Some(engine) = suspect.engine.as_ref().filter(|engine| !case.engines.contains(engine)) {
-            case.engines.push(engine.clone());
+        record.forget_at = record.forget_at.max(now + EVIDENCE_TTL);
+        if let Some(engine) = suspect.engine.as_ref().filter(|engine| !record.engines.contains(engine)) {
+            record.engines.push(engine.clone());
         }
-        case.cleared = None;
-        if again {
-            case.crashes += 1;
-            case.since = now - suspect.broken_ago;
+        record.cleared = None;
+        if sent_again {
+            record.crashes += 1;
+            record.since = now - suspect.broken_ago;
         }
-        let relapse = again && case.times > 0;
-        if case.crashes < CRASHES_MAX && case.engines.len() < BURST_MAX && !relapse {
+        let relapse = sent_again && record.times > 0;
+        if record.crashes < CRASHES_MAX && record.engines.len() < BURST_MAX && !relapse {
             return false;
         }
-        let times = case.times + 1;
-        case.quarantine(now, length(times), times);
+        let times = record.times + 1;
+        record.quarantine(now, quarantine_length(times), times);
         true
     }
 
     /// Stores a run whose answer ended with its connection.
-    pub(super) fn close(&mut self, engine: &Name, run: Run, now: Time) {
+    pub(super) fn store_closed(&mut self, engine: &Name, run: Run, now: Time) {
         while self.closed.len() >= CLOSED_MAX
             || self.closed.front().is_some_and(|(_, run)| is_stale(run, now))
         {
@@ -267,11 +267,14 @@
 
     /// Begins to suspect a crash if the port of an engine is closed at which answers have just ended with their
     /// connections.
-    pub(super) fn reopen(&mut self, engine: &Name, me: &Name, now: Time) {
-        if !self.losses.contains_key(engine)
+    pub(super) fn suspect_closed(&mut self, engine: &Name, me: &Name, now: Time) {
+        if !self.suspected_crashes.contains_key(engine)
             && self.closed.iter().any(|(of, run)| of == engine && !is_stale(run, now))
         {
-            self.losses.insert(engine.clone(), Loss { asked: vec![me.clone()], ..Loss::default() });
+            self.suspected_crashes.insert(
+                engine.clone(),
+                SuspectedCrash { asked: vec![me.clone()], ..SuspectedCrash::default() },
+            );
         }
     }
 
@@ -286,73 +289,90 @@
     /// Counts crashes against the shared parts of the prompts of the broken runs; those with sufficient
     /// evidence become quarantine candidates. Returns whether the periodic evaluation of candidates is to
     /// begin. `nodes`: number of entry VMs.
-    pub(super) fn strike(&mut self, suspects: &[Suspect], now: Time, nodes: usize) -> bool {
-        let Self { cases, parts, .. } = self;
-        let convicted = |of: Fingerprint| cases.get(&of).is_some_and(|case| case.is_quarantined(now));
-        let relapsed = |of: Fingerprint| cases.get(&of).is_some_and(|case| case.times > 0);
-        let view = View { now, nodes, convicted: &convicted, relapsed: &relapsed };
-        let mut struck = BTreeSet::new();
+    pub(super) fn record_crashes(&mut self, suspects: &[Suspect], now: Time, nodes: usize) -> bool {
+        let Self { records, parts, .. } = self;
+        let is_quarantined_part =
+            |of: Fingerprint| records.get(&of).is_some_and(|record| record.is_quarantined(now));
+        let quarantined_before = |of: Fingerprint| records.get(&of).is_some_and(|record| record.times > 0);
+        let context = Context {
+            now,
+            nodes,
+            is_quarantined_part: &is_quarantined_part,
+            quarantined_before: &quarantined_before,
+        };
+        let mut affected = BTreeSet::new();
         for suspect in suspects {
             let Some(engine) = &suspect.engine else { continue };
-            parts.strike(suspect, engine, &view);
-            struck.extend(suspect.parts.iter().filter(|part| !convicted(**part)));
+            parts.record_crash(suspect, engine, &context);
+            affected.extend(suspect.parts.iter().filter(|part| !is_quarantined_part(**part)));
         }
-        for part in struck {
-            parts.accuse(part, &view);
+        for part in affected {
+            parts.add_if_candidate(part, &context);
         }
-        let begins = parts.has_accused() && !self.judging;
-        self.judging |= begins;
+        let begins = parts.has_candidates() && !self.evaluating;
+        self.evaluating |= begins;
         begins
     }
 
     /// Quarantines the candidate with the strongest evidence, if it has been one for `time`, and returns it.
-    pub(super) fn convict(&mut self, time: Duration, now: Time, nodes: usize) -> Option<Fingerprint> {
-        let Self { cases, parts, .. } = self;
-        let convicted = |of: Fingerprint| cases.get(&of).is_some_and(|case| case.is_quarantined(now));
-        let relapsed = |of: Fingerprint| cases.get(&of).is_some_and(|case| case.times > 0);
-        let view = View { now, nodes, convicted: &convicted, relapsed: &relapsed };
-        let Charge { part, since, .. } = parts.ripe(time, &view)?;
-        parts.convict(part);
-        let case = self.case(part, now);
-        case.basis = since;
-        let times = case.times + 1;
-        case.quarantine(now, length(times), times);
+    pub(super) fn quarantine_next(&mut self, time: Duration, now: Time, nodes: usize) -> Option<Fingerprint> {
+        let Self { records, parts, .. } = self;
+        let is_quarantined_part =
+            |of: Fingerprint| records.get(&of).is_some_and(|record| record.is_quarantined(now));
+        let quarantined_before = |of: Fingerprint| records.get(&of).is_some_and(|record| record.times > 0);
+        let context = Context {
+            now,
+            nodes,
+            is_quarantined_part: &is_quarantined_part,
+            quarantined_before: &quarantined_before,
+        };
+        let Candidate { part, since, .. } = parts.due_candidate(time, &context)?;
+        parts.mark_quarantined(part);
+        let record = self.record_of(part, now);
+        record.evidence_since = since;
+        let times = record.times + 1;
+        record.quarantine(now, quarantine_length(times), times);
         Some(part)
     }
 
     /// Whether any candidate is left; if none is, the periodic evaluation ends.
-    pub(super) fn goes_on(&mut self) -> bool {
-        self.judging = self.parts.has_accused();
-        self.judging
+    pub(super) fn continue_evaluation(&mut self) -> bool {
+        self.evaluating = self.parts.has_candidates();
+        self.evaluating
     }
 
     /// Whether a successful answer that began at `at` refutes a quarantine.
-    pub(super) fn is_refuted(&self, of: Fingerprint, at: Time, now: Time) -> bool {
-        self.cases.get(&of).is_some_and(|case| case.is_quarantined(now) && at > case.basis)
+    pub(super) fn is_refuted_by_answer(&self, of: Fingerprint, at: Time, now: Time) -> bool {
+        self.records.get(&of).is_some_and(|record| record.is_quarantined(now) && at > record.evidence_since)
     }
 
     /// Takes over a verdict of another entry VM. Returns whether that quarantines a request that was not
     /// quarantined.
-    pub(super) fn learn(&mut self, Verdict { request, status }: Verdict, now: Time) -> bool {
-        let case = self.case(request, now);
+    pub(super) fn apply_verdict(&mut self, Verdict { request, status }: Verdict, now: Time) -> bool {
+        let record = self.record_of(request, now);
         match status {
             Status::Quarantined { left, times } => {
-                let began = now - length(times).saturating_sub(left);
-                let new = case.cleared.is_none_or(|cleared| cleared < began) && !case.is_quarantined(now);
+                let began = now - quarantine_length(times).saturating_sub(left);
+                let new = record.cleared.is_none_or(|cleared| cleared < began) && !record.is_quarantined(now);
                 if new {
-                    case.basis = began;
-                    case.quarantine(now, left.min(QUARANTINE_MAX), times);
-                    self.parts.convict(request);
+                    record.evidence_since = began;
+                    record.quarantine(now, left.min(QUARANTINE_MAX), times);
+                    self.parts.mark_quarantined(request);
                 }
                 new
             }
             Status::Cleared { left } => {
-                let left = left.min(REMEMBERED);
-                let at = now - REMEMBERED.saturating_sub(left);
+                let left = left.min(EVIDENCE_TTL);
+                let at = now - EVIDENCE_TTL.saturating_sub(left);
                 // A cleared state ends at the same time at all entry VMs: receiving it again does not prolong
                 // it. An entry VM that missed the crashes after an answer may still send it.
-                if case.cleared.is_none() && !(case.is_quarantined(now) && at <= case.basis) {
-                    *case = Case { since: now, cleared: Some(at), forget_at: now + left, ..Case::default() };
+                if record.cleared.is_none() && !(record.is_quarantined(now) && at <= record.evidence_since) {
+                    *record = RequestRecord {
+                        since: now,
+                        cleared: Some(at),
+                        forget_at: now + left,
+                        ..RequestRecord::default()
+                    };
                 }
                 self.parts.clear(request, at);
                 false
@@ -362,7 +382,7 @@
 
     /// Number of crashes that count against a request or part.
     pub(super) fn crashes(&self, request: Fingerprint) -> u32 {
-        let parts = self.parts.strikes(request) as u32;
-        self.cases.get(&request).map_or(0, |case| case.crashes).max(parts)
+        let parts = self.parts.crash_count(request) as u32;
+        self.records.get(&request).map_or(0, |record| record.crashes).max(parts)
     }
 }
--- a/fleet/src/crash/shared.rs
+++ b/fleet/src/crash/shared.rs
@@ -6,8 +6,8 @@
 
 use boragecove_core::time::Time;
 
-use super::register::REMEMBERED;
-use super::{Report, SOUND_AFTER, Status, Suspect, Verdict, enforce, note};
+use super::register::EVIDENCE_TTL;
+use super::{Report, SOUND_AFTER, Status, Suspect, Verdict, enforce, log_crash};
 use crate::effect::Effect;
 use crate::push;
 use crate::request::{Arrival, Fingerprint, Id};
@@ -16,12 +16,12 @@
 
 /// Maximum delay before a message that clears a part, and the delay for each entry VM: the more entry VMs there
 /// are, the more may observe the same success at once.
-const TELL_WITHIN: Duration = Duration::from_millis(500);
-const TELL_STEP: Duration = Duration::from_millis(5);
+const ANNOUNCE_DELAY_MAX: Duration = Duration::from_millis(500);
+const ANNOUNCE_DELAY_PER_VM: Duration = Duration::from_millis(5);
 /// Time within which a message of one entry VM has reached all others.
-const HEARD_WITHIN: Duration = Duration::from_millis(200);
+const DELIVERY_TIME: Duration = Duration::from_millis(200);
 /// Interval between evaluations of quarantine candidates.
-const JUDGE_EVERY: Duration = Duration::from_millis(50);
+const EVALUATE_EVERY: Duration = Duration::from_millis(50);
 
 /// Fingerprints of the parts that a request's prompt shares with others: each part is followed by the
 /// combination of the part and the model, since a part may crash engines with one model only.
@@ -39,13 +39,13 @@
         return;
     }
     let parts = Arc::clone(&flow.parts);
-    state.crashes.parts.serve(now);
+    state.crashes.parts.record_success(now);
     for part in parts.iter().copied() {
-        let tells = state.crashes.parts.answer(part, began, now);
-        if state.crashes.is_refuted(part, began, now) {
+        let announces = state.crashes.parts.record_successful_answer(part, began, now);
+        if state.crashes.is_refuted_by_answer(part, began, now) {
             clear(state, now, part, began, out);
-        } else if tells {
-            let delay = tell_delay(state);
+        } else if announces {
+            let delay = announce_delay(state);
             state.timers.set(now + delay, Timer::AnnounceCleared(part));
         }
     }
@@ -61,62 +61,62 @@
 /// Records that an answer has begun.
 pub(crate) fn answer_began(state: &mut State, now: Time, id: Id) {
     if let Some(flow) = state.flows.get(&id) {
-        state.crashes.parts.begin(&flow.parts, now);
+        state.crashes.parts.record_begin(&flow.parts, now);
     }
 }
 
 /// Sends the message that clears a part after its random delay, unless the others know already.
 pub(crate) fn announce_cleared(state: &mut State, now: Time, part: Fingerprint, out: &mut Vec<Effect>) {
-    if let Some(began) = state.crashes.parts.told(part) {
+    if let Some(began) = state.crashes.parts.announcement_due(part) {
         clear(state, now, part, began, out);
     }
 }
 
 fn clear(state: &mut State, now: Time, part: Fingerprint, began: Time, out: &mut Vec<Effect>) {
-    let left = REMEMBERED.saturating_sub(now.since(began));
-    let entry = Verdict { request: part, status: Status::Cleared { left } };
-    state.crashes.learn(entry, now);
-    note(state, part, "cleared", None, None, out);
-    push::notify_crashes(state, Report::of(vec![entry]), out);
+    let left = EVIDENCE_TTL.saturating_sub(now.since(began));
+    let verdict = Verdict { request: part, status: Status::Cleared { left } };
+    state.crashes.apply_verdict(verdict, now);
+    log_crash(state, part, "cleared", None, None, out);
+    push::notify_crashes(state, Report::of(vec![verdict]), out);
 }
 
 /// Maximum delay of a message about something that many entry VMs may observe at once.
-fn tell_within(state: &State) -> Duration {
+fn announce_delay_max(state: &State) -> Duration {
     let nodes = state.members.list().len().max(2) as u32;
-    TELL_WITHIN.min(TELL_STEP.saturating_mul(nodes))
+    ANNOUNCE_DELAY_MAX.min(ANNOUNCE_DELAY_PER_VM.saturating_mul(nodes))
 }
 
 /// Random delay of such a message. Few entry VMs draw a short delay, so that one or two messages reach the
 /// others before they send their own. The delay has the distribution of exponentially distributed feedback
 /// timers (Nonnenmacher and Biersack).
-fn tell_delay(state: &mut State) -> Duration {
+fn announce_delay(state: &mut State) -> Duration {
     let nodes = state.members.list().len().max(2) as f64;
     let drawn = state.rng.f64();
-    tell_within(state).mul_f64(1.0 - (1.0 + drawn * (nodes - 1.0)).ln() / nodes.ln())
+    announce_delay_max(state).mul_f64(1.0 - (1.0 + drawn * (nodes - 1.0)).ln() / nodes.ln())
 }
 
 /// Counts a crash against the shared parts of the prompts of the runs that it broke.
-pub(super) fn strike(state: &mut State, now: Time, suspects: &[Suspect]) {
+pub(super) fn record_crashes(state: &mut State, now: Time, suspects: &[Suspect]) {
     let nodes = state.members.list().len();
-    if state.crashes.strike(suspects, now, nodes) {
-        state.timers.set(now + JUDGE_EVERY, Timer::EvaluateParts);
+    if state.crashes.record_crashes(suspects, now, nodes) {
+        state.timers.set(now + EVALUATE_EVERY, Timer::EvaluateParts);
     }
 }
 
 /// Evaluates the quarantine candidates and quarantines those whose waiting time is over.
 pub(crate) fn evaluate_accused(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let nodes = state.members.list().len();
-    let time = SOUND_AFTER + tell_within(state) + HEARD_WITHIN;
-    let mut entries = Vec::new();
-    while let Some(part) = state.crashes.convict(time, now, nodes) {
-        note(state, part, "quarantined", None, None, out);
+    let time = SOUND_AFTER + announce_delay_max(state) + DELIVERY_TIME;
+    let mut verdicts = Vec::new();
+    while let Some(part) = state.crashes.quarantine_next(time, now, nodes) {
+        log_crash(state, part, "quarantined", None, None, out);
         enforce(state, now, part, out);
-        entries.extend(state.crashes.entry(part, now));
+        verdicts.extend(state.crashes.verdict(part, now));
     }
-    if !entries.is_empty() {
-        push::notify_crashes(state, Report::of(entries), out);
+    if !verdicts.is_empty() {
+        push::notify_crashes(state, Report::of(verdicts), out);
     }
-    if state.crashes.goes_on() {
-        state.timers.set(now + JUDGE_EVERY, Timer::EvaluateParts);
+    if state.crashes.continue_evaluation() {
+        state.timers.set(now + EVALUATE_EVERY, Timer::EvaluateParts);
     }
 }
--- a/fleet/src/demand.rs
+++ b/fleet/src/demand.rs
@@ -160,8 +160,8 @@
     /// Updates the smoothed values from the current demand of all entry VMs.
     pub fn update<'a>(&mut self, now: Time, demands: impl Iterator<Item = &'a Demand>) {
         let before = std::mem::replace(&mut self.at, now);
-        let past = now.since(before).as_secs_f64();
-        let keep = (-past / HALF_LIFE.as_secs_f64()).exp2();
+        let elapsed = now.since(before).as_secs_f64();
+        let keep = (-elapsed / HALF_LIFE.as_secs_f64()).exp2();
         let mut sums: FxHashMap<Target, Sum> = FxHashMap::default();
         for demand in demands {
             if demand.target.adapter.is_some() && demand.open + demand.waiting > 0 {
@@ -184,8 +184,8 @@
         }
         for (target, trend) in &mut self.models {
             let Sum { open, waiting, arrived } = sums.get(target).copied().unwrap_or_default();
-            let blend = |old: f64, new: f64| keep.mul_add(old - new, new);
-            trend.concurrency = blend(trend.concurrency, f64::from(open + waiting));
+            let smooth = |old: f64, new: f64| keep.mul_add(old - new, new);
+            trend.concurrency = smooth(trend.concurrency, f64::from(open + waiting));
             trend.waiting = waiting;
             trend.starved_for = match (waiting, open) {
                 (_, 1..) => Duration::ZERO,
@@ -197,7 +197,7 @@
                 self.first.get_or_insert(now);
             }
             trend.reading_load =
-                blend(trend.reading_load, arrived.work_us as f64 / 1_000_000.0 / past.max(0.001));
+                smooth(trend.reading_load, arrived.work_us as f64 / 1_000_000.0 / elapsed.max(0.001));
         }
     }
 
--- a/fleet/src/holdings.rs
+++ b/fleet/src/holdings.rs
@@ -1,4 +1,4 @@
-//! Inventory of one engine: its copies of models and adapters, the order under way and the queued orders.
+//! Holdings of one engine: its copies of models and adapters, the order under way and the queued orders.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,21 +15,21 @@
 /// Maximum number of queued orders of one engine.
 const QUEUE_MAX: usize = 6;
 /// Maximum number of adapters that an engine loads at the same time.
-const FETCHES_MAX: usize = 4;
+const ADAPTER_LOADS_MAX: usize = 4;
 
-/// Inventory of one engine.
+/// Holdings of one engine.
 #[derive(Debug, Default)]
 pub(crate) struct Holdings {
-    /// Incarnation of the engine that the inventory describes.
+    /// Incarnation of the engine that the holdings describe.
     pub(crate) incarnation: Incarnation,
     /// Number of orders that the engine has accepted; none while it is not known.
     pub(crate) sequence: Option<u64>,
     pub(crate) copies: Vec<ModelCopy>,
     pub(crate) pending: Option<Pending>,
     pub(crate) queue: VecDeque<Order>,
-    pub(crate) check_at: Option<Time>,
-    /// Time of the earliest timer that is set for this inventory.
-    pub(crate) wakes_at: Option<Time>,
+    pub(crate) ask_at: Option<Time>,
+    /// Time of the earliest timer that is set for this engine.
+    pub(crate) timer_at: Option<Time>,
     pub(crate) report_pending: bool,
     pub(crate) changed_version: u64,
 }
@@ -44,7 +44,7 @@
 
 /// Time after sending within which an engine may still carry out an unanswered order. The platform says that
 /// this can take seconds and names no bound; 15 s is a conservative estimate.
-const LATE_MAX: Duration = Duration::from_secs(15);
+const UNANSWERED_MAX: Duration = Duration::from_secs(15);
 
 /// A load order that was not answered. An engine that restarts under its id counts its orders from zero again,
 /// and may carry out a load that was meant for its earlier incarnation once it has accepted the same number of
@@ -62,21 +62,21 @@
 
 impl Unanswered {
     pub(crate) fn new(now: Time, order: Order, sequence: u64, incarnation: Incarnation) -> Self {
-        Self { order, sequence, incarnation, until: now + LATE_MAX }
+        Self { order, sequence, incarnation, until: now + UNANSWERED_MAX }
     }
 
     /// Whether the engine could carry out this load as well after `order`, and would then exceed its memory or
     /// its number of adapters.
-    pub(crate) fn overfills(&self, book: &Holdings, order: &Order, pool: &Pool) -> bool {
-        let follows = book.sequence.is_some_and(|sequence| sequence + 1 == self.sequence);
-        if self.incarnation == book.incarnation || !follows {
+    pub(crate) fn overfills(&self, holdings: &Holdings, order: &Order, pool: &Pool) -> bool {
+        let follows = holdings.sequence.is_some_and(|sequence| sequence + 1 == self.sequence);
+        if self.incarnation == holdings.incarnation || !follows {
             return false;
         }
         let both = [order, &self.order];
         let memory_mb: f64 = both.into_iter().map(|order| order.memory_mb(pool)).sum();
         let adapters = both.into_iter().filter(|order| matches!(order, Order::LoadAdapter { .. })).count();
-        book.memory_mb(pool) + memory_mb > pool.memory_mb
-            || book.adapters().count() + adapters > pool.adapters_max as usize
+        holdings.memory_mb(pool) + memory_mb > pool.memory_mb
+            || holdings.adapters().count() + adapters > pool.adapters_max as usize
     }
 }
 
@@ -99,20 +99,20 @@
 impl Holdings {
     pub(crate) fn new(entry: &Entry, fresh: bool, now: Time) -> Self {
         let sequence = fresh.then_some(0);
-        let check_at = sequence.is_none().then_some(now);
-        let mut book = Self { incarnation: entry.incarnation, sequence, check_at, ..Self::default() };
-        book.adopt(&entry.held);
-        book
+        let ask_at = sequence.is_none().then_some(now);
+        let mut holdings = Self { incarnation: entry.incarnation, sequence, ask_at, ..Self::default() };
+        holdings.adopt(&entry.held);
+        holdings
     }
 
-    /// Inventory of an engine that has just restarted; a report is due to learn which orders it has accepted
+    /// Holdings of an engine that has just restarted; a report is due to learn which orders it has accepted
     /// since.
     pub(crate) fn restarted(incarnation: Incarnation, now: Time) -> Self {
-        Self { incarnation, check_at: Some(now), ..Self::default() }
+        Self { incarnation, ask_at: Some(now), ..Self::default() }
     }
 
-    /// Whether the inventory is valid. A new leader fills it from the engine's entry, which omits adapters that
-    /// were loaded since; it is not valid until the engine has sent a report.
+    /// Whether the holdings are valid. A new hub fills them from the engine's entry, which omits adapters that
+    /// were loaded since; they are not valid until the engine has sent a report.
     pub(crate) fn is_known(&self) -> bool {
         self.sequence.is_some() || self.changed_version > 0
     }
@@ -135,7 +135,7 @@
     /// order.
     pub(crate) fn due_times(&self) -> impl Iterator<Item = Time> {
         let ready = self.copies.iter().flat_map(|copy| &copy.adapters).filter_map(|held| held.ready_at);
-        ready.chain(self.check_at)
+        ready.chain(self.ask_at)
     }
 
     /// Models with the phase of each copy.
@@ -147,11 +147,11 @@
     pub(crate) fn expects_adapter(&self, model: &Name, adapter: &Name) -> bool {
         let loads = |order: &Order| matches!(order, Order::LoadAdapter { model: of, adapter: name } if of == model && name == adapter);
         self.copy_of(model).is_some_and(|copy| copy.adapters.iter().any(|held| held.name == *adapter))
-            || self.decided().any(loads)
+            || self.queued_and_pending().any(loads)
     }
 
     /// The queued orders, and the one under way.
-    fn decided(&self) -> impl Iterator<Item = &Order> {
+    fn queued_and_pending(&self) -> impl Iterator<Item = &Order> {
         self.queue.iter().chain(self.pending.iter().map(|pending| &pending.order))
     }
 
@@ -168,7 +168,7 @@
     /// Models whose copies are present or expected, with their phases. A queued load that waits for room counts
     /// as loading.
     pub(crate) fn copies_expected(&self) -> impl Iterator<Item = (&Name, Phase)> {
-        let loads = self.decided().filter_map(|order| match order {
+        let loads = self.queued_and_pending().filter_map(|order| match order {
             Order::Load { model } => Some((model, Phase::Loading)),
             Order::Unload { .. } | Order::LoadAdapter { .. } | Order::UnloadAdapter { .. } => None,
         });
@@ -183,7 +183,7 @@
     /// Number of adapter places in use once all queued orders and the one under way are done.
     pub(crate) fn adapters_expected(&self) -> usize {
         let mut places = self.adapters().count();
-        for order in self.decided() {
+        for order in self.queued_and_pending() {
             match order {
                 Order::LoadAdapter { .. } => places += 1,
                 Order::UnloadAdapter { .. } => places = places.saturating_sub(1),
@@ -195,7 +195,7 @@
 
     /// Whether an order to unload the adapter is queued or under way.
     pub(crate) fn drops_adapter(&self, model: &Name, adapter: &Name) -> bool {
-        self.decided().any(|order| {
+        self.queued_and_pending().any(|order| {
             matches!(order, Order::UnloadAdapter { model: of, adapter: name } if of == model && name == adapter)
         })
     }
@@ -275,7 +275,7 @@
                 ready
                     && !self.is_switching_models()
                     && held < pool.adapters_max as usize
-                    && self.fetching() < FETCHES_MAX
+                    && self.loading_adapters() < ADAPTER_LOADS_MAX
                     && pool.model(model).is_some_and(|model| model.adapter_mb <= free)
             }
             Order::UnloadAdapter { model, adapter } => {
@@ -294,7 +294,8 @@
             if self.permits(next, pool) && !late.iter().any(|late| late.overfills(self, next, pool)) {
                 return Some(next.clone());
             }
-            let fetches = matches!(next, Order::LoadAdapter { .. }) && self.fetching() >= FETCHES_MAX;
+            let fetches =
+                matches!(next, Order::LoadAdapter { .. }) && self.loading_adapters() >= ADAPTER_LOADS_MAX;
             if self.is_switching_models() || fetches {
                 return None;
             }
@@ -304,7 +305,7 @@
     }
 
     /// Number of adapters that the engine is loading.
-    fn fetching(&self) -> usize {
+    fn loading_adapters(&self) -> usize {
         let adapters = self.copies.iter().flat_map(|copy| &copy.adapters);
         adapters.filter(|adapter| adapter.ready_at.is_some()).count()
     }
@@ -320,7 +321,7 @@
 
     /// Applies an order that the engine has accepted. `expected` and `adapter_ready` are the expected load
     /// times of a model and of an adapter.
-    pub(crate) fn apply_accepted(
+    pub(crate) fn apply_order(
         &mut self,
         now: Time,
         order: &Order,
@@ -336,13 +337,13 @@
                     since: Time::default(),
                     adapters: Vec::new(),
                 });
-                self.check_at = Some(now + expected + REPORT_LAG);
+                self.ask_at = Some(now + expected + REPORT_LAG);
             }
             Order::Unload { model } => {
                 if let Some(copy) = self.copy_of_mut(model) {
                     copy.phase = Phase::Closing;
                 }
-                self.check_at = Some(now + REPORT_LAG);
+                self.ask_at = Some(now + REPORT_LAG);
             }
             Order::LoadAdapter { model, adapter } => {
                 let ready_at = Some(now + adapter_ready);
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -33,21 +33,21 @@
 use crate::state::State;
 use crate::timer::Timer;
 pub use holding::Lease;
-use holding::{Held, Sample};
+use holding::{ClockSample, Held};
 pub use row::{Answer, Call, Outcome, Predecessor, Row, Versioned, era_of, first_term};
 
 /// Minimum difference between the start times of two processes, in ms, for the later one to count as restarted
 /// since: all entry VMs of a deployment may start within a second.
-const RESTARTED_MS: u64 = 1_000;
+const RESTART_GAP_MS: u64 = 1_000;
 /// Rate at which entry VMs send a new hub their first frame, per second: half of the 200 frames per second that
-/// a hub answers in normal operation, since its first answer to each contains the inventory of every engine.
-const GREETINGS_PER_S: f64 = 100.0;
+/// a hub answers in normal operation, since its first answer to each contains the holdings of every engine.
+const FIRST_FRAMES_PER_S: f64 = 100.0;
 /// Time for which a process that reaches engines only through other entry VMs leaves a free lease to them. It
 /// takes the lease after that, since the engines may be down for all.
 const CUT_OFF_WAIT: Duration = Duration::from_secs(4);
 /// Time for which a released lease is left to processes that were restarted after its holder, in ms: others may
 /// be the next to stop in a rolling restart. Just over one interval between reads of the lease.
-const YIELD_MS: u64 = 500;
+const RELEASED_WAIT_MS: u64 = 500;
 
 /// Reads, takes or renews the lease when its timer fires.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
@@ -65,9 +65,9 @@
     let held = state.lease.held.clone();
     if let Some(held) = held.filter(|held| held.version.era == state.lease.era) {
         if path::is_cut_off(state) && !state.members.is_alone(&state.me.vm) {
-            return hand_on(state, now, out);
+            return hand_over(state, now, out);
         }
-        propose(state, now);
+        prepare_row(state, now);
         let row = own_row(state, now, held.term, held.former, state.stopping);
         call(state, now, Call::Write { expected: held.version, row }, out);
         return;
@@ -82,7 +82,7 @@
 /// of this process counts. The holder of the lease takes the new era's row at once.
 pub(crate) fn era_advanced(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.lease.era = state.era.number();
-    state.lease.tried = None;
+    state.lease.last_write = None;
     state.lease.clock = None;
     if state.lease.held.is_some() {
         due(state, now, out);
@@ -91,13 +91,13 @@
 
 /// Sets the timer of the next read or renewal of the lease, in place of the one that was set.
 fn schedule(state: &mut State, at: Time) {
-    if let Some(before) = state.lease.next.take() {
+    if let Some(before) = state.lease.timer.take() {
         state.timers.cancel(before);
     }
-    state.lease.next = Some(state.timers.set(at, Timer::Lease));
+    state.lease.timer = Some(state.timers.set(at, Timer::Lease));
 }
 
-/// Reads the lease if this process has no configuration or no list of entries yet, to send its first frame to
+/// Reads the lease if this process has no configuration or no list of engines yet, to send its first frame to
 /// the holder.
 pub(crate) fn find_hub(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let held = state.lease.held.is_some() || state.lease.pending.is_some();
@@ -107,8 +107,8 @@
 }
 
 /// Releases the lease because this process does not reach the engines and other entry VMs do.
-fn hand_on(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    note(state, "handed_on", 0, out);
+fn hand_over(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    log_lease(state, "handed_on", 0, out);
     release(state, now, out);
     quota::end(state);
     budget::end(state);
@@ -118,14 +118,14 @@
 pub(crate) fn release(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let held = state.lease.held.take();
     if let Some(held) = held.filter(|held| held.version.era == state.lease.era) {
-        propose(state, now);
+        prepare_row(state, now);
         let row = own_row(state, now, held.term, held.former, true);
         call(state, now, Call::Write { expected: held.version, row }, out);
     }
 }
 
 /// Prepares the state that the row is about to record.
-fn propose(state: &mut State, now: Time) {
+fn prepare_row(state: &mut State, now: Time) {
     quota::fill_row(state, now);
     budget::fill_row(state);
 }
@@ -133,13 +133,13 @@
 fn own_row(state: &State, now: Time, term: u64, former: Option<Predecessor>, released: bool) -> Row {
     // A process that releases the lease sends no more orders.
     let over = if released { now } else { now + state.settings.lease_length };
-    let until_ms = state.lease.clock.map_or(u64::MAX, |clock| clock.at_most(over));
+    let until_ms = state.lease.clock.map_or(u64::MAX, |clock| clock.latest_at(over));
     let started_ms = started_ms(state);
     let (holder, address) = (state.me.vm.clone(), state.me.address);
-    let kept = state.lease.clock.map(|clock| state.crashes.stored_quarantines(now, clock.at_most(now)));
+    let kept = state.lease.clock.map(|clock| state.crashes.stored_quarantines(now, clock.latest_at(now)));
     let quarantine = kept.unwrap_or_default();
     let clock = state.lease.clock;
-    let ms_of = |time| clock.map_or(u64::MAX, |clock| clock.at_most(time));
+    let ms_of = |time| clock.map_or(u64::MAX, |clock| clock.latest_at(time));
     let outstanding = Box::new(quota::outstanding(state, now, ms_of));
     let repeats = budget::row_counts(state, now);
     let builds = state.history.report(now).map(Box::new);
@@ -164,7 +164,7 @@
 
 fn call(state: &mut State, now: Time, call: Call, out: &mut Vec<Effect>) {
     if let Call::Write { row, .. } = &call {
-        state.lease.tried = Some((now, row.clone()));
+        state.lease.last_write = Some((now, row.clone()));
     }
     state.lease.pending = Some((now, call.clone()));
     out.push(Effect::Lease(call));
@@ -175,22 +175,29 @@
     let Some((sent, asked)) = state.lease.pending.take() else {
         return;
     };
-    let answer = of_this_era(state, now, answer, &asked, out);
+    let answer = accept_current_era(state, now, answer, &asked, out);
     if state.lease.pending.is_some() {
         // The call to read or write the new era's row has been sent already.
         return;
     }
     if let Some(store_ms) = answer.store_ms {
         state.store_answered_at = now;
-        state.lease.clock = Some(Sample { store_ms, asked: sent, answered: now });
+        state.lease.clock = Some(ClockSample { store_ms, asked: sent, answered: now });
     }
     match (answer.outcome, asked) {
         (Outcome::Read(seen) | Outcome::Conflict(seen), _) => {
-            read(state, now, seen, answer.store_ms.unwrap_or_default(), out);
+            row_read(state, now, seen, answer.store_ms.unwrap_or_default(), out);
         }
         (Outcome::Written(version), Call::Write { row, .. }) => {
             let version = Revision::new(state.lease.era, version);
-            written(state, now, sent, Versioned { version, row }, answer.store_ms.unwrap_or_default(), out);
+            row_written(
+                state,
+                now,
+                sent,
+                Versioned { version, row },
+                answer.store_ms.unwrap_or_default(),
+                out,
+            );
         }
         // If the answer to a write was lost, the next read shows whether the write was done.
         (Outcome::Unknown, Call::Write { .. }) => call(state, now, Call::Read, out),
@@ -200,7 +207,13 @@
 
 /// Returns the answer if it is of the newest known era, and an unknown outcome otherwise: a late answer of an
 /// earlier era carries no information, and a row that was written meanwhile into an earlier era is no lease.
-fn of_this_era(state: &mut State, now: Time, answer: Answer, asked: &Call, out: &mut Vec<Effect>) -> Answer {
+fn accept_current_era(
+    state: &mut State,
+    now: Time,
+    answer: Answer,
+    asked: &Call,
+    out: &mut Vec<Effect>,
+) -> Answer {
     let unknown = Answer { store_ms: None, era: answer.era, outcome: Outcome::Unknown };
     let Some(era) = answer.era else {
         return unknown;
@@ -210,10 +223,10 @@
     if era::is_outdated(state, era) || written_before { unknown } else { answer }
 }
 
-fn read(state: &mut State, now: Time, seen: Option<Versioned>, store_ms: u64, out: &mut Vec<Effect>) {
+fn row_read(state: &mut State, now: Time, seen: Option<Versioned>, store_ms: u64, out: &mut Vec<Effect>) {
     let seen = match seen {
         Some(seen) if seen.version.era == state.lease.era => seen,
-        past => return vacant(state, now, past.as_ref(), store_ms, out),
+        past => return row_missing(state, now, past.as_ref(), store_ms, out),
     };
     if seen.row.settled {
         state.era.mark_old(now);
@@ -221,11 +234,11 @@
     crash::restore_quarantine(state, now, &seen.row.quarantine, store_ms, out);
     inherit_builds(state, now, &seen.row, store_ms);
     let mine = seen.row.holder == state.me.vm;
-    if let Some((sent, row)) = state.lease.tried.clone()
+    if let Some((sent, row)) = state.lease.last_write.clone()
         && seen.row == row
     {
         // The last write was done although its answer was lost.
-        written(state, now, sent, seen, store_ms, out);
+        row_written(state, now, sent, seen, store_ms, out);
         return;
     }
     let before = state.lease.seen.replace(seen.clone()).map(|seen| seen.row.holder);
@@ -234,12 +247,12 @@
             held.version = seen.version;
             quota::row_holders_read(state, &seen.row.outstanding.holders);
         } else {
-            lost(state, out);
+            lease_lost(state, out);
         }
         return;
     }
     if before.is_some_and(|before| before != seen.row.holder) {
-        note(state, "seen", 0, out);
+        log_lease(state, "seen", 0, out);
     }
     if state.stopping {
         return;
@@ -248,12 +261,12 @@
         frame::send(state, now, out);
     }
     let over = store_ms > seen.row.until_ms.saturating_add(ms(state.settings.lease_margin));
-    let free = over || (seen.row.released && !yields(state, &seen.row, store_ms));
+    let free = over || (seen.row.released && !leaves_to_restarted(state, &seen.row, store_ms));
     if (mine && !seen.row.released) || (free && !defers(state, now, seen.version)) {
         let former = seen.row.orderer(state.settings.order_gap, store_ms);
         quota::inherit(state, &seen.row.outstanding);
         budget::inherit(state, seen.row.repeats.as_deref(), seen.row.released);
-        propose(state, now);
+        prepare_row(state, now);
         let row = own_row(state, now, seen.row.term + 1, former, false);
         call(state, now, Call::Write { expected: seen.version, row }, out);
     }
@@ -273,7 +286,7 @@
 
 /// Handles a missing row of the current era. The copy that the store was restored from may have a row of an
 /// earlier era.
-fn vacant(state: &mut State, now: Time, past: Option<&Versioned>, store_ms: u64, out: &mut Vec<Effect>) {
+fn row_missing(state: &mut State, now: Time, past: Option<&Versioned>, store_ms: u64, out: &mut Vec<Effect>) {
     if let Some(past) = past {
         crash::restore_quarantine(state, now, &past.row.quarantine, store_ms, out);
     }
@@ -281,12 +294,12 @@
     let term = first_term(expected.era);
     if let Some(held) = state.lease.held.clone() {
         if now < held.until {
-            propose(state, now);
+            prepare_row(state, now);
             let row = own_row(state, now, term, held.former, false);
             call(state, now, Call::Write { expected, row }, out);
             return;
         }
-        lost(state, out);
+        lease_lost(state, out);
     }
     if state.stopping || (state.settings.weak && now.since(state.started) < state.settings.weak_wait) {
         return;
@@ -294,7 +307,7 @@
     if expected.era == 0 {
         budget::inherit_nothing(state);
         state.history.mark_complete();
-        propose(state, now);
+        prepare_row(state, now);
         let row = own_row(state, now, term, None, false);
         call(state, now, Call::Write { expected, row }, out);
         return;
@@ -310,7 +323,7 @@
     let former = Predecessor { holder: Name::default(), until_ms };
     quota::inherit_unknown(state, store_ms);
     budget::inherit(state, None, false);
-    propose(state, now);
+    prepare_row(state, now);
     let row = own_row(state, now, term, Some(former), false);
     call(state, now, Call::Write { expected, row }, out);
 }
@@ -327,7 +340,7 @@
     } else {
         return false;
     };
-    let (_, since) = *state.lease.free.insert(match state.lease.free {
+    let (_, since) = *state.lease.free_since.insert(match state.lease.free_since {
         Some((seen, since)) if seen == version => (seen, since),
         _ => (version, now),
     });
@@ -340,13 +353,20 @@
 }
 
 /// Whether this process leaves a released lease to restarted processes for now.
-fn yields(state: &State, row: &Row, store_ms: u64) -> bool {
-    let restarted = started_ms(state) > row.started_ms + RESTARTED_MS;
-    !restarted && store_ms < row.until_ms.saturating_add(YIELD_MS)
+fn leaves_to_restarted(state: &State, row: &Row, store_ms: u64) -> bool {
+    let restarted = started_ms(state) > row.started_ms + RESTART_GAP_MS;
+    !restarted && store_ms < row.until_ms.saturating_add(RELEASED_WAIT_MS)
 }
 
 /// Handles a write of this process that the store has done.
-fn written(state: &mut State, now: Time, sent: Time, new: Versioned, store_ms: u64, out: &mut Vec<Effect>) {
+fn row_written(
+    state: &mut State,
+    now: Time,
+    sent: Time,
+    new: Versioned,
+    store_ms: u64,
+    out: &mut Vec<Effect>,
+) {
     let term = new.row.term;
     let version = new.version;
     let former = new.row.former.clone();
@@ -355,7 +375,7 @@
     state.lease.seen = Some(new);
     if state.stopping || released {
         state.lease.held = None;
-        state.lease.tried = None;
+        state.lease.last_write = None;
         return;
     }
     let until = sent + state.settings.lease_length;
@@ -373,26 +393,26 @@
         *held = Held { version, term, until, ..held.clone() };
         quota::row_holders_read(state, &named);
         budget::row_written(state);
-        note(state, "kept", state.lease.orders_allowed_in(now).map_or(0, ms), out);
+        log_lease(state, "kept", state.lease.orders_allowed_in(now).map_or(0, ms), out);
         return;
     }
-    let orders_from = now + gap(state, former.as_ref(), store_ms);
+    let orders_from = now + remaining_order_gap(state, former.as_ref(), store_ms);
     state.lease.held = Some(Held { version, term, taken: term, until, orders_from, former });
-    note(state, "taken", ms(orders_from.since(now)), out);
+    log_lease(state, "taken", ms(orders_from.since(now)), out);
     state.ledger.begin(term == 1);
     // With hundreds of entry VMs, reads are seconds apart, and the lease would expire before the next one.
     schedule(state, now + state.settings.lease_renew);
     frame::inherit_members(state, now);
     // The previous lease had expired before this one could be taken.
     let clock = state.lease.clock;
-    quota::begin(state, now, &named, sent, |ms| clock.map_or(now + LEASE, |clock| clock.no_earlier(ms)));
+    quota::begin(state, now, &named, sent, |ms| clock.map_or(now + LEASE, |clock| clock.earliest_at(ms)));
     budget::begin(state, now);
     push::announce_hub(state, out);
     frame::follow(state, now, out);
 }
 
 /// Time for which this process still has to wait after another machine's last possible order.
-fn gap(state: &State, former: Option<&Predecessor>, store_ms: u64) -> Duration {
+fn remaining_order_gap(state: &State, former: Option<&Predecessor>, store_ms: u64) -> Duration {
     match former {
         Some(former) if former.holder != state.me.vm => {
             let over = Duration::from_millis(store_ms.saturating_sub(former.until_ms));
@@ -412,21 +432,21 @@
     }
     let version = Revision::new(era_of(hub.term), 0);
     state.lease.seen = Some(Versioned { version, row: hub });
-    note(state, "told", 0, out);
+    log_lease(state, "told", 0, out);
     frame::abandon_frame(state);
-    let wait = Duration::from_secs_f64(f64::from(state.hub.nodes) / GREETINGS_PER_S * state.rng.f64());
+    let wait = Duration::from_secs_f64(f64::from(state.hub.nodes) / FIRST_FRAMES_PER_S * state.rng.f64());
     state.timers.set(now + wait, Timer::FrameToNewHub);
 }
 
-fn lost(state: &mut State, out: &mut Vec<Effect>) {
+fn lease_lost(state: &mut State, out: &mut Vec<Effect>) {
     if state.lease.held.take().is_some() {
         quota::end(state);
         budget::end(state);
-        note(state, "lost", 0, out);
+        log_lease(state, "lost", 0, out);
     }
 }
 
-fn note(state: &State, label: &'static str, orders_in_ms: u64, out: &mut Vec<Effect>) {
+fn log_lease(state: &State, label: &'static str, orders_in_ms: u64, out: &mut Vec<Effect>) {
     let (holder, term) = state.lease.hub().map_or((Name::default(), 0), |row| (row.holder.clone(), row.term));
     out.push(Effect::Record(Record::Lease {
         state: label,
--- a/fleet/src/lease/holding.rs
+++ b/fleet/src/lease/holding.rs
@@ -17,19 +17,19 @@
     /// The call to the store under way, with the time at which it was sent.
     pub(super) pending: Option<(Time, Call)>,
     /// The last write, with the time at which it was sent; the store may have done it even if no answer came.
-    pub(super) tried: Option<(Time, Row)>,
-    pub(super) clock: Option<Sample>,
+    pub(super) last_write: Option<(Time, Row)>,
+    pub(super) clock: Option<ClockSample>,
     /// The version of a row that was free when read, and the time of the first such read.
-    pub(super) free: Option<(Revision, Time)>,
+    pub(super) free_since: Option<(Revision, Time)>,
     /// Current era of the store.
     pub(super) era: u64,
     /// The timer of the next read or renewal.
-    pub(super) next: Option<Handle>,
+    pub(super) timer: Option<Handle>,
 }
 
 /// A sample of the store's clock.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Sample {
+pub(super) struct ClockSample {
     /// Time of the store's clock, in ms.
     pub(super) store_ms: u64,
     /// Send time of the call: the clock showed `store_ms` no earlier.
@@ -38,14 +38,14 @@
     pub(super) answered: Time,
 }
 
-impl Sample {
+impl ClockSample {
     /// The latest time that the store's clock can show at `time`, in ms.
-    pub(super) fn at_most(self, time: Time) -> u64 {
+    pub(super) fn latest_at(self, time: Time) -> u64 {
         self.store_ms + ms(time.since(self.asked))
     }
 
     /// Process time at which the store's clock shows `store_ms` or later.
-    pub(super) fn no_earlier(self, store_ms: u64) -> Time {
+    pub(super) fn earliest_at(self, store_ms: u64) -> Time {
         self.answered + Duration::from_millis(store_ms.saturating_sub(self.store_ms))
     }
 
--- a/fleet/src/lease/row.rs
+++ b/fleet/src/lease/row.rs
@@ -45,7 +45,7 @@
     /// again.
     #[serde(default)]
     pub outstanding: Box<Outstanding>,
-    /// Repeats of requests that may have been granted; none if the number is not known.
+    /// Retries that may have been granted to requests; none if the number is not known.
     #[serde(default)]
     pub repeats: Option<Box<Counts>>,
     /// Builds that have served requests; none while the holder does not know them.
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Inventory of each engine, and the orders that change it, as tracked by the holder of the lease.
+//! Holdings of each engine, and the orders that change it, as tracked by the holder of the lease.
 //!
 //! An engine may carry out an order without answering it, and late. Each order therefore contains the number of
 //! orders that the engine has accepted before. A delayed order becomes invalid as soon as the engine accepts
@@ -27,17 +27,17 @@
 use crate::timer::Timer;
 
 /// Time between two reports that are requested while an order takes longer than expected.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+const REPORT_RETRY: Duration = Duration::from_millis(200);
 /// Loads from the weight store that are reserved for models without any copy.
 const COLD_RESERVE: usize = 2;
 
-/// Inventories of all engines.
+/// Holdings of all engines.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    books: BTreeMap<Name, Holdings>,
+    holdings: BTreeMap<Name, Holdings>,
     /// Load orders that were not answered, by engine.
-    late: BTreeMap<Name, Vec<Unanswered>>,
-    /// Version number, incremented with each change of an inventory.
+    unanswered: BTreeMap<Name, Vec<Unanswered>>,
+    /// Version number, incremented with each change of an engine's holdings.
     version: u64,
     /// Times at which loads from the weight store were ordered within the rate window.
     cold: VecDeque<Time>,
@@ -46,52 +46,55 @@
 }
 
 impl Ledger {
-    /// Discards all inventories, for a lease that was just taken. `fresh`: no machine has sent orders before.
+    /// Discards all holdings, for a lease that was just taken. `fresh`: no machine has sent orders before.
     pub(crate) fn begin(&mut self, fresh: bool) {
-        self.books.clear();
+        self.holdings.clear();
         self.cold.clear();
         self.fresh = fresh;
     }
 
-    /// Version number of the inventories.
+    /// Version number of the holdings.
     #[must_use]
     pub const fn version(&self) -> u64 {
         self.version
     }
 
     /// Remembers an order that was not answered, if it is a load.
-    fn note_late(&mut self, engine: &Name, late: Unanswered) {
+    fn remember_unanswered(&mut self, engine: &Name, late: Unanswered) {
         if matches!(late.order, Order::Load { .. } | Order::LoadAdapter { .. }) {
-            self.late.entry(engine.clone()).or_default().push(late);
+            self.unanswered.entry(engine.clone()).or_default().push(late);
         }
     }
 
     /// Load orders that an engine did not answer and may still carry out.
-    fn late_at(&mut self, now: Time, engine: &Name) -> &[Unanswered] {
-        let Some(late) = self.late.get_mut(engine) else {
+    fn unanswered_at(&mut self, now: Time, engine: &Name) -> &[Unanswered] {
+        let Some(late) = self.unanswered.get_mut(engine) else {
             return &[];
         };
         late.retain(|late| late.until > now);
         late
     }
 
-    pub(crate) fn inventory(&self, engine: &str) -> Option<&Holdings> {
-        self.books.get(engine)
+    pub(crate) fn holdings(&self, engine: &str) -> Option<&Holdings> {
+        self.holdings.get(engine)
     }
 
-    /// Inventories of the engines that hold a model, in any phase.
-    pub(crate) fn holding(&self, model: &Name) -> impl Iterator<Item = (&Name, &Holdings)> {
-        self.books.iter().filter(move |(_, book)| book.copy_of(model).is_some())
+    /// Holdings of the engines that hold a model, in any phase.
+    pub(crate) fn holders_of(&self, model: &Name) -> impl Iterator<Item = (&Name, &Holdings)> {
+        self.holdings.iter().filter(move |(_, holdings)| holdings.copy_of(model).is_some())
     }
 
-    /// Residencies of the engines whose inventories have changed since `version`.
+    /// Residencies of the engines whose holdings have changed since `version`.
     pub(crate) fn changed_after(&self, version: u64) -> Vec<Resident> {
-        let changed = self.books.iter().filter(|(_, book)| book.changed_version > version && book.is_known());
+        let changed = self
+            .holdings
+            .iter()
+            .filter(|(_, holdings)| holdings.changed_version > version && holdings.is_known());
         changed
-            .map(|(engine, book)| Resident {
+            .map(|(engine, holdings)| Resident {
                 engine: engine.clone(),
-                incarnation: book.incarnation,
-                residency: book.residency(),
+                incarnation: holdings.incarnation,
+                residency: holdings.residency(),
             })
             .collect()
     }
@@ -107,21 +110,21 @@
 }
 
 /// Asks an engine for a report after it has refused a request of an entry VM because, contrary to its
-/// inventory, the model or adapter is absent.
+/// holdings, the model or adapter is absent.
 pub(crate) fn recheck_after_refusal(state: &mut State, now: Time, refused: &Absent) {
-    let Some(book) = state.ledger.books.get_mut(&refused.engine) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(&refused.engine) else {
         return;
     };
-    if book.residency().serves(&refused.model, refused.adapter.as_deref()) && book.check_at.is_none() {
-        book.check_at = Some(now);
+    if holdings.residency().serves(&refused.model, refused.adapter.as_deref()) && holdings.ask_at.is_none() {
+        holdings.ask_at = Some(now);
         state.timers.set(now, Timer::ResidencyCheck(refused.engine.clone()));
     }
 }
 
-/// Adds and removes inventories so that they match the listed engines.
+/// Adds and removes holdings so that they match the listed engines.
 pub(crate) fn sync(state: &mut State, now: Time) {
     let engines = &state.engines;
-    state.ledger.books.retain(|id, _| engines.contains_key(id));
+    state.ledger.holdings.retain(|id, _| engines.contains_key(id));
     let managed: Vec<Name> = state
         .engines
         .values()
@@ -129,39 +132,39 @@
         .map(|engine| engine.entry.id.clone())
         .collect();
     for id in managed {
-        if state.ledger.books.contains_key(&id) {
+        if state.ledger.holdings.contains_key(&id) {
             continue;
         }
         let entry = &state.engines[&id].entry;
-        let book = Holdings::new(entry, state.ledger.fresh, now);
+        let holdings = Holdings::new(entry, state.ledger.fresh, now);
         state.timers.set(now, Timer::ResidencyCheck(id.clone()));
-        state.ledger.books.insert(id, book);
+        state.ledger.holdings.insert(id, holdings);
     }
 }
 
-/// Marks the inventory as uncertain until the engine has sent a report.
-fn unsure(book: &mut Holdings, now: Time) {
-    book.sequence = None;
-    book.queue.clear();
-    book.check_at = Some(now + REPORT_LAG);
+/// Marks the holdings as uncertain until the engine has sent a report.
+fn recheck(holdings: &mut Holdings, now: Time) {
+    holdings.sequence = None;
+    holdings.queue.clear();
+    holdings.ask_at = Some(now + REPORT_LAG);
 }
 
 /// Sets the timer for the next event that is due at an engine.
-fn wake_for(state: &mut State, now: Time, id: &Name) {
+fn schedule_check(state: &mut State, now: Time, id: &Name) {
     let State { ledger, timers, .. } = state;
-    let Some(book) = ledger.books.get_mut(id) else {
+    let Some(holdings) = ledger.holdings.get_mut(id) else {
         return;
     };
-    if let Some(next) = book.due_times().min() {
-        wake_at(timers, now, id, book, next.max(now));
+    if let Some(next) = holdings.due_times().min() {
+        set_check_timer(timers, now, id, holdings, next.max(now));
     }
 }
 
-/// Sets the timer of an inventory, unless one is set that fires no later.
-fn wake_at(timers: &mut Timers<Timer>, now: Time, id: &Name, book: &mut Holdings, at: Time) {
-    let set = book.wakes_at.filter(|set| *set > now);
+/// Sets the timer of an engine's holdings, unless one is set that fires no later.
+fn set_check_timer(timers: &mut Timers<Timer>, now: Time, id: &Name, holdings: &mut Holdings, at: Time) {
+    let set = holdings.timer_at.filter(|set| *set > now);
     if set.is_none_or(|set| at < set) {
-        book.wakes_at = Some(at);
+        holdings.timer_at = Some(at);
         timers.set(at, Timer::ResidencyCheck(id.clone()));
     }
 }
@@ -176,12 +179,12 @@
     };
     let (address, incarnation) = (engine.entry.address, engine.entry.incarnation);
     let pause = engine.health.pause_left(now);
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    let mut changed = book.changed_version == 0 && book.is_known();
-    let pending = book.pending.as_ref().map(|pending| pending.order.clone());
-    for copy in &mut book.copies {
+    let mut changed = holdings.changed_version == 0 && holdings.is_known();
+    let pending = holdings.pending.as_ref().map(|pending| pending.order.clone());
+    for copy in &mut holdings.copies {
         for held in &mut copy.adapters {
             let dropped =
                 matches!(&pending, Some(Order::UnloadAdapter { adapter, .. }) if *adapter == held.name);
@@ -197,16 +200,16 @@
             }
         }
     }
-    if book.check_at.is_some_and(|at| at <= now) && !book.report_pending && pause.is_none() {
-        book.check_at = None;
-        book.report_pending = true;
+    if holdings.ask_at.is_some_and(|at| at <= now) && !holdings.report_pending && pause.is_none() {
+        holdings.ask_at = None;
+        holdings.report_pending = true;
         out.push(Effect::Report { engine: id.clone(), incarnation, address });
     }
     // An event that is due but cannot be handled now is taken up when the awaited answer comes or the engine's
     // pause ends.
-    let next = book.due_times().filter(|at| *at > now).min();
+    let next = holdings.due_times().filter(|at| *at > now).min();
     if let Some(next) = next {
-        wake_at(&mut state.timers, now, id, book, next);
+        set_check_timer(&mut state.timers, now, id, holdings, next);
     }
     if changed {
         publish(state, id, out);
@@ -223,39 +226,39 @@
     out: &mut Vec<Effect>,
 ) {
     let adapter_ready = state.settings.adapter_ready;
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    book.report_pending = false;
+    holdings.report_pending = false;
     if let Some(report) = &report
-        && report.incarnation > book.incarnation
+        && report.incarnation > holdings.incarnation
     {
         restart(state, now, id, report.incarnation);
     }
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    let known = book.sequence;
+    let known = holdings.sequence;
     match report {
-        Some(report) if report.incarnation < book.incarnation && report.incarnation.0.is_some() => {
-            book.check_at = Some(now + REPORT_LAG);
+        Some(report) if report.incarnation < holdings.incarnation && report.incarnation.0.is_some() => {
+            holdings.ask_at = Some(now + REPORT_LAG);
         }
         // The report may have been made before the order under way took effect.
-        _ if book.pending.is_some() => book.check_at = Some(now + REPORT_LAG),
+        _ if holdings.pending.is_some() => holdings.ask_at = Some(now + REPORT_LAG),
         Some(report) if !report.busy && known.is_none_or(|known| report.sequence >= known) => {
-            book.adopt(&report.held);
-            book.sequence = Some(report.sequence);
+            holdings.adopt(&report.held);
+            holdings.sequence = Some(report.sequence);
             for (model, adapter) in report.fetching {
                 let ready_at = Some(now + adapter_ready);
-                if let Some(copy) = book.copy_of_mut(&model) {
+                if let Some(copy) = holdings.copy_of_mut(&model) {
                     copy.adapters.push(AdapterCopy { name: adapter, ready_at });
                 }
             }
         }
-        _ => book.check_at = Some(now + LOOK_AGAIN),
+        _ => holdings.ask_at = Some(now + REPORT_RETRY),
     }
-    let is_known = book.is_known();
-    wake_for(state, now, id);
+    let is_known = holdings.is_known();
+    schedule_check(state, now, id);
     if is_known {
         publish(state, id, out);
     }
@@ -267,23 +270,23 @@
     let Some(entry) = state.engines.get(id).map(|engine| engine.entry.clone()) else {
         return;
     };
-    if state.ledger.books.get(id).is_some_and(|book| book.incarnation < entry.incarnation) {
+    if state.ledger.holdings.get(id).is_some_and(|holdings| holdings.incarnation < entry.incarnation) {
         restart(state, now, id, entry.incarnation);
-        wake_for(state, now, id);
+        schedule_check(state, now, id);
         publish(state, id, out);
         return;
     }
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    if book.pending.is_some() || book.sequence.is_none() {
+    if holdings.pending.is_some() || holdings.sequence.is_none() {
         return;
     }
     let holds = |model: &Name| entry.held.iter().any(|held| held.model == *model);
-    let before = book.copies.len();
-    book.copies.retain(|copy| copy.phase != Phase::Closing || holds(&copy.model));
-    let mut changed = book.copies.len() != before;
-    for copy in &mut book.copies {
+    let before = holdings.copies.len();
+    holdings.copies.retain(|copy| copy.phase != Phase::Closing || holds(&copy.model));
+    let mut changed = holdings.copies.len() != before;
+    for copy in &mut holdings.copies {
         if copy.phase == Phase::Loading && holds(&copy.model) {
             copy.phase = Phase::Ready;
             copy.since = now;
@@ -299,25 +302,25 @@
 /// Handles a restart of an engine under its old id: it holds nothing, has accepted no orders, and is asked for
 /// a report. An order that is under way may still reach it.
 fn restart(state: &mut State, now: Time, id: &Name, incarnation: Incarnation) {
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    let before = std::mem::replace(book, Holdings::restarted(incarnation, now));
+    let before = std::mem::replace(holdings, Holdings::restarted(incarnation, now));
     if let (Some(pending), Some(sequence)) = (before.pending, before.sequence) {
         let late = Unanswered::new(now, pending.order, sequence, before.incarnation);
-        state.ledger.note_late(id, late);
+        state.ledger.remember_unanswered(id, late);
     }
 }
 
-/// Publishes the inventory of an engine to all entry VMs.
+/// Publishes the holdings of an engine to all entry VMs.
 fn publish(state: &mut State, id: &Name, out: &mut Vec<Effect>) {
     state.ledger.version += 1;
     let version = state.ledger.version;
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    book.changed_version = version;
-    let (incarnation, residency) = (book.incarnation, book.residency());
+    holdings.changed_version = version;
+    let (incarnation, residency) = (holdings.incarnation, holdings.residency());
     if let Some(engine) = state.engines.get_mut(id) {
         engine.set_residency(incarnation, residency);
     }
@@ -327,11 +330,11 @@
 
 /// Number of loads from the weight store that an engine carries out or that are queued for it.
 pub(crate) fn cold_loads_running(state: &State, engine: &Engine) -> usize {
-    let Some(book) = state.ledger.inventory(&engine.entry.id) else {
+    let Some(holdings) = state.ledger.holdings(&engine.entry.id) else {
         return 0;
     };
     let Cached { memory, disk } = &engine.entry.cached;
-    let loading = book.copies_expected().filter(|(_, phase)| *phase == Phase::Loading);
+    let loading = holdings.copies_expected().filter(|(_, phase)| *phase == Phase::Loading);
     loading.filter(|(model, _)| !memory.contains(model) && !disk.contains(model)).count()
 }
 
--- a/fleet/src/ledger/orders.rs
+++ b/fleet/src/ledger/orders.rs
@@ -5,7 +5,7 @@
 use boragecove_core::name::Name;
 use boragecove_core::time::Time;
 
-use super::{publish, unsure, wake_for};
+use super::{publish, recheck, schedule_check};
 use crate::effect::{Dispatch, Effect};
 use crate::engine::{Incarnation, Phase};
 use crate::holdings::{Pending, REPORT_LAG, Unanswered};
@@ -25,8 +25,8 @@
     orders: impl IntoIterator<Item = Order>,
     out: &mut Vec<Effect>,
 ) {
-    if let Some(book) = state.ledger.books.get_mut(engine) {
-        book.queue.extend(orders);
+    if let Some(holdings) = state.ledger.holdings.get_mut(engine) {
+        holdings.queue.extend(orders);
     }
     send_next(state, now, engine, out);
 }
@@ -52,20 +52,20 @@
     };
     let cold_left = state.ledger.cold_loads_left(now, pool.loads_per_s, &state.settings);
     let cached = &state.engines[id].entry.cached;
-    let late = state.ledger.late_at(now, id).to_vec();
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let late = state.ledger.unanswered_at(now, id).to_vec();
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
     if leaving {
-        book.queue.clear();
+        holdings.queue.clear();
     }
-    let (Some(sequence), None) = (book.sequence, &book.pending) else {
+    let (Some(sequence), None) = (holdings.sequence, &holdings.pending) else {
         return;
     };
-    let Some(next) = book.next_order(pool, &late) else {
+    let Some(next) = holdings.next_order(pool, &late) else {
         return;
     };
-    let incarnation = book.incarnation;
+    let incarnation = holdings.incarnation;
     if let Order::Load { model } = &next
         && !cached.memory.contains(model)
         && !cached.disk.contains(model)
@@ -75,11 +75,11 @@
         }
         state.ledger.cold.push_back(now);
     }
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    book.queue.pop_front();
-    book.pending = Some(Pending { order: next.clone(), resent: 0 });
+    holdings.queue.pop_front();
+    holdings.pending = Some(Pending { order: next.clone(), resent: 0 });
     out.push(Effect::Record(Record::Order {
         engine: id.clone(),
         order: next.clone(),
@@ -87,12 +87,12 @@
         sequence,
     }));
     if let Order::Unload { model } = &next
-        && let Some(copy) = book.copy_of_mut(model)
+        && let Some(copy) = holdings.copy_of_mut(model)
     {
         copy.phase = Phase::Closing;
     }
     if let Order::UnloadAdapter { model, adapter } = &next
-        && let Some(copy) = book.copy_of_mut(model)
+        && let Some(copy) = holdings.copy_of_mut(model)
     {
         // No entry VM may use the adapter any more; it occupies its place until the engine's next report.
         for held in copy.adapters.iter_mut().filter(|held| held.name == *adapter) {
@@ -120,16 +120,18 @@
     out: &mut Vec<Effect>,
 ) {
     // The answer also counts while the engine is missing from the list: it may be listed again before its
-    // inventory is discarded.
+    // holdings is discarded.
     let entry = state.engines.get(id).map(|engine| &engine.entry);
     let config = state.config.clone();
     let pool = config.as_ref().zip(entry).and_then(|(config, entry)| config.pool(&entry.service));
     let cached = entry.map(|entry| entry.cached.clone()).unwrap_or_default();
     let adapter_ready = state.settings.adapter_ready;
-    let Some(book) = state.ledger.books.get_mut(id).filter(|book| book.incarnation == incarnation) else {
+    let Some(holdings) =
+        state.ledger.holdings.get_mut(id).filter(|holdings| holdings.incarnation == incarnation)
+    else {
         return;
     };
-    let Some(Pending { order, resent }) = book.pending.take() else {
+    let Some(Pending { order, resent }) = holdings.pending.take() else {
         return;
     };
     let label = match receipt {
@@ -139,7 +141,7 @@
         Some(Receipt::Refused) => "refused",
         None => "unanswered",
     };
-    let sequence = book.sequence.unwrap_or_default();
+    let sequence = holdings.sequence.unwrap_or_default();
     out.push(Effect::Record(Record::Order {
         engine: id.clone(),
         order: order.clone(),
@@ -148,32 +150,32 @@
     }));
     if receipt.is_none() {
         // The order may be carried out long after the one that is sent in its place.
-        state.ledger.note_late(id, Unanswered::new(now, order.clone(), sequence, incarnation));
+        state.ledger.remember_unanswered(id, Unanswered::new(now, order.clone(), sequence, incarnation));
     }
-    let Some(book) = state.ledger.books.get_mut(id) else {
+    let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
     match receipt {
         // The adapter is in use; the engine drops it once its runs have ended.
-        Some(Receipt::Accepted) if matches!(order, Order::UnloadAdapter { .. }) => unsure(book, now),
+        Some(Receipt::Accepted) if matches!(order, Order::UnloadAdapter { .. }) => recheck(holdings, now),
         Some(Receipt::Accepted) => {
             let expected = order.duration(pool, &cached);
-            book.apply_accepted(now, &order, expected, adapter_ready);
+            holdings.apply_order(now, &order, expected, adapter_ready);
         }
         Some(Receipt::Completed) => match &order {
             // The unload takes effect at once, and the engine counts it as accepted.
-            Order::UnloadAdapter { .. } => book.apply_accepted(now, &order, Duration::ZERO, adapter_ready),
-            Order::LoadAdapter { model, adapter } => book.add_adapter(model, adapter),
-            Order::Load { .. } | Order::Unload { .. } => unsure(book, now),
+            Order::UnloadAdapter { .. } => holdings.apply_order(now, &order, Duration::ZERO, adapter_ready),
+            Order::LoadAdapter { model, adapter } => holdings.add_adapter(model, adapter),
+            Order::Load { .. } | Order::Unload { .. } => recheck(holdings, now),
         },
         None if resent < RESENDS => {
-            book.pending = Some(Pending { order, resent: resent + 1 });
+            holdings.pending = Some(Pending { order, resent: resent + 1 });
             resend(state, now, id, out);
             return;
         }
-        Some(Receipt::Conflict | Receipt::Refused) | None => unsure(book, now),
+        Some(Receipt::Conflict | Receipt::Refused) | None => recheck(holdings, now),
     }
-    wake_for(state, now, id);
+    schedule_check(state, now, id);
     publish(state, id, out);
     send_next(state, now, id, out);
 }
@@ -182,19 +184,19 @@
 fn resend(state: &mut State, now: Time, id: &Name, out: &mut Vec<Effect>) {
     let engine = state.engines.get(id).filter(|engine| engine.health.pause_left(now).is_none());
     let (Some(term), Some(engine)) = (state.lease.ordering_term(now), engine) else {
-        if let Some(book) = state.ledger.books.get_mut(id) {
-            book.pending = None;
-            unsure(book, now);
+        if let Some(holdings) = state.ledger.holdings.get_mut(id) {
+            holdings.pending = None;
+            recheck(holdings, now);
         }
         return;
     };
     let address = engine.entry.address;
-    let Some(book) = state.ledger.books.get(id) else {
+    let Some(holdings) = state.ledger.holdings.get(id) else {
         return;
     };
-    if let (Some(pending), Some(sequence)) = (&book.pending, book.sequence) {
+    if let (Some(pending), Some(sequence)) = (&holdings.pending, holdings.sequence) {
         let order = pending.order.clone();
-        let incarnation = book.incarnation;
+        let incarnation = holdings.incarnation;
         out.push(Effect::Order(Box::new(Dispatch {
             engine: id.clone(),
             incarnation,
--- a/fleet/src/order.rs
+++ b/fleet/src/order.rs
@@ -1,4 +1,4 @@
-//! Orders to engines, the engines' answers to them, and the engines' reports of their inventories.
+//! Orders to engines, the engines' answers to them, and the engines' reports of their holdings.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::config::Pool;
 use crate::engine::{Cached, Held, Incarnation};
 
-/// A change of an engine's inventory.
+/// A change of an engine's holdings.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Order {
--- a/fleet/src/place.rs
+++ b/fleet/src/place.rs
@@ -20,14 +20,14 @@
 use utility::Utility;
 
 /// Minimum ratio of the utility of a new copy to the utility of the copy that it replaces.
-const GAIN: f64 = 1.5;
+const MIN_GAIN: f64 = 1.5;
 /// Cost of placing a copy at an engine for each request under way there, in copies needed.
 const OPEN_COST: f64 = 0.03;
 /// Cost of placing a copy for each other copy of the model in the same availability zone, in copies needed: a
 /// zone that is cut off serves only the models that it holds.
 const ZONE_COST: f64 = 0.8;
 /// Lower bound for the maximum number of changes in one plan.
-const MOVES: usize = 4;
+const MOVES_MIN: usize = 4;
 /// Time without a request after which a model counts as unused; demand must have been observed for at least as
 /// long.
 const UNUSED: Duration = Duration::from_secs(2);
@@ -107,15 +107,15 @@
 
 /// Returns the changes to make now, the most useful first.
 #[must_use]
-pub fn plan_moves(view: Input<'_>) -> Vec<Move> {
-    let most = view.moves_max();
-    let mut placer = Placer::new(view);
+pub fn plan_moves(input: Input<'_>) -> Vec<Move> {
+    let most = input.moves_max();
+    let mut planner = Planner::new(input);
     let mut out = Vec::new();
     while out.len() < most {
-        let Some(step) = placer.next().or_else(|| placer.spare()) else {
+        let Some(step) = planner.next().or_else(|| planner.unused_copy()) else {
             break;
         };
-        placer.carry(&step);
+        planner.apply(&step);
         out.push(step);
     }
     out
@@ -123,18 +123,18 @@
 
 /// The input of a plan with counted copies; each decided change is applied to both.
 #[derive(Debug)]
-struct Placer<'a> {
-    view: Input<'a>,
+struct Planner<'a> {
+    input: Input<'a>,
     tally: Tally,
-    worths: Utility,
+    utility: Utility,
     /// Whether the engines lack room for all models.
-    short: bool,
+    lacks_room: bool,
 }
 
 /// An engine that can accept an order.
 #[derive(Debug)]
-struct Offer<'a> {
-    spot: &'a Candidate,
+struct IdleEngine<'a> {
+    candidate: &'a Candidate,
     /// Copies that may be dropped there, by increasing utility.
     victims: Vec<Victim<'a>>,
 }
@@ -145,23 +145,23 @@
     model: &'a Name,
     memory_mb: f64,
     /// Utility lost when the copy is dropped.
-    lost: f64,
+    utility_lost: f64,
     /// Whether it may be dropped only for a model whose callers have waited for at least `OVERDUE`.
     only_overdue: bool,
 }
 
-impl Offer<'_> {
+impl IdleEngine<'_> {
     /// The copy with the lowest utility whose removal frees enough memory, and that utility.
     fn victim(&self, memory_mb: f64, overdue: bool) -> Option<(Option<&Name>, f64)> {
         let enough = |victim: &&Victim<'_>| {
-            (overdue || !victim.only_overdue) && self.spot.free_mb + victim.memory_mb >= memory_mb
+            (overdue || !victim.only_overdue) && self.candidate.free_mb + victim.memory_mb >= memory_mb
         };
-        self.victims.iter().find(enough).map(|victim| (Some(victim.model), victim.lost))
+        self.victims.iter().find(enough).map(|victim| (Some(victim.model), victim.utility_lost))
     }
 }
 
 impl Input<'_> {
-    fn busy(&self, model: &Name) -> f64 {
+    fn concurrency(&self, model: &Name) -> f64 {
         self.demand.get(model).map_or(0.0, |trend| trend.concurrency)
     }
 
@@ -169,15 +169,15 @@
     /// plan.
     fn moves_max(&self) -> usize {
         let served = self.pool.loads_per_s * self.interval.as_secs_f64();
-        (served.ceil() as usize).max(MOVES)
+        (served.ceil() as usize).max(MOVES_MIN)
     }
 
     /// Whether demand has been observed for too short a time to drop a copy for a model that nobody waits for:
     /// an entry VM that has just begun to plan would mistake the busiest models for unused ones. Before the
     /// first request this does not matter.
-    fn is_new_to_demand(&self) -> bool {
-        let watched = !self.observed_for.is_zero() && self.observed_for < UNUSED;
-        watched && !self.disabled.contains(&Mechanism::ObservedDrops)
+    fn lacks_demand_history(&self) -> bool {
+        let observed = !self.observed_for.is_zero() && self.observed_for < UNUSED;
+        observed && !self.disabled.contains(&Mechanism::ObservedDrops)
     }
 
     /// Whether another load from the weight store would finish within its declared time. The number of loads
@@ -185,7 +185,7 @@
     /// load beyond that slows down all others, so that the model that is needed most arrives later. With six
     /// loads at once where two are served, the three copies of the busiest model were ready after 2 to 4.5 s
     /// instead of 1.2 s, as seen in a log with one record per second.
-    fn cold_is_fast(&self, model: &Name) -> bool {
+    fn store_has_capacity(&self, model: &Name) -> bool {
         if self.disabled.contains(&Mechanism::BoundedLoads) {
             return true;
         }
@@ -204,7 +204,7 @@
         let tally = Tally::of(&self.engines);
         let placed = |model: &Model| Placement {
             model: model.name.clone(),
-            busy: (self.busy(&model.name) * 10.0).round() / 10.0,
+            busy: (self.concurrency(&model.name) * 10.0).round() / 10.0,
             ready: tally.ready(&model.name),
             loading: tally.loading(&model.name),
             closing: tally.closing(&model.name),
@@ -216,147 +216,172 @@
             service: service.clone(),
             models,
             cold_left: self.cold_loads_left,
-            idle: self.engines.iter().filter(|spot| spot.idle).count(),
-            usable: self.engines.iter().filter(|spot| spot.usable).count(),
+            idle: self.engines.iter().filter(|candidate| candidate.idle).count(),
+            usable: self.engines.iter().filter(|candidate| candidate.usable).count(),
         }
     }
 }
 
-impl<'a> Placer<'a> {
-    fn new(view: Input<'a>) -> Self {
-        let worths = Utility::of(&view);
-        let mean_mb = worths.mean_mb().max(1.0);
-        let places = |spot: &Candidate| spot.copies.len() + (spot.free_mb / mean_mb).max(0.0) as usize;
-        let room: usize = view.engines.iter().filter(|spot| spot.usable).map(places).sum();
-        let short = view.pool.models.len() > room;
-        Self { tally: Tally::of(&view.engines), worths, short, view }
+impl<'a> Planner<'a> {
+    fn new(input: Input<'a>) -> Self {
+        let utility = Utility::of(&input);
+        let mean_mb = utility.mean_mb().max(1.0);
+        let places =
+            |candidate: &Candidate| candidate.copies.len() + (candidate.free_mb / mean_mb).max(0.0) as usize;
+        let room: usize = input.engines.iter().filter(|candidate| candidate.usable).map(places).sum();
+        let lacks_room = input.pool.models.len() > room;
+        Self { tally: Tally::of(&input.engines), utility, lacks_room, input }
     }
 
     /// The change with the highest utility.
     fn next(&self) -> Option<Move> {
         let mut wanted: Vec<(&Name, f64)> = Vec::new();
-        for model in &self.view.pool.models {
-            let worth = if self.tally.expected(&model.name) == 0 {
-                self.worths.first(&model.name)
+        for model in &self.input.pool.models {
+            let utility = if self.tally.expected(&model.name) == 0 {
+                self.utility.first(&model.name)
             } else {
-                self.worths.further(&model.name, self.tally.expected_unlimited(&model.name))
+                self.utility.further(&model.name, self.tally.expected_unlimited(&model.name))
             };
-            wanted.push((&model.name, worth));
+            wanted.push((&model.name, utility));
         }
-        wanted.retain(|(_, worth)| *worth > 1.0);
+        wanted.retain(|(_, utility)| *utility > 1.0);
         wanted.sort_by(|a, b| b.1.total_cmp(&a.1));
-        let offers = self.offers();
-        wanted.iter().find_map(|(model, worth)| self.place(&offers, model, *worth))
+        let idle_engines = self.idle_engines();
+        wanted.iter().find_map(|(model, utility)| self.best_placement(&idle_engines, model, *utility))
     }
 
     /// Engines that can accept an order, each with the copies that may be dropped there.
-    fn offers(&self) -> Vec<Offer<'_>> {
-        let spots = self.view.engines.iter().filter(|spot| spot.usable && spot.idle && !spot.rate_limited);
-        spots.map(|spot| Offer { spot, victims: self.victims(spot) }).collect()
+    fn idle_engines(&self) -> Vec<IdleEngine<'_>> {
+        let candidates = self
+            .input
+            .engines
+            .iter()
+            .filter(|candidate| candidate.usable && candidate.idle && !candidate.rate_limited);
+        candidates.map(|candidate| IdleEngine { candidate, victims: self.victims(candidate) }).collect()
     }
 
     /// The best engine for another copy of a model, if there is one.
-    fn place(&self, offers: &[Offer<'_>], model: &Name, worth: f64) -> Option<Move> {
-        let memory_mb = self.worths.memory_mb(model);
+    fn best_placement(&self, idle_engines: &[IdleEngine<'_>], model: &Name, utility: f64) -> Option<Move> {
+        let memory_mb = self.utility.memory_mb(model);
         let missing = self.tally.expected(model) == 0;
         let cold_left = if missing {
-            self.view.cold_loads_left
+            self.input.cold_loads_left
         } else {
-            ledger::cold_loads_beyond_reserve(self.view.cold_loads_left)
+            ledger::cold_loads_beyond_reserve(self.input.cold_loads_left)
         };
-        let from_store = cold_left > 0 && self.view.cold_is_fast(model);
-        let waited_for = self.view.demand.get(model).is_some_and(|trend| trend.waiting > 0);
+        let from_store = cold_left > 0 && self.input.store_has_capacity(model);
+        let waited_for = self.input.demand.get(model).is_some_and(|trend| trend.waiting > 0);
         // If the engines lack room for all models, a model that nobody waits for does not replace another.
-        let spared = missing && !waited_for && (self.short || self.view.is_new_to_demand());
-        let overdue = missing && waited_for && self.worths.starved(model) >= OVERDUE;
-        let mut best: Option<(f64, &Offer<'_>, Option<&Name>)> = None;
-        for offer in offers {
-            let spot = offer.spot;
-            let victim =
-                if memory_mb <= spot.free_mb { Some((None, 0.0)) } else { offer.victim(memory_mb, overdue) };
-            let Some((drop, lost)) = victim.filter(|(drop, lost)| {
-                lost * GAIN <= worth && !(spared && drop.is_some()) && !spot.holds(model)
+        let must_not_replace =
+            missing && !waited_for && (self.lacks_room || self.input.lacks_demand_history());
+        let overdue = missing && waited_for && self.utility.starved(model) >= OVERDUE;
+        let mut best: Option<(f64, &IdleEngine<'_>, Option<&Name>)> = None;
+        for idle_engine in idle_engines {
+            let candidate = idle_engine.candidate;
+            let victim = if memory_mb <= candidate.free_mb {
+                Some((None, 0.0))
+            } else {
+                idle_engine.victim(memory_mb, overdue)
+            };
+            let Some((drop, utility_lost)) = victim.filter(|(drop, utility_lost)| {
+                utility_lost * MIN_GAIN <= utility
+                    && !(must_not_replace && drop.is_some())
+                    && !candidate.holds(model)
             }) else {
                 continue;
             };
-            let source = source(spot, model);
+            let source = source(candidate, model);
             if source == Source::Store && !from_store {
                 continue;
             }
-            let beside = self.tally.in_zone(model, &spot.zone) as f64 * ZONE_COST;
-            let cost = lost + f64::from(spot.open_requests) * OPEN_COST + source.cost() + beside;
+            let zone_cost = self.tally.in_zone(model, &candidate.zone) as f64 * ZONE_COST;
+            let cost =
+                utility_lost + f64::from(candidate.open_requests) * OPEN_COST + source.cost() + zone_cost;
             if best.as_ref().is_none_or(|(least, ..)| cost < *least) {
-                best = Some((cost, offer, drop));
+                best = Some((cost, idle_engine, drop));
             }
         }
-        best.map(|(_, offer, drop)| Move {
-            engine: offer.spot.engine.clone(),
+        best.map(|(_, idle_engine, drop)| Move {
+            engine: idle_engine.candidate.engine.clone(),
             drop: drop.cloned(),
             load: Some(model.clone()),
         })
     }
 
     /// The copies at an engine that may be dropped, by increasing utility.
-    fn victims<'b>(&self, spot: &'b Candidate) -> Vec<Victim<'b>> {
-        let mut victims = Vec::with_capacity(spot.copies.len());
-        for (model, phase) in &spot.copies {
+    fn victims<'b>(&self, candidate: &'b Candidate) -> Vec<Victim<'b>> {
+        let mut victims = Vec::with_capacity(candidate.copies.len());
+        for (model, phase) in &candidate.copies {
             if *phase != Phase::Ready {
                 continue;
             }
-            let (lost, only_overdue) = match self.tally.ready(model) {
+            let (utility_lost, only_overdue) = match self.tally.ready(model) {
                 2.. => {
-                    (self.worths.further(model, self.tally.ready_unlimited(model).saturating_sub(1)), false)
+                    (self.utility.further(model, self.tally.ready_unlimited(model).saturating_sub(1)), false)
                 }
-                _ if !self.worths.names(model) => (0.0, false),
-                _ if spot.recently_loaded.contains(model) => continue,
-                _ if self.short => (self.worths.last(model), false),
-                _ if self.worths.unused(model) => (self.worths.last(model), true),
+                _ if !self.utility.lists(model) => (0.0, false),
+                _ if candidate.recently_loaded.contains(model) => continue,
+                _ if self.lacks_room => (self.utility.last(model), false),
+                _ if self.utility.unused(model) => (self.utility.last(model), true),
                 _ => continue,
             };
-            victims.push(Victim { model, memory_mb: self.worths.memory_mb(model), lost, only_overdue });
+            victims.push(Victim {
+                model,
+                memory_mb: self.utility.memory_mb(model),
+                utility_lost,
+                only_overdue,
+            });
         }
-        victims.sort_by(|a, b| a.lost.total_cmp(&b.lost));
+        victims.sort_by(|a, b| a.utility_lost.total_cmp(&b.utility_lost));
         victims
     }
 
     /// The removal of an unused copy at an engine that lacks room for the largest model.
-    fn spare(&self) -> Option<Move> {
-        if self.view.disabled.contains(&Mechanism::EarlyDrop) {
+    fn unused_copy(&self) -> Option<Move> {
+        if self.input.disabled.contains(&Mechanism::EarlyDrop) {
             return None;
         }
-        let largest_mb = self.worths.largest_mb;
-        for spot in
-            self.view.engines.iter().filter(|spot| spot.usable && spot.idle && spot.free_mb < largest_mb)
+        let largest_mb = self.utility.largest_mb;
+        for candidate in self
+            .input
+            .engines
+            .iter()
+            .filter(|candidate| candidate.usable && candidate.idle && candidate.free_mb < largest_mb)
         {
-            let unused = spot.copies.iter().find(|(model, phase)| {
-                *phase == Phase::Ready && self.worths.unused(model) && self.tally.ready_unlimited(model) >= 2
+            let unused = candidate.copies.iter().find(|(model, phase)| {
+                *phase == Phase::Ready && self.utility.unused(model) && self.tally.ready_unlimited(model) >= 2
             });
             if let Some((model, _)) = unused {
-                return Some(Move { engine: spot.engine.clone(), drop: Some(model.clone()), load: None });
+                return Some(Move {
+                    engine: candidate.engine.clone(),
+                    drop: Some(model.clone()),
+                    load: None,
+                });
             }
         }
         None
     }
 
     /// Applies a change to the input and the counts.
-    fn carry(&mut self, step: &Move) {
-        let Self { view, tally, .. } = self;
-        let Some(spot) = view.engines.iter_mut().find(|spot| spot.engine == step.engine) else {
+    fn apply(&mut self, step: &Move) {
+        let Self { input, tally, .. } = self;
+        let Some(candidate) = input.engines.iter_mut().find(|candidate| candidate.engine == step.engine)
+        else {
             return;
         };
-        spot.idle = false;
-        if let Some(at) = spot.copies.iter().position(|(model, _)| Some(model) == step.drop.as_ref()) {
-            let (model, phase) = spot.copies.swap_remove(at);
-            tally.remove(&model, phase, &spot.zone);
+        candidate.idle = false;
+        if let Some(at) = candidate.copies.iter().position(|(model, _)| Some(model) == step.drop.as_ref()) {
+            let (model, phase) = candidate.copies.swap_remove(at);
+            tally.remove(&model, phase, &candidate.zone);
         }
         let Some(model) = &step.load else {
             return;
         };
-        spot.copies.push((model.clone(), Phase::Loading));
-        tally.add(model, Phase::Loading, &spot.zone);
-        if source(spot, model) == Source::Store {
-            view.cold_loads_left = view.cold_loads_left.saturating_sub(1);
-            view.cold_loads_running += 1;
+        candidate.copies.push((model.clone(), Phase::Loading));
+        tally.add(model, Phase::Loading, &candidate.zone);
+        if source(candidate, model) == Source::Store {
+            input.cold_loads_left = input.cold_loads_left.saturating_sub(1);
+            input.cold_loads_running += 1;
         }
     }
 }
@@ -380,10 +405,10 @@
     }
 }
 
-fn source(spot: &Candidate, model: &Name) -> Source {
-    if spot.cached.memory.contains(model) {
+fn source(candidate: &Candidate, model: &Name) -> Source {
+    if candidate.cached.memory.contains(model) {
         Source::Memory
-    } else if spot.cached.disk.contains(model) {
+    } else if candidate.cached.disk.contains(model) {
         Source::Disk
     } else {
         Source::Store
--- a/fleet/src/place/utility.rs
+++ b/fleet/src/place/utility.rs
@@ -18,15 +18,15 @@
 /// Maximum fraction of an engine's slots that one copy should use.
 const SLOTS_PER_COPY: f64 = 0.3;
 /// Weight of a request that finds no slot, relative to one that finds a busy engine.
-const UNSERVED: f64 = 10.0;
+const UNSERVED_WEIGHT: f64 = 10.0;
 /// Copies needed by a model that has no copy and no demand.
-const UNASKED_NEED: f64 = 0.3;
+const IDLE_NEED: f64 = 0.3;
 /// Waiting time after which the callers of a model without any copy have twice their weight.
-const TURN: Duration = Duration::from_secs(1);
+const WAIT_PER_WEIGHT: Duration = Duration::from_secs(1);
 /// Utility of the last copy of an unused model where the engines lack room for all models, in copies needed:
 /// less than that of a copy for one waiting caller of a model without any, more than that of a further copy for
 /// a model that has enough.
-const UNUSED_WORTH: f64 = 1.0;
+const UNUSED_UTILITY: f64 = 1.0;
 
 /// Utility of the copies of each model of a pool.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
     /// Memory of the largest model, in MB.
     pub(crate) largest_mb: f64,
     /// Memory assumed for a model that the pool does not list, in MB: the whole memory of an engine.
-    unknown_mb: f64,
+    unlisted_mb: f64,
 }
 
 /// Size of a model, and the demand for it.
@@ -45,7 +45,7 @@
 struct Model {
     memory_mb: f64,
     /// Requests under way or waiting.
-    busy: f64,
+    concurrency: f64,
     /// Number of copies that it should have.
     need: f64,
     /// Time for which requests have waited while none was served.
@@ -56,20 +56,21 @@
 
 impl Utility {
     /// Computes the utilities of the models in the input of a plan.
-    pub(crate) fn of(view: &Input<'_>) -> Self {
-        let slots = f64::from(view.pool.slots.max(1));
+    pub(crate) fn of(input: &Input<'_>) -> Self {
+        let slots = f64::from(input.pool.slots.max(1));
         let model = |model: &crate::config::Model| {
-            let trend = view.demand.get(&model.name).copied().unwrap_or_default();
+            let trend = input.demand.get(&model.name).copied().unwrap_or_default();
             let need =
                 (trend.reading_load / READING_PER_COPY).max(trend.concurrency / (slots * SLOTS_PER_COPY));
-            let unused = view.unused(&model.name);
+            let unused = input.unused(&model.name);
             let starved = trend.starved_for;
-            let known = Model { memory_mb: model.memory_mb, busy: trend.concurrency, need, starved, unused };
+            let known =
+                Model { memory_mb: model.memory_mb, concurrency: trend.concurrency, need, starved, unused };
             (model.name.clone(), known)
         };
-        let by_model: FxHashMap<Name, Model> = view.pool.models.iter().map(model).collect();
+        let by_model: FxHashMap<Name, Model> = input.pool.models.iter().map(model).collect();
         let largest_mb = by_model.values().map(|model| model.memory_mb).fold(0.0, f64::max);
-        Self { by_model, slots, largest_mb, unknown_mb: view.pool.memory_mb }
+        Self { by_model, slots, largest_mb, unlisted_mb: input.pool.memory_mb }
     }
 
     fn model(&self, model: &Name) -> Model {
@@ -77,13 +78,13 @@
     }
 
     /// Whether the pool lists a model.
-    pub(crate) fn names(&self, model: &Name) -> bool {
+    pub(crate) fn lists(&self, model: &Name) -> bool {
         self.by_model.contains_key(model)
     }
 
     /// Memory of a copy, in MB.
     pub(crate) fn memory_mb(&self, model: &Name) -> f64 {
-        self.by_model.get(model).map_or(self.unknown_mb, |model| model.memory_mb)
+        self.by_model.get(model).map_or(self.unlisted_mb, |model| model.memory_mb)
     }
 
     /// Mean memory of a copy, in MB.
@@ -98,26 +99,26 @@
     pub(crate) fn further(&self, model: &Name, copies: usize) -> f64 {
         let model = self.model(model);
         if copies == 0 {
-            return UNSERVED * model.need;
+            return UNSERVED_WEIGHT * model.need;
         }
-        let unserved = |copies: usize| (model.busy - copies as f64 * self.slots).max(0.0);
+        let unserved = |copies: usize| (model.concurrency - copies as f64 * self.slots).max(0.0);
         let served = unserved(copies) - unserved(copies + 1);
-        UNSERVED.mul_add(served / (self.slots * SLOTS_PER_COPY), model.need / copies as f64)
+        UNSERVED_WEIGHT.mul_add(served / (self.slots * SLOTS_PER_COPY), model.need / copies as f64)
     }
 
     /// Utility of the first copy. It grows with the time for which callers have waited, so that each requested
     /// model gets a copy eventually.
     pub(crate) fn first(&self, model: &Name) -> f64 {
         let model = self.model(model);
-        let turns = 1.0 + model.starved.as_secs_f64() / TURN.as_secs_f64();
-        UNSERVED * model.need.max(UNASKED_NEED) * turns
+        let wait_weight = 1.0 + model.starved.as_secs_f64() / WAIT_PER_WEIGHT.as_secs_f64();
+        UNSERVED_WEIGHT * model.need.max(IDLE_NEED) * wait_weight
     }
 
     /// Utility of the last copy where the engines lack room for all models.
     pub(crate) fn last(&self, model: &Name) -> f64 {
         let model = self.model(model);
-        let least = if model.unused { UNUSED_WORTH } else { 0.0 };
-        (UNSERVED * model.need).max(least)
+        let least = if model.unused { UNUSED_UTILITY } else { 0.0 };
+        (UNSERVED_WEIGHT * model.need).max(least)
     }
 
     /// Time for which the callers of a model have waited while none was served.
--- a/fleet/src/plan.rs
+++ b/fleet/src/plan.rs
@@ -23,7 +23,7 @@
 
 /// Minimum residence time of a copy as a multiple of its load time, where the engines lack room for all models:
 /// an engine then spends at most a third of its time on loads.
-const EARNED: u32 = 2;
+const RESIDENCE_PER_LOAD: u32 = 2;
 
 /// Makes the next plan and sends the orders that follow from it.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
@@ -32,7 +32,7 @@
         return;
     }
     ledger::sync(state, now);
-    take_in(state, now);
+    update_demand(state, now);
     // A timer that fired while this process did not hold the lease or the engine was not listed had no effect.
     let managed: Vec<Name> = state.engines.keys().cloned().collect();
     for id in &managed {
@@ -46,7 +46,7 @@
     };
     for service in &config.services {
         if let Some(pool) = &service.pool {
-            models(state, now, &service.name, pool, out);
+            place_models(state, now, &service.name, pool, out);
         }
     }
     adapter::place_all_waiting(state, now, out);
@@ -56,7 +56,7 @@
 }
 
 /// Updates the aggregated demand from the counters of all entry VMs.
-fn take_in(state: &mut State, now: Time) {
+fn update_demand(state: &mut State, now: Time) {
     let own = state.demand.take();
     for demand in &own {
         state.fleet_demand.add_arrivals(demand);
@@ -65,18 +65,18 @@
     appetite.update(now, hub.frames().flat_map(|frame| &frame.demand).chain(&own));
 }
 
-fn models(state: &mut State, now: Time, service: &Name, pool: &Pool, out: &mut Vec<Effect>) {
+fn place_models(state: &mut State, now: Time, service: &Name, pool: &Pool, out: &mut Vec<Effect>) {
     let cold_left = state.ledger.cold_loads_left(now, pool.loads_per_s, &state.settings);
     let cold_running =
         state.engines_of(service).map(|engine| ledger::cold_loads_running(state, engine)).sum();
-    let spots: Vec<Candidate> =
-        state.engines_of(service).filter_map(|engine| spot(state, now, engine, pool)).collect();
+    let candidates: Vec<Candidate> =
+        state.engines_of(service).filter_map(|engine| candidate(state, now, engine, pool)).collect();
     let demand =
         pool.models.iter().map(|model| (model.name.clone(), state.fleet_demand.trend(service, &model.name)));
     let watched = state.fleet_demand.observed_for(now);
-    let view = Input {
+    let input = Input {
         pool,
-        engines: spots,
+        engines: candidates,
         demand: demand.collect(),
         cold_loads_left: cold_left,
         cold_loads_running: cold_running,
@@ -86,18 +86,19 @@
         disabled: &state.settings.disabled,
     };
     if state.fleet_demand.log_due(now) {
-        out.push(Effect::Record(view.record(service)));
+        out.push(Effect::Record(input.record(service)));
     }
-    for step in plan_moves(view) {
+    for step in plan_moves(input) {
         let drop = step.drop.map(|model| Order::Unload { model });
         let load = step.load.map(|model| Order::Load { model });
         ledger::enqueue(state, now, &step.engine, drop.into_iter().chain(load), out);
     }
 }
 
-fn spot(state: &State, now: Time, engine: &Engine, pool: &Pool) -> Option<Candidate> {
-    let book = state.ledger.inventory(&engine.entry.id)?;
-    let age = |model: &Name| pool.model(model).map_or(Duration::ZERO, |model| model.cold * EARNED);
+fn candidate(state: &State, now: Time, engine: &Engine, pool: &Pool) -> Option<Candidate> {
+    let holdings = state.ledger.holdings(&engine.entry.id)?;
+    let age =
+        |model: &Name| pool.model(model).map_or(Duration::ZERO, |model| model.cold * RESIDENCE_PER_LOAD);
     Some(Candidate {
         engine: engine.entry.id.clone(),
         usable: engine.takes_work()
@@ -106,10 +107,10 @@
                 || engine.path.is_relayed()
                 || engine.health.may_resume(now)),
         rate_limited: state.rate_limits.limit_of(engine, now).is_some(),
-        idle: book.idle() && !engine.health.is_suspected(now),
-        copies: book.copies_expected().map(|(model, phase)| (model.clone(), phase)).collect(),
-        recently_loaded: book.ready_for_less_than(now, age).cloned().collect(),
-        free_mb: pool.memory_mb - book.memory_mb(pool),
+        idle: holdings.idle() && !engine.health.is_suspected(now),
+        copies: holdings.copies_expected().map(|(model, phase)| (model.clone(), phase)).collect(),
+        recently_loaded: holdings.ready_for_less_than(now, age).cloned().collect(),
+        free_mb: pool.memory_mb - holdings.memory_mb(pool),
         cached: engine.entry.cached.clone(),
         open_requests: engine.load().open,
         zone: engine.entry.zone.clone(),
--- a/fleet/src/tally.rs
+++ b/fleet/src/tally.rs
@@ -34,12 +34,12 @@
 
 impl Tally {
     /// Counts the copies at all usable engines.
-    pub(crate) fn of(spots: &[Candidate]) -> Self {
+    pub(crate) fn of(candidates: &[Candidate]) -> Self {
         let mut tally = Self::default();
-        for spot in spots.iter().filter(|spot| spot.usable) {
-            for (model, phase) in &spot.copies {
-                tally.add(model, *phase, &spot.zone);
-                if spot.rate_limited {
+        for candidate in candidates.iter().filter(|candidate| candidate.usable) {
+            for (model, phase) in &candidate.copies {
+                tally.add(model, *phase, &candidate.zone);
+                if candidate.rate_limited {
                     *tally.limited.entry(model.clone()).or_default().of(*phase) += 1;
                 }
             }
--- a/fleet/tests/adapter_waits.rs
+++ b/fleet/tests/adapter_waits.rs
@@ -381,7 +381,7 @@
     assert!(is_sent(&effects, waiting), "the engine has answered");
 }
 
-/// The leader changes. The first message of the new leader, whose inventories were still empty, made the others
+/// The leader changes. The first message of the new leader, whose holdings were still empty, made the others
 /// discard theirs, and requests for loaded adapters waited until it had asked all engines.
 #[test]
 fn inventory_survives_leader_change() {
@@ -405,7 +405,7 @@
     );
 }
 
-/// A new leader starts from the inventories of its predecessor and from the engines' entries, which name no
+/// A new leader starts from the holdings of its predecessor and from the engines' entries, which name no
 /// adapters. It took the entries for complete and published them until each engine had answered.
 #[test]
 fn next_leader_verifies_inventory() {
--- a/fleet/tests/engine_orders.rs
+++ b/fleet/tests/engine_orders.rs
@@ -72,7 +72,7 @@
     assert!(matches!(node.step(id), Some(Step::Send(attempt)) if attempt.engine == engine));
 }
 
-/// An engine that lacks a model of its inventory is asked for a report, even if no other event occurs there.
+/// An engine that lacks a model of its holdings is asked for a report, even if no other event occurs there.
 #[test]
 fn refusal_as_absent_asks_the_engine() {
     let mut hub = settled();
