--- a/fleet/src/crash.rs
+++ b/fleet/src/crash.rs
@@ -35,7 +35,7 @@
 
 pub use register::Register;
 pub(crate) use shared::{
-    announce_cleared, answer_began, answer_continued, evaluate_accused, mark_sound, shared_parts,
+    announce_cleared, answer_began, answer_continued, evaluate_parts, mark_sound, shared_parts,
 };
 
 use register::{EVIDENCE_TTL, QUARANTINE_MAX, Run, SuspectedCrash};
--- a/fleet/src/crash/shared.rs
+++ b/fleet/src/crash/shared.rs
@@ -104,7 +104,7 @@
 }
 
 /// Evaluates the quarantine candidates and quarantines those whose waiting time is over.
-pub(crate) fn evaluate_accused(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn evaluate_parts(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let nodes = state.members.list().len();
     let time = SOUND_AFTER + announce_delay_max(state) + DELIVERY_TIME;
     let mut verdicts = Vec::new();
--- a/fleet/src/reduce.rs
+++ b/fleet/src/reduce.rs
@@ -198,7 +198,7 @@
         Timer::StreamReports => pin::announce_due(state, now, out),
         Timer::StreamReportsRetry => pin::announce_all(state, now, out),
         Timer::AnnounceCleared(part) => crash::announce_cleared(state, now, part, out),
-        Timer::EvaluateParts => crash::evaluate_accused(state, now, out),
+        Timer::EvaluateParts => crash::evaluate_parts(state, now, out),
         Timer::Plan => plan::due(state, now, out),
         Timer::ResidencyCheck(engine) => ledger::check(state, now, &engine, out),
         Timer::FrameToNewHub => frame::send(state, now, out),
