--- a/fleet/benches/plan.rs
+++ b/fleet/benches/plan.rs
@@ -33,8 +33,8 @@
 }
 
 /// Every model has copies, and a tenth of the models have demand.
-fn view(pool: &Pool, (engines, models): (usize, usize)) -> Input<'_> {
-    let spot = |number: usize| Candidate {
+fn input(pool: &Pool, (engines, models): (usize, usize)) -> Input<'_> {
+    let candidate = |number: usize| Candidate {
         engine: format!("e{number}").into(),
         usable: true,
         idle: true,
@@ -47,14 +47,20 @@
         ..Candidate::default()
     };
     let trend = |number: usize| {
-        let busy = if number.is_multiple_of(10) { 10.0 * engines as f64 / models as f64 * 12.0 } else { 0.0 };
-        Trend { concurrency: busy, reading_load: busy / 100.0, last_requested: Some(NOW), ..Trend::default() }
+        let requests =
+            if number.is_multiple_of(10) { 10.0 * engines as f64 / models as f64 * 12.0 } else { 0.0 };
+        Trend {
+            concurrency: requests,
+            reading_load: requests / 100.0,
+            last_requested: Some(NOW),
+            ..Trend::default()
+        }
     };
     let demand: BTreeMap<Name, Trend> = (0..models).map(|number| (name(number), trend(number))).collect();
-    let spots = (0..engines).map(spot).collect();
+    let candidates = (0..engines).map(candidate).collect();
     Input {
         pool,
-        engines: spots,
+        engines: candidates,
         demand,
         cold_loads_left: 1_000,
         cold_loads_running: 0,
@@ -68,5 +74,5 @@
 #[divan::bench(args = SIZES, sample_count = 10, sample_size = 1)]
 fn plan(bencher: Bencher<'_, '_>, size: (usize, usize)) {
     let pool = pool(size.1);
-    bencher.with_inputs(|| view(&pool, size)).bench_values(plan_moves);
+    bencher.with_inputs(|| input(&pool, size)).bench_values(plan_moves);
 }
--- a/fleet/tests/adapter_waits.rs
+++ b/fleet/tests/adapter_waits.rs
@@ -25,7 +25,7 @@
 /// The holder of the lease. Two engines hold `m0` and `m1`, two others `m2` and `m3`, and no model is to be
 /// moved.
 fn hub() -> Node {
-    leader(vec![
+    hub_with(vec![
         row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"])),
         row(2, entry("w2", WRITER, "zone-b", &["m0", "m1"])),
         row(3, entry("w3", WRITER, "zone-a", &["m2", "m3"])),
@@ -35,14 +35,14 @@
 
 /// The holder of the lease; each model is at one engine.
 fn single() -> Node {
-    leader(vec![
+    hub_with(vec![
         row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"])),
         row(2, entry("w2", WRITER, "zone-a", &["m2", "m3"])),
     ])
 }
 
 /// The holder of the lease with these engines, each with room for eight adapters.
-fn leader(rows: Vec<Row>) -> Node {
+fn hub_with(rows: Vec<Row>) -> Node {
     let mut hub = Node::bare("hub");
     let mut config = config(1);
     let pool = Pool { adapters_max: 8, ..pool() };
@@ -61,7 +61,7 @@
 }
 
 /// Requests for these adapters of `m0` arrive and wait. Returns them and the orders that were sent.
-fn ask(hub: &mut Node, adapters: &[&str]) -> (Vec<Id>, Vec<Dispatch>) {
+fn request_adapters(hub: &mut Node, adapters: &[&str]) -> (Vec<Id>, Vec<Dispatch>) {
     let mut sent = Vec::new();
     let requests = adapters.iter().map(|adapter| {
         let request = hub.arrive(streamed("/brief/1", "m0", Some(adapter)));
@@ -102,7 +102,7 @@
     Event::FrameReceived(Box::new(Frame { vm: vm.into(), demand, ..Frame::default() }))
 }
 
-/// Hundreds of entry VMs have waiting requests. Each frame once made the leader search engines for all adapters
+/// Hundreds of entry VMs have waiting requests. Each frame once made the hub search engines for all adapters
 /// that any entry VM waited for, which overloaded it. A frame must trigger the search for its own adapters
 /// only.
 #[test]
@@ -117,7 +117,7 @@
     assert_eq!(hub.state.placement_searches() - before, 1, "that frame waits for one adapter");
     let before = hub.state.placement_searches();
     hub.arrive(streamed("/brief/1", "m1", Some("a8")));
-    assert_eq!(hub.state.placement_searches() - before, 1, "a request at the leader waits for one");
+    assert_eq!(hub.state.placement_searches() - before, 1, "a request at the hub waits for one");
 }
 
 /// Several adapters are loaded at one engine in sequence. Only the first was published, and the others counted
@@ -125,7 +125,7 @@
 #[test]
 fn each_ready_adapter_is_published() {
     let mut hub = single();
-    let (requests, mut sent) = ask(&mut hub, &["a1", "a2", "a3"]);
+    let (requests, mut sent) = request_adapters(&mut hub, &["a1", "a2", "a3"]);
     let mut effects = Vec::new();
     for _ in 0..3 {
         effects.extend(hub.advance(millis(10)));
@@ -146,7 +146,7 @@
 #[test]
 fn published_after_lease_lapse() {
     let mut hub = single();
-    let (requests, sent) = ask(&mut hub, &["a1"]);
+    let (requests, sent) = request_adapters(&mut hub, &["a1"]);
     hub.now = hub.now + Settings::default().lease_length;
     accept(&mut hub, &sent[0]);
     hub.advance(millis(50));
@@ -161,7 +161,7 @@
 #[test]
 fn paused_engine_is_asked() {
     let mut hub = single();
-    let (_, mut sent) = ask(&mut hub, &["a1"]);
+    let (_, mut sent) = request_adapters(&mut hub, &["a1"]);
     let from = Start { engine: sent[0].engine.clone(), incarnation: sent[0].incarnation };
     let notice = Notice { pause: Some(millis(100)), ..Notice::default() };
     hub.feed(Event::NoticeReceived { from, notice, asked: None });
@@ -177,7 +177,7 @@
 #[test]
 fn published_when_engine_returns() {
     let mut hub = single();
-    let (_, sent) = ask(&mut hub, &["a1"]);
+    let (_, sent) = request_adapters(&mut hub, &["a1"]);
     accept(&mut hub, &sent[0]);
     hub.feed(listing(vec![removed(3, "w1")], 3, false));
     hub.advance(millis(30));
@@ -192,7 +192,7 @@
 #[test]
 fn more_adapters_than_parallel_loads() {
     let mut hub = single();
-    let (requests, mut sent) = ask(&mut hub, &["a1", "a2", "a3", "a4", "a5", "a6"]);
+    let (requests, mut sent) = request_adapters(&mut hub, &["a1", "a2", "a3", "a4", "a5", "a6"]);
     let mut effects = Vec::new();
     // The next plan is 240 ms away.
     for _ in 0..20 {
@@ -210,7 +210,7 @@
 }
 
 /// The last frame that an entry VM has sent to the hub.
-fn told(effects: &[Effect]) -> Option<&Frame> {
+fn last_frame(effects: &[Effect]) -> Option<&Frame> {
     effects.iter().rev().find_map(|effect| match effect {
         Effect::Frame { frame, .. } => Some(&**frame),
         _ => None,
@@ -218,7 +218,7 @@
 }
 
 /// The adapters that a frame reports as waited for.
-fn waited_for(frame: &Frame) -> Vec<&str> {
+fn waiting_adapters(frame: &Frame) -> Vec<&str> {
     let waiting = frame.demand.iter().filter(|demand| demand.waiting > 0);
     waiting.filter_map(|demand| demand.target.adapter.as_deref()).collect()
 }
@@ -244,17 +244,17 @@
 fn wait_during_a_frame() {
     let mut node = follower(295);
     node.arrive(streamed("/brief/1", "m0", Some("a1")));
-    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1"]), "no frame is under way");
+    assert_eq!(last_frame(&node.effects).map(waiting_adapters), Some(vec!["a1"]), "no frame is under way");
     node.arrive(streamed("/brief/1", "m0", Some("a2")));
-    assert_eq!(told(&node.effects), None, "a frame is under way");
+    assert_eq!(last_frame(&node.effects), None, "a frame is under way");
     node.feed(replied(295));
     assert_eq!(
-        told(&node.effects).map(waited_for),
+        last_frame(&node.effects).map(waiting_adapters),
         Some(vec!["a1", "a2"]),
         "the hub has not been informed of a2"
     );
     node.feed(replied(295));
-    assert_eq!(told(&node.effects), None, "the hub has been informed of both");
+    assert_eq!(last_frame(&node.effects), None, "the hub has been informed of both");
 }
 
 /// An engine's refusal as absent was reported to the hub once. If that frame was lost, the hub never asked the
@@ -264,11 +264,11 @@
     let mut node = follower(3);
     let (request, attempt) = node.sent(streamed("/brief/1", "m1", None));
     node.ended(request, attempt.number, End::Refused(Cause::Absent));
-    let frame = told(&node.effects).expect("a frame reports the waiting request");
+    let frame = last_frame(&node.effects).expect("a frame reports the waiting request");
     assert_eq!(frame.absent.len(), 1);
     node.feed(Event::Replied(None));
     let next = node.advance(Duration::from_secs(2));
-    let next = told(&next).expect("the next frame is due");
+    let next = last_frame(&next).expect("the next frame is due");
     assert_eq!(next.absent.len(), 1, "the hub may not have received the refusal");
 }
 
@@ -280,19 +280,19 @@
     node.arrive(streamed("/brief/1", "m0", Some("a1")));
     node.arrive(streamed("/brief/1", "m0", Some("a2")));
     node.feed(replied(295));
-    assert_eq!(told(&node.effects).map(waited_for), Some(vec!["a1", "a2"]));
-    node.feed(brought("a1"));
+    assert_eq!(last_frame(&node.effects).map(waiting_adapters), Some(vec!["a1", "a2"]));
+    node.feed(loaded("a1"));
     assert_eq!(
-        told(&node.effects).map(waited_for),
+        last_frame(&node.effects).map(waiting_adapters),
         Some(vec!["a2"]),
         "the hub is asked to hold its answer for a2"
     );
     node.feed(replied(295));
-    assert_eq!(told(&node.effects), None, "that answer contained no adapter");
+    assert_eq!(last_frame(&node.effects), None, "that answer contained no adapter");
 }
 
 /// The hub's answer that reports an adapter of `m0` at `w1`.
-fn brought(adapter: &str) -> Event {
+fn loaded(adapter: &str) -> Event {
     let copy = Copy { model: "m0".into(), phase: Phase::Ready, adapters: vec![adapter.into()] };
     let resident = Resident {
         engine: "w1".into(),
@@ -359,12 +359,12 @@
 #[test]
 fn order_answered_while_unlisted() {
     let mut hub = single();
-    let (_, sent) = ask(&mut hub, &["a1"]);
+    let (_, sent) = request_adapters(&mut hub, &["a1"]);
     hub.feed(listing(vec![removed(3, "w1")], 3, false));
     accept(&mut hub, &sent[0]);
     hub.feed(listing(vec![row(4, entry("w1", WRITER, "zone-a", &["m0", "m1"]))], 4, false));
     hub.advance(millis(300));
-    let (_, next) = ask(&mut hub, &["a2"]);
+    let (_, next) = request_adapters(&mut hub, &["a2"]);
     assert_eq!(next.len(), 1, "the engine accepts the next order");
 }
 
@@ -381,12 +381,12 @@
     assert!(is_sent(&effects, waiting), "the engine has answered");
 }
 
-/// The leader changes. The first message of the new leader, whose holdings were still empty, made the others
+/// The hub changes. The first message of the new hub, whose holdings were still empty, made the others
 /// discard theirs, and requests for loaded adapters waited until it had asked all engines.
 #[test]
-fn inventory_survives_leader_change() {
+fn holdings_survive_hub_change() {
     let mut node = follower(295);
-    node.feed(brought("a1"));
+    node.feed(loaded("a1"));
     let (request, attempt) = node.sent(streamed("/brief/1", "m0", Some("a1")));
     node.ended(request, attempt.number, End::Done);
     let view = Position { term: 4, version: 1 };
@@ -405,12 +405,12 @@
     );
 }
 
-/// A new leader starts from the holdings of its predecessor and from the engines' entries, which name no
+/// A new hub starts from the holdings of its predecessor and from the engines' entries, which name no
 /// adapters. It took the entries for complete and published them until each engine had answered.
 #[test]
-fn next_leader_verifies_inventory() {
+fn next_hub_verifies_holdings() {
     let mut node = follower(3);
-    node.feed(brought("a1"));
+    node.feed(loaded("a1"));
     node.advance(Duration::from_secs(4));
     node.lease(61_000, Outcome::Read(Some(hub_row())));
     node.lease(61_005, Outcome::Written(100));
--- a/fleet/tests/crash_storm.rs
+++ b/fleet/tests/crash_storm.rs
@@ -26,16 +26,16 @@
 const VMS: usize = 9;
 const ENGINES: usize = 12;
 /// Time within which all connected entry VMs learn what one of them has observed.
-const CONTACT: Duration = Duration::from_secs(3);
+const PROPAGATION: Duration = Duration::from_secs(3);
 /// Maximum number of engines that a request may crash after that, once three have crashed under it.
 const LATER_MAX: usize = 3;
 /// Time for which a crashed engine is gone.
 const DOWN: Duration = Duration::from_secs(2);
 /// Time from the begin of a run to its first event, and to its end.
 const FIRST: Duration = Duration::from_millis(60);
-const WHOLE: Duration = Duration::from_millis(600);
+const TOTAL: Duration = Duration::from_millis(600);
 /// Time from the begin of a crashing request's run to the crash of its engine.
-const FUSE: Duration = Duration::from_millis(80);
+const TIME_TO_CRASH: Duration = Duration::from_millis(80);
 
 #[derive(Clone, Debug)]
 struct Run {
@@ -45,7 +45,7 @@
     engine: Name,
     begins: Time,
     begun: bool,
-    poison: Option<usize>,
+    culprit: Option<usize>,
     text: String,
 }
 
@@ -56,19 +56,19 @@
     version: u64,
     /// Running engines, and the times at which crashed engines return under another id.
     engines: BTreeSet<Name>,
-    back: Vec<Time>,
-    named: usize,
+    restarts: Vec<Time>,
+    started: usize,
     runs: Vec<Run>,
-    drawn: u64,
+    requests: u64,
     /// Times of the crashes under each crashing request.
-    ends: Vec<Vec<Time>>,
+    crashes: Vec<Vec<Time>>,
     /// Numbers of harmless requests, and of those that were refused because of crashes.
-    sound: usize,
-    wronged: usize,
+    harmless: usize,
+    wrongly_refused: usize,
 }
 
 impl World {
-    fn new(seed: u64, poisons: usize) -> Self {
+    fn new(seed: u64, culprits: usize) -> Self {
         let rates: Vec<f64> = (0..VMS).map(|at| if at % 3 == 0 { LARGE } else { SMALL }).collect();
         let links = Links::new(&rates, &Arc::new(config(1)));
         let mut world = Self {
@@ -76,13 +76,13 @@
             rng: fastrand::Rng::with_seed(seed),
             version: 1,
             engines: BTreeSet::new(),
-            back: Vec::new(),
-            named: 0,
+            restarts: Vec::new(),
+            started: 0,
             runs: Vec::new(),
-            drawn: 0,
-            ends: vec![Vec::new(); poisons],
-            sound: 0,
-            wronged: 0,
+            requests: 0,
+            crashes: vec![Vec::new(); culprits],
+            harmless: 0,
+            wrongly_refused: 0,
         };
         for _ in 0..ENGINES {
             world.start();
@@ -92,34 +92,34 @@
     }
 
     fn start(&mut self) {
-        self.named += 1;
+        self.started += 1;
         self.version += 1;
-        let id: Name = format!("w{}", self.named).into();
-        let zone = ["zone-a", "zone-b", "zone-c"][self.named % 3];
+        let id: Name = format!("w{}", self.started).into();
+        let zone = ["zone-a", "zone-b", "zone-c"][self.started % 3];
         let row = row(self.version, entry(&id, WRITER, zone, &["m0"]));
         self.engines.insert(id);
         let version = self.version;
         (0..VMS).for_each(|vm| self.links.feed(vm, listing(vec![row.clone()], version, false)));
     }
 
-    fn arrive(&mut self, vm: usize, text: &str, poison: Option<usize>) {
-        self.drawn += 1;
-        let request = Id(self.drawn);
+    fn arrive(&mut self, vm: usize, text: &str, culprit: Option<usize>) {
+        self.requests += 1;
+        let request = Id(self.requests);
         let fingerprint = Fingerprint::of(HOST, "/brief/1", text.as_bytes());
         let arrival = Box::new(Arrival { fingerprint, ..short_stream("m0") });
         let effects = self.links.apply(vm, Event::Arrive { request, arrival });
-        self.follow(vm, request, text, poison, &effects);
-        self.sound += usize::from(poison.is_none());
+        self.follow(vm, request, text, culprit, &effects);
+        self.harmless += usize::from(culprit.is_none());
     }
 
     /// Carries out the effects of an entry VM for requests.
-    fn follow(&mut self, vm: usize, request: Id, text: &str, poison: Option<usize>, effects: &[Effect]) {
+    fn follow(&mut self, vm: usize, request: Id, text: &str, culprit: Option<usize>, effects: &[Effect]) {
         for effect in effects {
             match effect {
                 Effect::Reserve { request, .. } => {
                     let grant = Some(Grant::After(Duration::ZERO));
                     let more = self.links.apply(vm, Event::Granted { request: *request, grant });
-                    self.follow(vm, *request, text, poison, &more);
+                    self.follow(vm, *request, text, culprit, &more);
                 }
                 Effect::Step { request: of, step: Step::Send(attempt) } if *of == request => {
                     self.runs.push(Run {
@@ -129,15 +129,15 @@
                         engine: attempt.engine.clone(),
                         begins: attempt.at + millis(10),
                         begun: false,
-                        poison,
+                        culprit,
                         text: text.to_owned(),
                     });
                 }
                 Effect::Step { request: of, step: Step::Refuse(refusal) } => {
                     let run = self.runs.iter().position(|run| run.vm == vm && run.request == *of);
-                    let of_run = run.map(|run| self.runs.swap_remove(run).poison);
-                    let sound = of_run.unwrap_or(poison).is_none();
-                    self.wronged += usize::from(sound && refusal.code == Code::CrashesBackends);
+                    let of_run = run.map(|run| self.runs.swap_remove(run).culprit);
+                    let harmless = of_run.unwrap_or(culprit).is_none();
+                    self.wrongly_refused += usize::from(harmless && refusal.code == Code::CrashesBackends);
                 }
                 _ => {}
             }
@@ -148,15 +148,15 @@
         let (request, attempt) = (run.request, run.attempt);
         let ended = Event::Ended { request, attempt, end, events: Timing::default() };
         let effects = self.links.apply(run.vm, ended);
-        self.follow(run.vm, request, &run.text, run.poison, &effects);
+        self.follow(run.vm, request, &run.text, run.culprit, &effects);
     }
 
     /// Crashes an engine: its runs break, and its row is removed later.
-    fn crash(&mut self, engine: &Name, poison: Option<usize>) {
+    fn crash(&mut self, engine: &Name, culprit: Option<usize>) {
         self.engines.remove(engine);
-        self.back.push(self.links.now + DOWN);
-        if let Some(poison) = poison {
-            self.ends[poison].push(self.links.now);
+        self.restarts.push(self.links.now + DOWN);
+        if let Some(culprit) = culprit {
+            self.crashes[culprit].push(self.links.now);
         }
         let broken: Vec<Run> = self.runs.extract_if(.., |run| run.engine == *engine).collect();
         for run in &broken {
@@ -167,7 +167,7 @@
             for event in [
                 Event::Probed { engine: engine.clone(), reach: Port::Closed },
                 Event::ProbedIndirectly { engine: engine.clone(), reach: Some(Port::Closed) },
-                Event::PathSeen { engine: engine.clone(), by: other(), reach: Some(Port::Closed) },
+                Event::PathSeen { engine: engine.clone(), by: relay(), reach: Some(Port::Closed) },
             ] {
                 let effects = self.links.apply(vm, event);
                 self.follow(vm, Id(0), "", None, &effects);
@@ -179,16 +179,17 @@
     fn tick(&mut self) {
         self.links.pass(millis(10));
         let now = self.links.now;
-        let due: Vec<usize> = (0..self.back.len()).filter(|at| self.back[*at] <= now).collect();
-        self.back.retain(|at| *at > now);
+        let due: Vec<usize> = (0..self.restarts.len()).filter(|at| self.restarts[*at] <= now).collect();
+        self.restarts.retain(|at| *at > now);
         for _ in due {
             self.start();
         }
-        let fuse = |run: &Run| run.poison.is_some() && now.since(run.begins) >= FUSE && run.begins <= now;
-        while let Some(run) = self.runs.iter().find(|run| fuse(run)).cloned() {
-            self.crash(&run.engine, run.poison);
+        let crashes_now =
+            |run: &Run| run.culprit.is_some() && now.since(run.begins) >= TIME_TO_CRASH && run.begins <= now;
+        while let Some(run) = self.runs.iter().find(|run| crashes_now(run)).cloned() {
+            self.crash(&run.engine, run.culprit);
         }
-        let first = |run: &Run| run.poison.is_none() && !run.begun && now.since(run.begins) >= FIRST;
+        let first = |run: &Run| run.culprit.is_none() && !run.begun && now.since(run.begins) >= FIRST;
         for at in 0..self.runs.len() {
             if first(&self.runs[at]) {
                 self.runs[at].begun = true;
@@ -196,7 +197,7 @@
                 self.links.feed(vm, began(request));
             }
         }
-        let over = |run: &mut Run| run.poison.is_none() && now.since(run.begins) >= WHOLE;
+        let over = |run: &mut Run| run.culprit.is_none() && now.since(run.begins) >= TOTAL;
         let over: Vec<Run> = self.runs.extract_if(.., over).collect();
         for run in &over {
             self.end(run, End::Done);
@@ -209,7 +210,7 @@
             return;
         }
         let at = self.rng.usize(..self.runs.len());
-        if self.runs[at].poison.is_some() {
+        if self.runs[at].culprit.is_some() {
             return;
         }
         let run = self.runs.swap_remove(at);
@@ -220,7 +221,7 @@
 
     /// Removes the rows of crashed engines, as the store does after some seconds.
     fn expire(&mut self) {
-        for number in 1..=self.named {
+        for number in 1..=self.started {
             let id: Name = format!("w{number}").into();
             let known = self.links.state(1).engines().any(|engine| engine.entry.id == id);
             if known && !self.engines.contains(&id) {
@@ -234,13 +235,13 @@
 }
 
 /// An entry VM that is asked for a path to an engine.
-fn other() -> Relay {
+fn relay() -> Relay {
     Relay { vm: "vm-other".into(), address: ([10, 0, 0, 9], 7_000).into() }
 }
 
-fn storm(seed: u64) {
-    let poisons = 1 + (seed % 3) as usize;
-    let mut world = World::new(seed, poisons);
+fn simulate(seed: u64) {
+    let culprits = 1 + (seed % 3) as usize;
+    let mut world = World::new(seed, culprits);
     let mut suspended: Option<(usize, Time)> = None;
     for tick in 0..3_000_u32 {
         let vm = world.rng.usize(..VMS);
@@ -250,8 +251,8 @@
             world.arrive(vm, &text, None);
         }
         if runs && tick > 200 && world.rng.f64() < 0.04 {
-            let poison = world.rng.usize(..poisons);
-            world.arrive(vm, &format!("poison {poison}"), Some(poison));
+            let culprit = world.rng.usize(..culprits);
+            world.arrive(vm, &format!("poison {culprit}"), Some(culprit));
         }
         if world.rng.f64() < 0.02 {
             world.reset();
@@ -278,19 +279,24 @@
         }
         world.tick();
     }
-    for (poison, ends) in world.ends.iter().enumerate() {
-        assert!(!ends.is_empty(), "seed {seed}: no crash under request {poison}");
-        let Some(third) = ends.get(2) else { continue };
-        let later = ends.iter().filter(|end| **end > *third + CONTACT).count();
-        assert!(later <= LATER_MAX, "seed {seed}: {later} later crashes, {} in total", ends.len());
+    for (culprit, crashes) in world.crashes.iter().enumerate() {
+        assert!(!crashes.is_empty(), "seed {seed}: no crash under request {culprit}");
+        let Some(third) = crashes.get(2) else { continue };
+        let later = crashes.iter().filter(|end| **end > *third + PROPAGATION).count();
+        assert!(later <= LATER_MAX, "seed {seed}: {later} later crashes, {} in total", crashes.len());
     }
-    let allowed = 5 + world.sound / 500;
-    assert!(world.wronged <= allowed, "seed {seed}: {} of {} refused", world.wronged, world.sound);
+    let allowed = 5 + world.harmless / 500;
+    assert!(
+        world.wrongly_refused <= allowed,
+        "seed {seed}: {} of {} refused",
+        world.wrongly_refused,
+        world.harmless
+    );
 }
 
 #[test]
 fn twenty_seeds() {
-    (0..20).for_each(storm);
+    (0..20).for_each(simulate);
 }
 
 /// By hand: `STORM_SEEDS=500 cargo test --release -p boragecove-fleet --test crash_storm more -- --ignored`.
@@ -298,5 +304,5 @@
 #[ignore = "takes minutes"]
 fn more_seeds() {
     let seeds = std::env::var("STORM_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(200);
-    (20..20 + seeds).for_each(storm);
+    (20..20 + seeds).for_each(simulate);
 }
--- a/fleet/tests/crashing_requests.rs
+++ b/fleet/tests/crashing_requests.rs
@@ -43,17 +43,17 @@
 
 /// The engine of an attempt crashes.
 fn crash(node: &mut Node, id: Id, attempt: &Attempt) -> Vec<Effect> {
-    lose(node, id, attempt, Port::Closed)
+    break_connection(node, id, attempt, Port::Closed)
 }
 
 /// The connection of an attempt breaks, and probes of its engine's port give `reach`.
-fn lose(node: &mut Node, id: Id, attempt: &Attempt, reach: Port) -> Vec<Effect> {
+fn break_connection(node: &mut Node, id: Id, attempt: &Attempt, reach: Port) -> Vec<Effect> {
     node.advance(millis(50));
     node.ended(id, attempt.number, End::Lost);
     let mut effects = node.effects.clone();
     node.feed(Event::Probed { engine: attempt.engine.clone(), reach });
     effects.extend(node.effects.clone());
-    if asks(&node.effects) == 1 {
+    if probes_asked(&node.effects) == 1 {
         node.feed(Event::ProbedIndirectly { engine: attempt.engine.clone(), reach: Some(reach) });
         effects.extend(node.effects.clone());
     }
@@ -73,12 +73,12 @@
 }
 
 /// Number of other entry VMs that are asked for a probe.
-fn asks(effects: &[Effect]) -> usize {
+fn probes_asked(effects: &[Effect]) -> usize {
     effects.iter().filter(|effect| matches!(effect, Effect::IndirectProbe { .. })).count()
 }
 
 /// All engines run again.
-fn mend(node: &mut Node) {
+fn restore_engines(node: &mut Node) {
     for engine in ["w1", "w2", "g1", "g2"] {
         node.feed(Event::Probed { engine: engine.into(), reach: Port::Open });
     }
@@ -89,7 +89,7 @@
 fn crash_under(node: &mut Node, arrival: Arrival) -> Vec<Effect> {
     let (id, attempt) = node.sent(arrival);
     let effects = crash(node, id, &attempt);
-    mend(node);
+    restore_engines(node);
     effects
 }
 
@@ -183,7 +183,7 @@
     node.advance(millis(20));
     node.ended(id, attempt.number, End::Done);
     crash(&mut node, older, &at_older);
-    mend(&mut node);
+    restore_engines(&mut node);
     crash_under(&mut node, body("x"));
     assert_eq!(quarantined(&node), 0);
 }
@@ -197,7 +197,7 @@
         let (id, attempt) = node.sent(body("long"));
         node.feed(began(id));
         crash(&mut node, id, &attempt);
-        mend(&mut node);
+        restore_engines(&mut node);
     }
     node.sent(body("long"));
 }
@@ -212,7 +212,7 @@
             node.advance(millis(50));
             node.ended(id, attempt.number, end);
             node.feed(Event::Probed { engine: attempt.engine, reach });
-            mend(&mut node);
+            restore_engines(&mut node);
         }
         node.sent(body("x"));
     }
@@ -233,11 +233,11 @@
             node.ended(id, attempt.number, End::Lost);
             node.feed(Event::Probed { engine: attempt.engine.clone(), reach: Port::Closed });
             let mut answers = answers.iter().copied();
-            while asks(&node.effects) == 1 {
+            while probes_asked(&node.effects) == 1 {
                 let reach = answers.next().flatten();
                 node.feed(Event::ProbedIndirectly { engine: attempt.engine.clone(), reach });
             }
-            mend(&mut node);
+            restore_engines(&mut node);
         }
         node.sent(call("x"));
     }
@@ -262,7 +262,7 @@
         .collect();
     assert_eq!(asked, [address(7_002)]);
     node.feed(Event::ProbedIndirectly { engine: "g2".into(), reach: None });
-    assert_eq!(asks(&node.effects), 0);
+    assert_eq!(probes_asked(&node.effects), 0);
 }
 
 /// An engine that shuts down as announced breaks its runs: that is no crash.
@@ -277,7 +277,7 @@
         crash(&mut node, id, &attempt);
         let back = entry(&attempt.engine, WRITER, "zone-a", &["m0"]);
         node.feed(listing(vec![row(version + 1, back)], version + 1, false));
-        mend(&mut node);
+        restore_engines(&mut node);
     }
     node.sent(body("x"));
 }
@@ -295,7 +295,7 @@
     crash(&mut node, first, &at_first);
     crash(&mut node, second, &at_second);
     assert_eq!(quarantined(&node), 0);
-    mend(&mut node);
+    restore_engines(&mut node);
     node.sent(plain("/ack/1"));
 }
 
@@ -353,7 +353,7 @@
     let effects = crash(&mut node, id, &second);
     assert!(matches!(step_of(&effects, other), Some(Step::Refuse(_))));
     assert_eq!(step_of(&effects, begun), None);
-    mend(&mut node);
+    restore_engines(&mut node);
     node.refused(body("x"));
     node.ended(begun, attempt.number, End::Done);
     node.sent(body("x"));
@@ -404,9 +404,9 @@
 #[test]
 fn others_are_informed_at_once() {
     let mut node = follower("a");
-    let told = crash_under(&mut node, call("x"));
+    let effects = crash_under(&mut node, call("x"));
     let news: Vec<Message> =
-        pushed(&told).into_iter().filter(|message| !message.crashes.suspects.is_empty()).collect();
+        pushed(&effects).into_iter().filter(|message| !message.crashes.suspects.is_empty()).collect();
     assert!(!news.is_empty());
     let mut other = follower("b");
     for message in news {
@@ -422,9 +422,9 @@
 fn crash_reported_twice_counts_once() {
     let mut a = follower("a");
     let mut b = follower("b");
-    let told = crash_under(&mut a, call("x"));
+    let effects = crash_under(&mut a, call("x"));
     crash_under(&mut b, call("x"));
-    for message in pushed(&told) {
+    for message in pushed(&effects) {
         b.feed(Event::Pushed(Box::new(message)));
     }
     assert_eq!(quarantined(&b), 0);
@@ -515,13 +515,13 @@
     hub.feed(Event::FrameReceived(Box::new(frame(cleared))));
     hub.feed(Event::FrameReceived(Box::new(frame(quarantined))));
     hub.sent(body("x"));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(quarantined));
-    assert_eq!(told.crash_entries, [Verdict { request, status: cleared }]);
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(quarantined));
+    assert_eq!(reply.crash_entries, [Verdict { request, status: cleared }]);
     hub.advance(Duration::from_mins(7));
     hub.feed(Event::FrameReceived(Box::new(frame(cleared))));
     hub.advance(Duration::from_mins(2));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(quarantined));
-    assert_eq!(told.crash_digest, 0, "receiving it again does not prolong it");
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(quarantined));
+    assert_eq!(reply.crash_digest, 0, "receiving it again does not prolong it");
 }
 
 /// An entry VM that has an older answer and missed the crashes after it does not lift the quarantine.
@@ -587,16 +587,16 @@
         parts: Arc::default(),
         answer_begun: false,
     };
-    let told = |node: &mut Node, texts: &[&str]| {
+    let report = |node: &mut Node, texts: &[&str]| {
         let suspects = texts.iter().map(|text| suspect(text)).collect();
         let crashes = Report { suspects, verdicts: Vec::new() };
         let message = Message { crashes, ..Message::default() };
         lines(node.feed(Event::Pushed(Box::new(message))))
     };
     let mut other = Node::ready("b");
-    assert_eq!(told(&mut other, &["first", "second", "third"]), 0, "another entry VM saw the crash");
+    assert_eq!(report(&mut other, &["first", "second", "third"]), 0, "another entry VM saw the crash");
     other.advance(millis(500));
-    assert_eq!(told(&mut other, &["first"]), 1, "it blocks that request from now on");
+    assert_eq!(report(&mut other, &["first"]), 1, "it blocks that request from now on");
     let cleared = |text: &str| Verdict {
         request: call(text).fingerprint,
         status: Status::Cleared { left: Duration::from_mins(10) },
--- a/fleet/tests/part_storm.rs
+++ b/fleet/tests/part_storm.rs
@@ -12,24 +12,27 @@
 use std::time::Duration;
 
 use node::millis;
-use storm::{Bad, LATER_MAX, Outcome, Settings, play};
+use storm::{Bad, LATER_MAX, Outcome, Settings, simulate};
 
 /// Minimum fraction of harmless requests whose answer begins at the first attempt.
-const KIN_MIN: f64 = 0.95;
+const SERVED_MIN: f64 = 0.95;
 
 fn check(settings: &Settings, outcome: &Outcome) {
     let context = format!("{settings:?}\n{outcome:?}");
     assert!(outcome.later.iter().all(|later| *later <= LATER_MAX), "sent later: {context}");
-    assert!(outcome.kin.share() >= KIN_MIN, "fraction served with the same first part: {context}");
-    assert!(outcome.others.share() >= KIN_MIN, "fraction of others served: {context}");
-    assert!(outcome.wronged <= 5 + outcome.sound / 500, "refused by mistake: {context}");
+    assert!(
+        outcome.same_first_part.share() >= SERVED_MIN,
+        "fraction served with the same first part: {context}"
+    );
+    assert!(outcome.others.share() >= SERVED_MIN, "fraction of others served: {context}");
+    assert!(outcome.wrongly_refused <= 5 + outcome.harmless / 500, "refused by mistake: {context}");
 }
 
 fn check_seeds(count: u64, settings: &Settings) {
     std::thread::scope(|scope| {
-        let play = |seed| Settings { seed, ..settings.clone() };
-        for settings in (0..count).map(play) {
-            scope.spawn(move || check(&settings, &storm::play(settings.clone())));
+        let with_seed = |seed| Settings { seed, ..settings.clone() };
+        for settings in (0..count).map(with_seed) {
+            scope.spawn(move || check(&settings, &storm::simulate(settings.clone())));
         }
     });
 }
@@ -43,7 +46,7 @@
 /// Harmless requests contained the part before it began to crash engines.
 #[test]
 fn part_that_was_harmless() {
-    check_seeds(2, &Settings { parts: vec![Bad::Second(7)], sound: 200.0, ..Settings::default() });
+    check_seeds(2, &Settings { parts: vec![Bad::Second(7)], harmless: 200.0, ..Settings::default() });
 }
 
 /// All requests with one first part crash engines.
@@ -58,7 +61,7 @@
     let read = millis(500);
     check_seeds(
         5,
-        &Settings { parts: vec![Bad::First(2)], bad: 0.0, read, sound: 200.0, ..Settings::default() },
+        &Settings { parts: vec![Bad::First(2)], bad: 0.0, read, harmless: 200.0, ..Settings::default() },
     );
 }
 
@@ -71,7 +74,7 @@
 /// One bad request every five seconds.
 #[test]
 fn rare_bad_part() {
-    check_seeds(2, &Settings { bad: 0.2, lasts: Duration::from_secs(40), ..Settings::default() });
+    check_seeds(2, &Settings { bad: 0.2, duration: Duration::from_secs(40), ..Settings::default() });
 }
 
 /// Engines read for up to two seconds: the answers of many other runs at a crashed engine have not begun.
@@ -83,14 +86,14 @@
 /// An engine sends a first event before it crashes.
 #[test]
 fn crash_after_first_event() {
-    check_seeds(2, &Settings { begins: true, ..Settings::default() });
+    check_seeds(2, &Settings { first_event: true, ..Settings::default() });
 }
 
 /// All answers end with their connections: an answer that a crash breaks off after an event looks complete.
 #[test]
 fn answers_without_length() {
     check_seeds(2, &Settings { closes: true, ..Settings::default() });
-    check_seeds(2, &Settings { closes: true, begins: true, ..Settings::default() });
+    check_seeds(2, &Settings { closes: true, first_event: true, ..Settings::default() });
 }
 
 /// Clients retry at once, at other entry VMs, and streams are resumed.
@@ -108,26 +111,26 @@
 }
 
 #[test]
-fn leader_suspended() {
-    let frozen = Some((Duration::from_secs(3), Duration::from_secs(10)));
-    check_seeds(2, &Settings { frozen, ..Settings::default() });
+fn hub_suspended() {
+    let suspended = Some((Duration::from_secs(3), Duration::from_secs(10)));
+    check_seeds(2, &Settings { suspended, ..Settings::default() });
 }
 
 #[test]
 fn many_entry_vms() {
     check_seeds(1, &Settings { vms: 6, ..Settings::default() });
-    check_seeds(1, &Settings { vms: 65, lasts: Duration::from_secs(15), ..Settings::default() });
+    check_seeds(1, &Settings { vms: 65, duration: Duration::from_secs(15), ..Settings::default() });
 }
 
 /// All engines crash at the same moment for another cause, while a bad part crashes engines as well.
 #[test]
 fn waves_of_other_crashes() {
     let waves = (0..4).map(|at| Duration::from_secs(4 + at * 4)).collect();
-    let settings = Settings { waves, down: millis(500), sound: 200.0, ..Settings::default() };
+    let settings = Settings { waves, down: millis(500), harmless: 200.0, ..Settings::default() };
     for seed in 0..2 {
-        let outcome = play(Settings { seed, ..settings.clone() });
+        let outcome = simulate(Settings { seed, ..settings.clone() });
         assert!(outcome.later[0] <= LATER_MAX, "{outcome:?}");
-        assert_eq!(outcome.wronged, 0, "{outcome:?}");
+        assert_eq!(outcome.wrongly_refused, 0, "{outcome:?}");
     }
 }
 
@@ -135,17 +138,17 @@
 /// requests wait.
 #[test]
 fn waves_quarantine_nothing() {
-    let settings = Settings { parts: Vec::new(), down: millis(500), sound: 200.0, ..Settings::default() };
+    let settings = Settings { parts: Vec::new(), down: millis(500), harmless: 200.0, ..Settings::default() };
     let cases = [(5_000, 30), (5_000, 2_000), (1_000, 30), (1_000, 2_000), (2_000, 2_000)];
     std::thread::scope(|scope| {
         for (gap, read) in cases {
             let waves = (0..9_000 / gap).map(|at| millis(3_000 + at * gap)).collect();
-            let lasts = Duration::from_secs(13);
-            let settings = Settings { waves, read: millis(read), lasts, ..settings.clone() };
+            let duration = Duration::from_secs(13);
+            let settings = Settings { waves, read: millis(read), duration, ..settings.clone() };
             scope.spawn(move || {
-                let outcome = play(settings);
+                let outcome = simulate(settings);
                 assert_eq!(
-                    outcome.wronged, 0,
+                    outcome.wrongly_refused, 0,
                     "a wave every {gap} ms, reading for up to {read} ms: {outcome:?}"
                 );
             });
@@ -161,21 +164,21 @@
     let every = |gap: u64, from: u64, count: u64| {
         (0..count).map(|at| millis(from * 1_000 + at * gap)).collect::<Vec<_>>()
     };
-    let base = Settings { sound: 200.0, ..Settings::default() };
+    let base = Settings { harmless: 200.0, ..Settings::default() };
     let slow = |read: u64| Settings { read: millis(read), ..base.clone() };
     let none = |read: u64, waves: Vec<Duration>| Settings {
         parts: Vec::new(),
         down: millis(500),
         waves,
         read: millis(read),
-        lasts: secs(20),
+        duration: secs(20),
         ..base.clone()
     };
     let cases: Vec<(&str, Settings)> = vec![
         ("calm", base.clone()),
         ("read to 0.5 s", slow(500)),
         ("read to 2 s", slow(2_000)),
-        ("bad part was sound before", Settings { parts: vec![Bad::Second(7)], ..base.clone() }),
+        ("bad part was harmless before", Settings { parts: vec![Bad::Second(7)], ..base.clone() }),
         ("bad first part", Settings { parts: vec![Bad::First(2)], bad: 0.0, ..base.clone() }),
         ("bad first part, read to 0.5 s", Settings { parts: vec![Bad::First(2)], bad: 0.0, ..slow(500) }),
         (
@@ -186,12 +189,12 @@
             "three, read to 0.5 s",
             Settings { parts: vec![Bad::Fresh(1), Bad::Fresh(2), Bad::Second(3)], ..slow(500) },
         ),
-        ("rare, one in 5 s", Settings { bad: 0.2, lasts: secs(60), ..base.clone() }),
+        ("rare, one in 5 s", Settings { bad: 0.2, duration: secs(60), ..base.clone() }),
         ("10 a second", Settings { bad: 10.0, ..base.clone() }),
-        ("first event before the end", Settings { begins: true, ..base.clone() }),
+        ("first event before the crash", Settings { first_event: true, ..base.clone() }),
         ("answers without length", Settings { closes: true, ..base.clone() }),
-        ("the same, first event", Settings { closes: true, begins: true, ..base.clone() }),
-        ("waves beside", Settings { waves: every(4_000, 4, 4), down: millis(500), ..base.clone() }),
+        ("the same, first event", Settings { closes: true, first_event: true, ..base.clone() }),
+        ("waves of other crashes", Settings { waves: every(4_000, 4, 4), down: millis(500), ..base.clone() }),
         ("none, 4 waves", none(30, every(5_000, 3, 4))),
         ("none, 4 waves, read to 2 s", none(2_000, every(5_000, 3, 4))),
         ("none, a wave each second", none(30, every(1_000, 3, 14))),
@@ -202,36 +205,37 @@
             "a third killed each second",
             Settings { kills: (4..20).map(|at| (secs(at), 0.33)).collect(), ..base.clone() },
         ),
-        ("leader frozen", Settings { frozen: Some((secs(3), secs(10))), ..base.clone() }),
-        ("clients come again", Settings { tries: 3, ..base.clone() }),
+        ("hub suspended", Settings { suspended: Some((secs(3), secs(10))), ..base.clone() }),
+        ("clients retry", Settings { tries: 3, ..base.clone() }),
         ("resumable", Settings { path: "/digest/1", tries: 3, ..base.clone() }),
         ("6 entry VMs", Settings { vms: 6, ..base.clone() }),
         ("65", Settings { vms: 65, ..base.clone() }),
-        ("984", Settings { vms: 984, lasts: secs(12), ..base.clone() }),
-        ("300", Settings { vms: 300, lasts: secs(20), ..base.clone() }),
+        ("984", Settings { vms: 984, duration: secs(12), ..base.clone() }),
+        ("300", Settings { vms: 300, duration: secs(20), ..base.clone() }),
     ];
     let seeds: u64 = std::env::var("STORM_SEEDS").ok().and_then(|text| text.parse().ok()).unwrap_or(5);
     let only = std::env::var("STORM_ONLY").unwrap_or_default();
     for (name, settings) in cases.iter().filter(|(name, _)| name.contains(&only)) {
         let outcomes: Vec<Outcome> = std::thread::scope(|scope| {
-            let plays: Vec<_> = (0..seeds)
-                .map(|seed| scope.spawn(move || play(Settings { seed, ..settings.clone() })))
+            let runs: Vec<_> = (0..seeds)
+                .map(|seed| scope.spawn(move || simulate(Settings { seed, ..settings.clone() })))
                 .collect();
-            plays.into_iter().map(|play| play.join().expect("played")).collect()
+            runs.into_iter().map(|run| run.join().expect("the simulation finished")).collect()
         });
-        let ends: Vec<usize> = outcomes.iter().flat_map(|outcome| outcome.ends.clone()).collect();
+        let crashes: Vec<usize> = outcomes.iter().flat_map(|outcome| outcome.crashes.clone()).collect();
         let later: Vec<usize> = outcomes.iter().flat_map(|outcome| outcome.later.clone()).collect();
         let most =
             |of: &[usize]| (of.iter().min().copied().unwrap_or(0), of.iter().max().copied().unwrap_or(0));
-        let kin = outcomes.iter().map(|outcome| outcome.kin.share()).fold(1.0, f64::min);
+        let same_first_part =
+            outcomes.iter().map(|outcome| outcome.same_first_part.share()).fold(1.0, f64::min);
         let others = outcomes.iter().map(|outcome| outcome.others.share()).fold(1.0, f64::min);
-        let wronged: usize = outcomes.iter().map(|outcome| outcome.wronged).sum();
-        let sound: usize = outcomes.iter().map(|outcome| outcome.sound).sum();
-        let accused: usize = outcomes.iter().map(|outcome| outcome.accused.len()).sum();
-        let pushes: usize = outcomes.iter().map(|outcome| outcome.pushes).sum();
+        let wrongly_refused: usize = outcomes.iter().map(|outcome| outcome.wrongly_refused).sum();
+        let harmless: usize = outcomes.iter().map(|outcome| outcome.harmless).sum();
+        let blamed_parts: usize = outcomes.iter().map(|outcome| outcome.blamed_parts.len()).sum();
+        let pushed_messages: usize = outcomes.iter().map(|outcome| outcome.pushed_messages).sum();
         println!(
-            "{name:40} ends {:?} later {:?} kin {kin:.3} others {others:.3} wronged {wronged} of {sound} ({accused} parts) pushes {pushes}",
-            most(&ends),
+            "{name:40} crashes {:?} later {:?} same first part {same_first_part:.3} others {others:.3} wrongly refused {wrongly_refused} of {harmless} ({blamed_parts} parts) pushes {pushed_messages}",
+            most(&crashes),
             most(&later)
         );
     }
--- a/fleet/tests/prompt_parts.rs
+++ b/fleet/tests/prompt_parts.rs
@@ -21,27 +21,27 @@
 use node::{HOST, Node, WRITER, began, config, entry, listing, millis, row, step_of, streamed};
 
 /// The part that crashes engines.
-const BAD: &str = "b";
+const BAD_PART: &str = "b";
 /// Time within which a part with sufficient evidence is quarantined, once engines answer other requests.
-const JUDGED: Duration = Duration::from_secs(1);
+const EVALUATION_TIME: Duration = Duration::from_secs(1);
 
-struct Scene {
+struct Fixture {
     node: Node,
-    drawn: u64,
+    requests: u64,
 }
 
-impl Scene {
+impl Fixture {
     fn new() -> Self {
         let mut node = Node::ready("a");
         let rows = (1..40).map(|at| row(at + 10, entry(&format!("e{at}"), WRITER, "zone-a", &["m0", "m1"])));
         node.feed(listing(rows.collect(), 60, false));
-        Self { node, drawn: 0 }
+        Self { node, requests: 0 }
     }
 
     /// A request with a unique body and these shared parts.
     fn request(&mut self, model: &str, parts: &[&str]) -> Arrival {
-        self.drawn += 1;
-        let fingerprint = Fingerprint::of(HOST, "/brief/1", format!("{}", self.drawn).as_bytes());
+        self.requests += 1;
+        let fingerprint = Fingerprint::of(HOST, "/brief/1", format!("{}", self.requests).as_bytes());
         let parts = parts.iter().map(|part| Fingerprint::of_part(part)).collect();
         Arrival { fingerprint, parts, ..streamed("/brief/1", model, None) }
     }
@@ -79,10 +79,10 @@
     fn crash(&mut self, model: &str, parts: &[&str]) -> Vec<Effect> {
         let arrival = self.request(model, parts);
         let (id, attempt) = self.sent(arrival);
-        self.lose(id, &attempt)
+        self.crash_run(id, &attempt)
     }
 
-    fn lose(&mut self, id: Id, attempt: &Attempt) -> Vec<Effect> {
+    fn crash_run(&mut self, id: Id, attempt: &Attempt) -> Vec<Effect> {
         self.node.advance(millis(50));
         self.node.ended(id, attempt.number, End::Lost);
         let mut effects = self.node.effects.clone();
@@ -93,23 +93,23 @@
     }
 
     /// Other requests are answered for as long as a quarantine takes.
-    fn others(&mut self) -> Vec<Effect> {
+    fn answer_others(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
         for _ in 0..3 {
             effects.extend(self.answer("m0", &["other"]));
-            effects.extend(self.node.advance(JUDGED / 3));
+            effects.extend(self.node.advance(EVALUATION_TIME / 3));
         }
         effects
     }
 
     /// Three crashes, and successful answers to other requests.
-    fn convict(&mut self) -> Vec<Effect> {
+    fn quarantine(&mut self) -> Vec<Effect> {
         let mut effects = Vec::new();
         for _ in 0..3 {
-            effects.extend(self.crash("m0", &["f", BAD]));
+            effects.extend(self.crash("m0", &["f", BAD_PART]));
         }
         effects.extend(self.answer("m0", &["f"]));
-        effects.extend(self.others());
+        effects.extend(self.answer_others());
         effects
     }
 
@@ -138,145 +138,145 @@
 /// Different requests crash engine after engine through a part that they share.
 #[test]
 fn shared_part_quarantined() {
-    let mut scene = Scene::new();
-    scene.convict();
-    let arrival = scene.request("m0", &["f", BAD]);
-    let refusal = scene.node.refused(arrival);
+    let mut fixture = Fixture::new();
+    fixture.quarantine();
+    let arrival = fixture.request("m0", &["f", BAD_PART]);
+    let refusal = fixture.node.refused(arrival);
     assert_eq!((refusal.code.status(), refusal.retry_after), (400, None), "no retry is suggested");
-    assert!(!scene.is_refused("m0", &["f", "c"]), "only the first part is the same");
-    assert!(!scene.is_refused("m0", &["f"]));
-    assert!(!scene.is_refused("m0", &[]));
-    assert!(scene.is_refused("m1", &["g", BAD]), "whatever the other parts of the request");
+    assert!(!fixture.is_refused("m0", &["f", "c"]), "only the first part is the same");
+    assert!(!fixture.is_refused("m0", &["f"]));
+    assert!(!fixture.is_refused("m0", &[]));
+    assert!(fixture.is_refused("m1", &["g", BAD_PART]), "whatever the other parts of the request");
 }
 
 #[test]
 fn two_crashes_quarantine_nothing() {
-    let mut scene = Scene::new();
-    scene.crash("m0", &["f", BAD]);
-    scene.crash("m0", &["f", BAD]);
-    scene.others();
-    assert!(!scene.is_refused("m0", &["f", BAD]));
+    let mut fixture = Fixture::new();
+    fixture.crash("m0", &["f", BAD_PART]);
+    fixture.crash("m0", &["f", BAD_PART]);
+    fixture.answer_others();
+    assert!(!fixture.is_refused("m0", &["f", BAD_PART]));
 }
 
 /// Crashes that are minutes apart count together if no answer came in between.
 #[test]
 fn crashes_minutes_apart() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..3 {
-        scene.crash("m0", &["f", BAD]);
-        scene.answer("m0", &["f"]);
-        scene.node.advance(Duration::from_mins(3));
+        fixture.crash("m0", &["f", BAD_PART]);
+        fixture.answer("m0", &["f"]);
+        fixture.node.advance(Duration::from_mins(3));
     }
-    scene.others();
-    assert!(scene.is_refused("m0", &["g", BAD]));
+    fixture.answer_others();
+    assert!(fixture.is_refused("m0", &["g", BAD_PART]));
 }
 
 #[test]
 fn answer_between_crashes() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..4 {
-        scene.crash("m0", &["f", "c"]);
-        scene.answer("m0", &["f", "c"]);
+        fixture.crash("m0", &["f", "c"]);
+        fixture.answer("m0", &["f", "c"]);
     }
-    scene.others();
-    assert!(!scene.is_refused("m0", &["f", "c"]));
+    fixture.answer_others();
+    assert!(!fixture.is_refused("m0", &["f", "c"]));
 }
 
 /// A first event alone does not clear a part: some engines crash shortly after it.
 #[test]
 fn first_event_clears_nothing() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..3 {
-        let arrival = scene.request("m0", &["f", BAD]);
-        let (id, attempt) = scene.sent(arrival);
-        scene.node.advance(millis(30));
-        scene.node.feed(began(id));
-        scene.lose(id, &attempt);
+        let arrival = fixture.request("m0", &["f", BAD_PART]);
+        let (id, attempt) = fixture.sent(arrival);
+        fixture.node.advance(millis(30));
+        fixture.node.feed(began(id));
+        fixture.crash_run(id, &attempt);
     }
-    scene.answer("m0", &["f"]);
-    scene.others();
-    assert!(scene.is_refused("m0", &["f", BAD]));
+    fixture.answer("m0", &["f"]);
+    fixture.answer_others();
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
 }
 
 /// Streams that had been written for some time before the crash do not count.
 #[test]
 fn long_streams_do_not_count() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..4 {
-        let arrival = scene.request("m0", &["c"]);
-        let (id, attempt) = scene.sent(arrival);
-        scene.node.feed(began(id));
-        scene.node.advance(millis(400));
-        scene.lose(id, &attempt);
+        let arrival = fixture.request("m0", &["c"]);
+        let (id, attempt) = fixture.sent(arrival);
+        fixture.node.feed(began(id));
+        fixture.node.advance(millis(400));
+        fixture.crash_run(id, &attempt);
     }
-    scene.others();
-    assert!(!scene.is_refused("m0", &["c"]));
+    fixture.answer_others();
+    assert!(!fixture.is_refused("m0", &["c"]));
 }
 
 /// No part is quarantined while no engine answers any request.
 #[test]
 fn no_quarantine_without_answers() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..4 {
-        scene.crash("m0", &["f", BAD]);
+        fixture.crash("m0", &["f", BAD_PART]);
     }
-    scene.node.advance(Duration::from_secs(5));
-    assert!(!scene.is_refused("m0", &["f", BAD]));
-    scene.answer("m0", &["f"]);
-    scene.others();
-    assert!(scene.is_refused("m0", &["f", BAD]));
+    fixture.node.advance(Duration::from_secs(5));
+    assert!(!fixture.is_refused("m0", &["f", BAD_PART]));
+    fixture.answer("m0", &["f"]);
+    fixture.answer_others();
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
 }
 
 /// A part that crashes the engines of one model is refused for that model only.
 #[test]
 fn part_with_one_model() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..3 {
-        scene.crash("m0", &["f", BAD]);
-        scene.answer("m1", &["f", BAD]);
+        fixture.crash("m0", &["f", BAD_PART]);
+        fixture.answer("m1", &["f", BAD_PART]);
     }
-    scene.others();
-    assert!(scene.is_refused("m0", &["f", BAD]));
-    assert!(!scene.is_refused("m1", &["f", BAD]));
+    fixture.answer_others();
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
+    assert!(!fixture.is_refused("m1", &["f", BAD_PART]));
 }
 
 /// Crashes that a quarantined part explains do not count against other parts.
 #[test]
 fn explained_crashes_do_not_count() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..4 {
-        let beside = scene.request("m0", &["c"]);
-        let (beside, other) = scene.sent(beside);
-        let arrival = scene.request("m0", &["f", BAD]);
-        let (id, attempt) = scene.sent(arrival);
-        scene.lose(id, &attempt);
+        let beside = fixture.request("m0", &["c"]);
+        let (beside, other) = fixture.sent(beside);
+        let arrival = fixture.request("m0", &["f", BAD_PART]);
+        let (id, attempt) = fixture.sent(arrival);
+        fixture.crash_run(id, &attempt);
         if other.engine == attempt.engine {
-            scene.node.ended(beside, other.number, End::Lost);
+            fixture.node.ended(beside, other.number, End::Lost);
         } else {
-            scene.finish(beside, &other);
+            fixture.finish(beside, &other);
         }
     }
-    scene.answer("m0", &["f"]);
-    scene.others();
-    assert!(scene.is_refused("m0", &["f", BAD]));
-    assert!(!scene.is_refused("m0", &["c"]));
+    fixture.answer("m0", &["f"]);
+    fixture.answer_others();
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
+    assert!(!fixture.is_refused("m0", &["c"]));
 }
 
 /// The quarantine ends requests that wait at an engine, or for one; those whose answers have begun continue.
 #[test]
 fn ends_what_is_under_way() {
-    let mut scene = Scene::new();
-    let answered = scene.request("m0", &["g", BAD]);
-    let (answered, _) = scene.sent(answered);
-    scene.node.feed(began(answered));
-    scene.node.advance(millis(100));
+    let mut fixture = Fixture::new();
+    let answered = fixture.request("m0", &["g", BAD_PART]);
+    let (answered, _) = fixture.sent(answered);
+    fixture.node.feed(began(answered));
+    fixture.node.advance(millis(100));
     for _ in 0..3 {
-        scene.crash("m0", &["f", BAD]);
+        fixture.crash("m0", &["f", BAD_PART]);
     }
-    let waits = scene.request("m0", &["f", BAD]);
-    let (waits, _) = scene.sent(waits);
-    let mut effects = scene.answer("m0", &["f"]);
-    effects.extend(scene.others());
+    let waits = fixture.request("m0", &["f", BAD_PART]);
+    let (waits, _) = fixture.sent(waits);
+    let mut effects = fixture.answer("m0", &["f"]);
+    effects.extend(fixture.answer_others());
     assert!(matches!(step_of(&effects, waits), Some(Step::Refuse(_))));
     assert_eq!(step_of(&effects, answered), None);
 }
@@ -284,22 +284,22 @@
 /// With two crashes counted against a part, a broken request that contains it is not sent to another engine.
 #[test]
 fn suspects_are_not_repeated() {
-    let mut scene = Scene::new();
-    scene.crash("m0", &["f", BAD]);
-    scene.crash("m0", &["f", BAD]);
-    let arrival = Arrival { path: "/digest/1".into(), ..scene.request("m0", &["f", BAD]) };
-    let (id, attempt) = scene.sent(arrival);
-    let effects = scene.lose(id, &attempt);
+    let mut fixture = Fixture::new();
+    fixture.crash("m0", &["f", BAD_PART]);
+    fixture.crash("m0", &["f", BAD_PART]);
+    let arrival = Arrival { path: "/digest/1".into(), ..fixture.request("m0", &["f", BAD_PART]) };
+    let (id, attempt) = fixture.sent(arrival);
+    let effects = fixture.crash_run(id, &attempt);
     assert!(matches!(step_of(&effects, id), Some(Step::Refuse(_))), "{:?}", step_of(&effects, id));
 }
 
 /// A quarantine that a successful answer refutes ends.
 #[test]
 fn answer_lifts_quarantine() {
-    let mut scene = Scene::new();
-    scene.node.lead();
-    let arrival = scene.request("m0", &["c"]);
-    let (id, attempt) = scene.sent(arrival);
+    let mut fixture = Fixture::new();
+    fixture.node.lead();
+    let arrival = fixture.request("m0", &["c"]);
+    let (id, attempt) = fixture.sent(arrival);
     let suspect = |at: u64| Suspect {
         request: Fingerprint::default(),
         engine: Some(format!("gone-{at}").into()),
@@ -309,61 +309,61 @@
         answer_begun: false,
     };
     let crashes = Report { suspects: (0..3).rev().map(suspect).collect(), verdicts: Vec::new() };
-    scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
+    fixture.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
     // An answer that has just begun, and continues later.
-    scene.node.feed(began(id));
-    scene.others();
-    assert!(scene.is_refused("m0", &["c"]));
-    scene.finish(id, &attempt);
-    assert!(!scene.is_refused("m0", &["c"]));
+    fixture.node.feed(began(id));
+    fixture.answer_others();
+    assert!(fixture.is_refused("m0", &["c"]));
+    fixture.finish(id, &attempt);
+    assert!(!fixture.is_refused("m0", &["c"]));
 }
 
 /// An answer from before the crashes does not clear a part: a part may begin to crash engines later.
 #[test]
 fn older_answer_lifts_nothing() {
-    let mut scene = Scene::new();
-    scene.answer("m0", &["f", BAD]);
+    let mut fixture = Fixture::new();
+    fixture.answer("m0", &["f", BAD_PART]);
     let entries = vec![Verdict {
-        request: Fingerprint::of_part(BAD),
+        request: Fingerprint::of_part(BAD_PART),
         status: Status::Cleared { left: Duration::from_mins(9) },
     }];
-    scene.convict();
-    assert!(scene.is_refused("m0", &["f", BAD]));
+    fixture.quarantine();
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
     let crashes = Report { suspects: Vec::new(), verdicts: entries };
-    scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
-    assert!(scene.is_refused("m0", &["f", BAD]));
+    fixture.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
 }
 
 /// After its quarantine a part is tried again; one crash then suffices for the next.
 #[test]
 fn one_crash_after_the_quarantine() {
-    let mut scene = Scene::new();
-    scene.convict();
-    scene.node.advance(Duration::from_mins(10));
-    scene.answer("m0", &["f"]);
-    assert!(!scene.is_refused("m0", &["f", BAD]));
-    scene.crash("m0", &["f", BAD]);
-    scene.others();
-    assert!(scene.is_refused("m0", &["f", BAD]));
-    scene.node.advance(Duration::from_mins(50));
-    assert!(scene.is_refused("m0", &["f", BAD]), "for longer than the first time");
+    let mut fixture = Fixture::new();
+    fixture.quarantine();
+    fixture.node.advance(Duration::from_mins(10));
+    fixture.answer("m0", &["f"]);
+    assert!(!fixture.is_refused("m0", &["f", BAD_PART]));
+    fixture.crash("m0", &["f", BAD_PART]);
+    fixture.answer_others();
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
+    fixture.node.advance(Duration::from_mins(50));
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]), "for longer than the first time");
 }
 
 /// An entry VM that missed the messages learns the quarantine from the hub's answer, or from the lease's row
 /// after a restart of all.
 #[test]
 fn others_learn_of_quarantine() {
-    let mut scene = Scene::new();
-    scene.node.lead();
-    let effects = scene.convict();
+    let mut fixture = Fixture::new();
+    fixture.node.lead();
+    let effects = fixture.quarantine();
     let frame = Frame { vm: "b".into(), ..Frame::default() };
-    let reply = boragecove_fleet::reply_to_frame(&mut scene.node.state, scene.node.now, &frame);
-    let part = Fingerprint::of_part(BAD);
+    let reply = boragecove_fleet::reply_to_frame(&mut fixture.node.state, fixture.node.now, &frame);
+    let part = Fingerprint::of_part(BAD_PART);
     let quarantined = |entry: &Verdict| matches!(entry.status, Status::Quarantined { .. });
     assert!(reply.crash_entries.iter().any(|entry| entry.request == part && quarantined(entry)));
     // The holder had written its row before the quarantine.
-    scene.node.lease(3_000, Outcome::Written(101));
-    let effects = [effects, scene.node.advance(Duration::from_secs(2))].concat();
+    fixture.node.lease(3_000, Outcome::Written(101));
+    let effects = [effects, fixture.node.advance(Duration::from_secs(2))].concat();
     let row = effects.iter().rev().find_map(|effect| match effect {
         Effect::Lease(lease::Call::Write { row, .. }) => Some(row.clone()),
         _ => None,
@@ -375,7 +375,7 @@
     other.lease(3_000, Outcome::Read(Some(lease::Versioned { version: 9.into(), row })));
     other.feed(Event::Configured(Arc::new(config(1))));
     other.feed(listing(vec![row_of("w1")], 4, true));
-    let arrival = scene.request("m0", &["g", BAD]);
+    let arrival = fixture.request("m0", &["g", BAD_PART]);
     assert_eq!(other.refused(arrival).code, Code::CrashesBackends);
 }
 
@@ -386,7 +386,7 @@
 /// The crash of one engine that several entry VMs report counts once.
 #[test]
 fn crash_reported_by_several_counts_once() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     let suspect = |number: u64| Suspect {
         request: Fingerprint::of(HOST, "/", &number.to_le_bytes()),
         engine: Some("gone".into()),
@@ -397,18 +397,18 @@
     };
     for number in 0..5 {
         let crashes = Report { suspects: vec![suspect(number)], verdicts: Vec::new() };
-        scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
-        scene.node.advance(millis(500));
+        fixture.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
+        fixture.node.advance(millis(500));
     }
-    scene.others();
-    assert!(!scene.is_refused("m0", &["c"]));
+    fixture.answer_others();
+    assert!(!fixture.is_refused("m0", &["c"]));
 }
 
 /// Thousands of parts with one crash each use bounded memory and do not evict a quarantined part.
 #[test]
 fn thousands_of_parts() {
-    let mut scene = Scene::new();
-    scene.convict();
+    let mut fixture = Fixture::new();
+    fixture.quarantine();
     for at in 0..6_000_u64 {
         let suspect = Suspect {
             request: Fingerprint::of(HOST, "/", &at.to_le_bytes()),
@@ -419,45 +419,45 @@
             answer_begun: false,
         };
         let crashes = Report { suspects: vec![suspect], verdicts: Vec::new() };
-        scene.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
+        fixture.node.feed(Event::Pushed(Box::new(Message { crashes, ..Message::default() })));
     }
-    assert!(scene.is_refused("m0", &["f", BAD]));
-    assert!(scene.node.state.crashes().tracked_parts() <= 4_096);
+    assert!(fixture.is_refused("m0", &["f", BAD_PART]));
+    assert!(fixture.node.state.crashes().tracked_parts() <= 4_096);
 }
 
 /// An entry VM that observes a successful answer with a part that others suspect informs them once.
 #[test]
 fn others_are_informed_of_cleared_part() {
-    let mut scene = Scene::new();
-    scene.node.lead();
+    let mut fixture = Fixture::new();
+    fixture.node.lead();
     let frame = Frame {
         vm: "b".into(),
         zone: "zone-a".into(),
         address: node::address(7_002).into(),
         ..Frame::default()
     };
-    scene.node.feed(Event::FrameReceived(Box::new(frame)));
-    scene.crash("m0", &["c"]);
-    scene.crash("m0", &["c"]);
-    scene.answer("m0", &["c"]);
-    let effects = scene.node.advance(Duration::from_secs(1));
+    fixture.node.feed(Event::FrameReceived(Box::new(frame)));
+    fixture.crash("m0", &["c"]);
+    fixture.crash("m0", &["c"]);
+    fixture.answer("m0", &["c"]);
+    let effects = fixture.node.advance(Duration::from_secs(1));
     let cleared = |message: &Message| {
         let sound = |entry: &&Verdict| matches!(entry.status, Status::Cleared { .. });
         message.crashes.verdicts.iter().filter(sound).count()
     };
     let told: usize = pushed(&effects).iter().map(cleared).sum();
     assert_eq!(told, 2, "the part, and its combination with the model");
-    scene.answer("m0", &["c"]);
-    let effects = scene.node.advance(Duration::from_secs(1));
+    fixture.answer("m0", &["c"]);
+    let effects = fixture.node.advance(Duration::from_secs(1));
     assert_eq!(pushed(&effects).iter().map(cleared).sum::<usize>(), 0);
 }
 
 /// A quarantine of a part is logged once.
 #[test]
 fn quarantine_is_logged() {
-    let mut scene = Scene::new();
-    let effects = scene.convict();
-    let part = Fingerprint::of_part(BAD).to_string();
+    let mut fixture = Fixture::new();
+    let effects = fixture.quarantine();
+    let part = Fingerprint::of_part(BAD_PART).to_string();
     let lines = effects.iter().filter_map(|effect| match effect {
         Effect::Record(Record::Crash { fingerprint, state, crashes, .. }) if *fingerprint == part => {
             Some((*state, *crashes))
@@ -470,19 +470,19 @@
 /// However many crashes there are, only one evaluation timer is set at a time, and it ends.
 #[test]
 fn one_evaluation_timer_at_a_time() {
-    let mut scene = Scene::new();
+    let mut fixture = Fixture::new();
     for _ in 0..8 {
-        scene.crash("m0", &["f", BAD]);
+        fixture.crash("m0", &["f", BAD_PART]);
     }
     let wakes =
         |effects: &[Effect]| effects.iter().filter(|effect| matches!(effect, Effect::WakeAt(_))).count();
-    let accused = wakes(&scene.node.advance(Duration::from_secs(2)));
-    scene.node.advance(Duration::from_mins(11));
-    let forgotten = wakes(&scene.node.advance(Duration::from_secs(2)));
+    let with_candidates = wakes(&fixture.node.advance(Duration::from_secs(2)));
+    fixture.node.advance(Duration::from_mins(11));
+    let after_expiry = wakes(&fixture.node.advance(Duration::from_secs(2)));
     // One wake-up each 50 ms, and two for each suspected engine.
     assert!(
-        accused <= forgotten + 40 + 2 * 8,
-        "{accused} wake-ups in two seconds, {forgotten} after the evidence has expired"
+        with_candidates <= after_expiry + 40 + 2 * 8,
+        "{with_candidates} wake-ups in two seconds, {after_expiry} after the evidence has expired"
     );
 }
 
--- a/fleet/tests/scarce_places.rs
+++ b/fleet/tests/scarce_places.rs
@@ -20,7 +20,7 @@
 use boragecove_fleet::place::{Candidate, Input, Move, plan_moves};
 
 /// Time between plans.
-const STEP: Duration = Duration::from_millis(250);
+const INTERVAL: Duration = Duration::from_millis(250);
 /// Time of a load from the weight store.
 const LOAD: Duration = Duration::from_millis(1_200);
 /// Slots of an engine.
@@ -31,14 +31,14 @@
 /// Engines that carry out the planned changes, for a demand that a test sets.
 struct World {
     pool: Pool,
-    spots: Vec<Candidate>,
+    engines: Vec<Candidate>,
     /// Times at which running loads finish, by engine.
     loading: BTreeMap<Name, Time>,
     /// Times at which copies became ready, by engine and model.
     ready: BTreeMap<(Name, Name), Time>,
     trends: BTreeMap<Name, Trend>,
     now: Time,
-    began: Time,
+    started: Time,
     /// Number of loads so far.
     loads: usize,
 }
@@ -54,7 +54,7 @@
             |number| Model { name: name(number), memory_mb: MODEL_MB, cold: LOAD, ..Model::default() };
         let memory_mb = MODEL_MB * places as f64 + 1.0;
         let models: Vec<Model> = (0..models).map(model).collect();
-        let spot = |number: usize| {
+        let engine = |number: usize| {
             let held = (0..places).map(|place| number + place * engines).filter(|held| *held < models.len());
             let copies: Vec<(Name, Phase)> = held.map(|held| (name(held), Phase::Ready)).collect();
             Candidate {
@@ -68,52 +68,53 @@
                 ..Candidate::default()
             }
         };
-        let spots = (0..engines).map(spot).collect();
+        let engines = (0..engines).map(engine).collect();
         let pool = Pool { slots: SLOTS, memory_mb, loads_per_s: 30.0, models, ..Pool::default() };
         let now = Time::from_millis(100_000);
         Self {
             pool,
-            spots,
+            engines,
             loading: BTreeMap::new(),
             ready: BTreeMap::new(),
             trends: BTreeMap::new(),
             now,
-            began: now,
+            started: now,
             loads: 0,
         }
     }
 
     fn copies(&self, model: &str) -> usize {
-        let holds = |spot: &&Candidate| {
-            spot.usable && spot.copies.iter().any(|(held, phase)| &**held == model && *phase == Phase::Ready)
+        let holds = |engine: &&Candidate| {
+            engine.usable
+                && engine.copies.iter().any(|(held, phase)| &**held == model && *phase == Phase::Ready)
         };
-        self.spots.iter().filter(holds).count()
+        self.engines.iter().filter(holds).count()
     }
 
     /// Number of requests at an engine: the demand for each of its models is spread evenly over the copies.
-    fn open(&self, spot: &Candidate, demand: &BTreeMap<Name, f64>) -> u32 {
+    fn open(&self, engine: &Candidate, demand: &BTreeMap<Name, f64>) -> u32 {
         let share = |(model, _): &(Name, Phase)| {
-            demand.get(model).map_or(0.0, |busy| busy / self.copies(model).max(1) as f64)
+            demand.get(model).map_or(0.0, |concurrency| concurrency / self.copies(model).max(1) as f64)
         };
-        spot.copies.iter().map(share).sum::<f64>().round() as u32
+        engine.copies.iter().map(share).sum::<f64>().round() as u32
     }
 
     /// Makes one plan and advances to the next. `demand`: requests under way or waiting, by model.
     fn step(&mut self, demand: &BTreeMap<Name, f64>) -> Vec<Move> {
-        self.now = self.now + STEP;
+        self.now = self.now + INTERVAL;
         self.finish();
-        self.watch(demand);
-        let opens: Vec<u32> = self.spots.iter().map(|spot| self.open(spot, demand)).collect();
-        for (spot, open) in self.spots.iter_mut().zip(opens) {
-            spot.open_requests = open;
+        self.observe(demand);
+        let opens: Vec<u32> = self.engines.iter().map(|engine| self.open(engine, demand)).collect();
+        for (engine, open) in self.engines.iter_mut().zip(opens) {
+            engine.open_requests = open;
         }
         let steps = plan_moves(Input {
             pool: &self.pool,
-            engines: self.spots.clone(),
+            engines: self.engines.clone(),
             demand: self.trends.clone(),
             cold_loads_left: 100,
             cold_loads_running: self.loading.len(),
-            observed_for: self.now.since(self.began),
+            observed_for: self.now.since(self.started),
             interval: Duration::from_millis(250),
             now: self.now,
             disabled: &[],
@@ -126,29 +127,29 @@
 
     fn finish(&mut self) {
         let now = self.now;
-        for spot in &mut self.spots {
-            if self.loading.get(&spot.engine).is_some_and(|done| *done <= now) {
-                self.loading.remove(&spot.engine);
-                spot.idle = true;
-                for (model, phase) in &mut spot.copies {
+        for engine in &mut self.engines {
+            if self.loading.get(&engine.engine).is_some_and(|done| *done <= now) {
+                self.loading.remove(&engine.engine);
+                engine.idle = true;
+                for (model, phase) in &mut engine.copies {
                     if *phase == Phase::Loading {
                         *phase = Phase::Ready;
-                        self.ready.insert((spot.engine.clone(), model.clone()), now);
+                        self.ready.insert((engine.engine.clone(), model.clone()), now);
                     }
                 }
             }
             let young = |model: &&Name| {
-                let since = self.ready.get(&(spot.engine.clone(), (*model).clone()));
+                let since = self.ready.get(&(engine.engine.clone(), (*model).clone()));
                 since.is_some_and(|since| now.since(*since) < LOAD * 2)
             };
-            spot.recently_loaded =
-                spot.copies.iter().map(|(model, _)| model).filter(young).cloned().collect();
+            engine.recently_loaded =
+                engine.copies.iter().map(|(model, _)| model).filter(young).cloned().collect();
         }
     }
 
     /// Updates the smoothed demand in the same way as the planner.
-    fn watch(&mut self, demand: &BTreeMap<Name, f64>) {
-        let keep = (-STEP.as_secs_f64() / 1.2).exp2();
+    fn observe(&mut self, demand: &BTreeMap<Name, f64>) {
+        let keep = (-INTERVAL.as_secs_f64() / 1.2).exp2();
         for model in self.pool.models.iter().map(|model| model.name.clone()) {
             let asked = demand.get(&model).copied().unwrap_or_default();
             let served = self.copies(&model) > 0;
@@ -157,7 +158,7 @@
             trend.waiting = if served { 0 } else { asked.ceil() as u32 };
             trend.starved_for = match (served, asked > 0.0) {
                 (true, _) => Duration::ZERO,
-                (false, true) => trend.starved_for + STEP,
+                (false, true) => trend.starved_for + INTERVAL,
                 (false, false) => trend.starved_for,
             };
             if asked > 0.0 {
@@ -167,21 +168,21 @@
     }
 
     fn begin(&mut self, step: &Move) {
-        let Some(spot) = self.spots.iter_mut().find(|spot| spot.engine == step.engine) else {
+        let Some(engine) = self.engines.iter_mut().find(|engine| engine.engine == step.engine) else {
             panic!("no such engine: {step:?}");
         };
-        assert!(spot.idle && spot.usable, "{step:?} at a busy engine");
+        assert!(engine.idle && engine.usable, "{step:?} at a busy engine");
         if let Some(drop) = &step.drop {
-            spot.copies.retain(|(model, _)| model != drop);
-            spot.free_mb += MODEL_MB;
+            engine.copies.retain(|(model, _)| model != drop);
+            engine.free_mb += MODEL_MB;
         }
         if let Some(load) = &step.load {
-            assert!(spot.free_mb >= MODEL_MB, "{step:?} without free memory");
-            spot.copies.push((load.clone(), Phase::Loading));
-            spot.free_mb -= MODEL_MB;
-            spot.idle = false;
+            assert!(engine.free_mb >= MODEL_MB, "{step:?} without free memory");
+            engine.copies.push((load.clone(), Phase::Loading));
+            engine.free_mb -= MODEL_MB;
+            engine.idle = false;
             self.loads += 1;
-            self.loading.insert(spot.engine.clone(), self.now + LOAD);
+            self.loading.insert(engine.engine.clone(), self.now + LOAD);
         }
     }
 
@@ -194,7 +195,7 @@
             self.step(demand);
             for model in demand.keys() {
                 let (now, longest) = absent.entry(model.clone()).or_default();
-                *now = if self.copies(model) > 0 { Duration::ZERO } else { *now + STEP };
+                *now = if self.copies(model) > 0 { Duration::ZERO } else { *now + INTERVAL };
                 *longest = (*longest).max(*now);
             }
         }
@@ -203,7 +204,7 @@
 }
 
 fn demand(of: &[(usize, f64)]) -> BTreeMap<Name, f64> {
-    of.iter().map(|(model, busy)| (name(*model), *busy)).collect()
+    of.iter().map(|(model, concurrency)| (name(*model), *concurrency)).collect()
 }
 
 /// The busiest model and those without a copy replace the last copies of unused models.
@@ -271,8 +272,8 @@
 #[test]
 fn partition_with_some_models() {
     let mut world = World::new(45, 18, 3);
-    for spot in world.spots.iter_mut().skip(6) {
-        spot.usable = false;
+    for engine in world.engines.iter_mut().skip(6) {
+        engine.usable = false;
     }
     let asked = demand(&[(0, 6.0), (7, 3.0), (30, 2.0), (44, 1.0)]);
     let absent = world.run(Duration::from_secs(6), &asked);
@@ -290,8 +291,8 @@
         for _ in 0..80 {
             world.step(&demand(&hot));
             let gone = world.pool.models.iter().find(|model| {
-                let held = |spot: &Candidate| spot.copies.iter().any(|(held, _)| *held == model.name);
-                !world.spots.iter().any(held)
+                let held = |engine: &Candidate| engine.copies.iter().any(|(held, _)| *held == model.name);
+                !world.engines.iter().any(held)
             });
             assert!(gone.is_none(), "{:?} has no copy", gone.map(|model| &model.name));
         }
@@ -304,10 +305,11 @@
 #[test]
 fn requested_model_without_spare_room() {
     let mut world = World::new(21, 7, 3);
-    let spot = world.spots.iter_mut().find(|spot| spot.copies.iter().any(|(model, _)| **model == *"m20"));
-    let spot = spot.expect("an engine holds m20");
-    spot.copies.retain(|(model, _)| **model != *"m20");
-    spot.copies.push((name(0), Phase::Ready));
+    let engine =
+        world.engines.iter_mut().find(|engine| engine.copies.iter().any(|(model, _)| **model == *"m20"));
+    let engine = engine.expect("an engine holds m20");
+    engine.copies.retain(|(model, _)| **model != *"m20");
+    engine.copies.push((name(0), Phase::Ready));
     world.run(Duration::from_secs(5), &demand(&[(0, 30.0)]));
     let absent = world.run(Duration::from_secs(15), &demand(&[(0, 30.0), (20, 1.0)]));
     let time = absent[&name(20)];
--- a/fleet/tests/storm/mod.rs
+++ b/fleet/tests/storm/mod.rs
@@ -21,9 +21,9 @@
 use crate::node::{BUILD, HOST, WRITER, config, entry, listing, millis, removed, row, streamed};
 
 /// Time within which all connected entry VMs learn what one of them has observed.
-pub const CONTACT: Duration = Duration::from_secs(3);
-/// Number of crashes under a part after which, and [`CONTACT`] later, hardly any request with it may be sent.
-pub const ENDS_MAX: usize = 5;
+pub const PROPAGATION: Duration = Duration::from_secs(3);
+/// Number of crashes under a part after which, and [`PROPAGATION`] later, hardly any request with it may be sent.
+pub const CRASHES_MAX: usize = 5;
 /// Maximum number of requests sent after that.
 pub const LATER_MAX: usize = 3;
 /// Time step of the simulation.
@@ -45,7 +45,7 @@
     pub engines: usize,
     pub slots: u32,
     /// Harmless requests per second.
-    pub sound: f64,
+    pub harmless: f64,
     /// Requests per second with each bad part.
     pub bad: f64,
     /// Parts that crash engines.
@@ -53,9 +53,9 @@
     /// Maximum time that an engine reads before it writes; the minimum is 30 ms.
     pub read: Duration,
     /// Time from the begin of an answer with a bad part to the crash of its engine.
-    pub fuse: Duration,
+    pub time_to_crash: Duration,
     /// Whether such an engine sends a first event before it crashes.
-    pub begins: bool,
+    pub first_event: bool,
     /// Whether answers end with their connections, so that an answer that a crash breaks off looks complete.
     pub closes: bool,
     /// Time for which a crashed engine is gone.
@@ -64,11 +64,11 @@
     pub waves: Vec<Duration>,
     /// Times at which entry VMs are killed, each with the fraction of them.
     pub kills: Vec<(Duration, f64)>,
-    /// Time at which the leader is suspended, and for how long.
-    pub frozen: Option<(Duration, Duration)>,
+    /// Time at which the hub is suspended, and for how long.
+    pub suspended: Option<(Duration, Duration)>,
     /// Time from which bad requests arrive.
     pub from: Duration,
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Path of the requests.
     pub path: &'static str,
     /// Number of tries of each client; a failed request is retried at once.
@@ -93,19 +93,19 @@
             vms: 9,
             engines: 18,
             slots: 30,
-            sound: 100.0,
+            harmless: 100.0,
             bad: 2.0,
             parts: vec![Bad::Fresh(7)],
             read: millis(30),
-            fuse: millis(50),
-            begins: false,
+            time_to_crash: millis(50),
+            first_event: false,
             closes: false,
             down: Duration::from_secs(2),
             waves: Vec::new(),
             kills: Vec::new(),
-            frozen: None,
+            suspended: None,
             from: Duration::from_secs(3),
-            lasts: Duration::from_secs(25),
+            duration: Duration::from_secs(25),
             path: "/brief/1",
             tries: 1,
         }
@@ -132,7 +132,7 @@
     /// When the engine writes the first event.
     writes: Time,
     /// When the last event was reported; none before the first.
-    told: Option<Time>,
+    last_event: Option<Time>,
 }
 
 /// Counts of harmless requests and of those whose answers began.
@@ -152,20 +152,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Number of crashes under each bad part.
-    pub ends: Vec<usize>,
-    /// Number of requests with each bad part that were sent from [`CONTACT`] after the fifth crash.
+    pub crashes: Vec<usize>,
+    /// Number of requests with each bad part that were sent from [`PROPAGATION`] after the fifth crash.
     pub later: Vec<usize>,
     /// Number of harmless requests, and of those that were refused because of crashes.
-    pub sound: usize,
-    pub wronged: usize,
+    pub harmless: usize,
+    pub wrongly_refused: usize,
     /// Shared parts of the harmless requests that were refused.
-    pub accused: BTreeSet<String>,
-    /// Harmless requests with the first part of the bad ones, and all others, from twice [`CONTACT`] after the
+    pub blamed_parts: BTreeSet<String>,
+    /// Harmless requests with the first part of the bad ones, and all others, from twice [`PROPAGATION`] after the
     /// fifth crash, or after the last.
-    pub kin: Served,
+    pub same_first_part: Served,
     pub others: Served,
     /// Number of pushed messages.
-    pub pushes: usize,
+    pub pushed_messages: usize,
 }
 
 struct World {
@@ -176,27 +176,27 @@
     begin: Time,
     engines: BTreeSet<Name>,
     gone: Vec<Name>,
-    back: Vec<Time>,
-    named: usize,
+    restarts: Vec<Time>,
+    started: usize,
     drawn: u64,
     runs: Vec<Run>,
     requests: BTreeMap<(usize, Id), Request>,
-    again: Vec<(usize, Request)>,
+    retries: Vec<(usize, Request)>,
     /// Times of the crashes, and of the sent requests, for each bad part.
-    ends: Vec<Vec<Time>>,
-    sendings: Vec<Vec<Time>>,
+    crashes: Vec<Vec<Time>>,
+    attempts: Vec<Vec<Time>>,
     /// Harmless requests: when they arrived, whether they have the first part of the bad ones, and whether
     /// their answer began at the first attempt.
     served: BTreeMap<(usize, Id), (Time, bool, bool)>,
     /// Time until which an entry VM that was killed or suspended does not count as connected.
-    apart: Vec<Time>,
+    disconnected_until: Vec<Time>,
     outcome: Outcome,
 }
 
 /// Runs a simulation.
-pub fn play(settings: Settings) -> Outcome {
+pub fn simulate(settings: Settings) -> Outcome {
     let mut world = World::new(settings);
-    let ticks = world.settings.lasts.as_millis() / TICK.as_millis();
+    let ticks = world.settings.duration.as_millis() / TICK.as_millis();
     for _ in 0..ticks {
         world.tick();
     }
@@ -215,16 +215,16 @@
             version: 1,
             engines: BTreeSet::new(),
             gone: Vec::new(),
-            back: Vec::new(),
-            named: 0,
+            restarts: Vec::new(),
+            started: 0,
             drawn: 0,
             runs: Vec::new(),
             requests: BTreeMap::new(),
-            again: Vec::new(),
-            ends: vec![Vec::new(); bad],
-            sendings: vec![Vec::new(); bad],
+            retries: Vec::new(),
+            crashes: vec![Vec::new(); bad],
+            attempts: vec![Vec::new(); bad],
             served: BTreeMap::new(),
-            apart: vec![Time::default(); settings.vms],
+            disconnected_until: vec![Time::default(); settings.vms],
             outcome: Outcome::default(),
             settings,
         };
@@ -237,9 +237,9 @@
     }
 
     fn start(&mut self) {
-        self.named += 1;
-        let id: Name = format!("w{}", self.named).into();
-        let zone = ["zone-a", "zone-b", "zone-c"][self.named % 3];
+        self.started += 1;
+        let id: Name = format!("w{}", self.started).into();
+        let zone = ["zone-a", "zone-b", "zone-c"][self.started % 3];
         let entry = boragecove_fleet::engine::Entry {
             slots: self.settings.slots,
             ..entry(&id, WRITER, zone, &["m0"])
@@ -308,7 +308,7 @@
         let fingerprint = Fingerprint::of(HOST, path, request.text.as_bytes());
         let arrival = Arrival { fingerprint, parts, ..streamed(path, "m0", None) };
         if request.bad.is_none() && first {
-            self.outcome.sound += 1;
+            self.outcome.harmless += 1;
             self.served.insert((vm, id), (self.now(), request.parts[0] == "f0", false));
         }
         self.requests.insert((vm, id), request);
@@ -358,8 +358,8 @@
             Step::Send(attempt) => {
                 if let Some(bad) = known.bad {
                     let now = self.now();
-                    if now >= self.apart[vm] {
-                        self.sendings[bad].push(now);
+                    if now >= self.disconnected_until[vm] {
+                        self.attempts[bad].push(now);
                     }
                 }
                 let longest = self.settings.read.max(millis(30)).as_secs_f64();
@@ -372,7 +372,7 @@
                     engine: attempt.engine,
                     begins,
                     writes: begins + Duration::from_secs_f64(read),
-                    told: None,
+                    last_event: None,
                 };
                 if self.engines.contains(&run.engine) {
                     self.runs.push(run);
@@ -383,10 +383,10 @@
             Step::Refuse(refusal) => {
                 self.requests.remove(&(vm, request));
                 if known.bad.is_none() && refusal.code == Code::CrashesBackends {
-                    self.outcome.wronged += 1;
-                    self.outcome.accused.extend(known.parts.clone());
+                    self.outcome.wrongly_refused += 1;
+                    self.outcome.blamed_parts.extend(known.parts.clone());
                 } else if refusal.code != Code::CrashesBackends {
-                    self.come_again(&known);
+                    self.retry(&known);
                 }
             }
             Step::Forward => {
@@ -397,11 +397,11 @@
     }
 
     /// The client retries at another entry VM.
-    fn come_again(&mut self, request: &Request) {
+    fn retry(&mut self, request: &Request) {
         if request.tries > 1
             && let Some(vm) = self.vm()
         {
-            self.again.push((vm, Request { tries: request.tries - 1, ..request.clone() }));
+            self.retries.push((vm, Request { tries: request.tries - 1, ..request.clone() }));
         }
     }
 
@@ -417,16 +417,16 @@
             return;
         }
         self.gone.push(engine.clone());
-        self.back.push(self.now() + self.settings.down);
+        self.restarts.push(self.now() + self.settings.down);
         if let Some(bad) = bad {
             let now = self.now();
-            self.ends[bad].push(now);
+            self.crashes[bad].push(now);
         }
         let broken: Vec<Run> = self.runs.extract_if(.., |run| run.engine == *engine).collect();
         for run in &broken {
             let end = match run {
                 Run { begins, .. } if *begins > self.now() => End::Unsent,
-                Run { told: Some(_), .. } if self.settings.closes => End::Done,
+                Run { last_event: Some(_), .. } if self.settings.closes => End::Done,
                 _ => End::Lost,
             };
             self.end(run, end);
@@ -444,14 +444,14 @@
         self.follow();
         let at = self.since_begin();
         let now = self.now();
-        let due = self.back.iter().filter(|back| **back <= now).count();
-        self.back.retain(|back| *back > now);
+        let due = self.restarts.iter().filter(|at| **at <= now).count();
+        self.restarts.retain(|at| *at > now);
         (0..due).for_each(|_| self.start());
-        self.disturb(at);
-        for (vm, request) in std::mem::take(&mut self.again) {
+        self.inject_faults(at);
+        for (vm, request) in std::mem::take(&mut self.retries) {
             self.arrive(vm, request, false);
         }
-        for _ in 0..self.comes(self.settings.sound) {
+        for _ in 0..self.comes(self.settings.harmless) {
             let request = self.draw(None);
             if let Some(vm) = self.vm() {
                 self.arrive(vm, request, true);
@@ -471,8 +471,8 @@
         self.write();
     }
 
-    /// Kills entry VMs, suspends the leader, and crashes engines for another cause.
-    fn disturb(&mut self, at: Duration) {
+    /// Kills entry VMs, suspends the hub, and crashes engines for another cause.
+    fn inject_faults(&mut self, at: Duration) {
         let is_now = |then: Duration| then <= at && at < then + TICK;
         if self.settings.waves.iter().any(|wave| is_now(*wave)) {
             for engine in self.engines.clone() {
@@ -486,19 +486,19 @@
                 }
             }
         }
-        if let Some((from, lasts)) = self.settings.frozen {
+        if let Some((from, duration)) = self.settings.suspended {
             if is_now(from) {
                 self.links.suspend(0, true);
             }
-            if is_now(from + lasts) {
+            if is_now(from + duration) {
                 self.links.suspend(0, false);
-                self.apart[0] = self.now() + CONTACT;
+                self.disconnected_until[0] = self.now() + PROPAGATION;
             }
         }
     }
 
     fn kill(&mut self, vm: usize) {
-        self.apart[vm] = self.now() + CONTACT;
+        self.disconnected_until[vm] = self.now() + PROPAGATION;
         self.runs.retain(|run| run.vm != vm);
         self.requests.retain(|(of, _), _| *of != vm);
         self.links.restart(vm);
@@ -519,12 +519,12 @@
     /// Lets engines write events, or crash.
     fn write(&mut self) {
         let now = self.now();
-        let ends = |world: &Self, run: &Run| {
+        let crashes = |world: &Self, run: &Run| {
             let request = world.requests.get(&(run.vm, run.request))?;
-            request.bad.filter(|_| run.writes + world.settings.fuse <= now)
+            request.bad.filter(|_| run.writes + world.settings.time_to_crash <= now)
         };
         while let Some((engine, bad)) =
-            self.runs.iter().find_map(|run| Some((run.engine.clone(), ends(self, run)?)))
+            self.runs.iter().find_map(|run| Some((run.engine.clone(), crashes(self, run)?)))
         {
             self.crash(&engine, Some(bad));
         }
@@ -533,21 +533,21 @@
             let Some(request) = self.requests.get(&(run.vm, run.request)) else {
                 continue;
             };
-            let writes = run.writes <= now && (request.bad.is_none() || self.settings.begins);
-            let due = run.told.is_none_or(|told| told + EVENT <= now);
+            let writes = run.writes <= now && (request.bad.is_none() || self.settings.first_event);
+            let due = run.last_event.is_none_or(|at| at + EVENT <= now);
             if !writes || !due {
                 continue;
             }
             let (vm, request, attempt) = (run.vm, run.request, run.attempt);
-            self.runs[at].told = Some(now);
+            self.runs[at].last_event = Some(now);
             self.links.feed(vm, Event::Began { request, build: Some(BUILD.into()) });
             if let Some((_, _, began)) = self.served.get_mut(&(vm, request)).filter(|_| attempt == 1) {
                 *began = true;
             }
         }
-        let sound =
+        let harmless =
             |run: &Run| self.requests.get(&(run.vm, run.request)).is_none_or(|known| known.bad.is_none());
-        let over = |run: &mut Run| run.writes + WRITING <= now && sound(run);
+        let over = |run: &mut Run| run.writes + WRITING <= now && harmless(run);
         let over: Vec<Run> = self.runs.extract_if(.., over).collect();
         for run in &over {
             self.end(run, End::Done);
@@ -557,24 +557,28 @@
 
     fn outcome(mut self) -> Outcome {
         let mut from: Option<Time> = None;
-        for (ends, sendings) in self.ends.iter().zip(&self.sendings) {
-            self.outcome.ends.push(ends.len());
-            let fifth = ends.get(ENDS_MAX - 1);
-            let later = fifth.map_or(0, |fifth| sendings.iter().filter(|at| **at > *fifth + CONTACT).count());
+        for (crashes, attempts) in self.crashes.iter().zip(&self.attempts) {
+            self.outcome.crashes.push(crashes.len());
+            let fifth = crashes.get(CRASHES_MAX - 1);
+            let later =
+                fifth.map_or(0, |fifth| attempts.iter().filter(|at| **at > *fifth + PROPAGATION).count());
             self.outcome.later.push(later);
-            let last = fifth.or(ends.last()).map(|at| *at + CONTACT * 2);
+            let last = fifth.or(crashes.last()).map(|at| *at + PROPAGATION * 2);
             from = from.max(last);
         }
         let from = from.unwrap_or(self.begin);
         // The last requests had no time to begin.
         let until = self.now() - Duration::from_secs(3);
-        for (came, kin, began) in self.served.values().filter(|(came, _, _)| *came >= from && *came < until) {
+        for (came, same_first_part, began) in
+            self.served.values().filter(|(came, _, _)| *came >= from && *came < until)
+        {
             let _ = came;
-            let served = if *kin { &mut self.outcome.kin } else { &mut self.outcome.others };
+            let served =
+                if *same_first_part { &mut self.outcome.same_first_part } else { &mut self.outcome.others };
             served.asked += 1;
             served.began += usize::from(*began);
         }
-        self.outcome.pushes = self.links.pushes();
+        self.outcome.pushed_messages = self.links.pushes();
         self.outcome
     }
 }
