--- a/fleet/src/crash.rs
+++ b/fleet/src/crash.rs
@@ -144,7 +144,7 @@
     };
     let (request, parts) = (flow.fingerprint, Arc::clone(&flow.parts));
     // The end of an engine that has announced its shutdown or is no longer listed was expected.
-    let Some(known) = state.engines.get(engine).filter(|engine| !engine.is_leaving()) else {
+    let Some(listed) = state.engines.get(engine).filter(|engine| !engine.is_leaving()) else {
         return;
     };
     let runs: usize = state.crashes.suspected_crashes.values().map(|suspicion| suspicion.runs.len()).sum();
@@ -152,7 +152,7 @@
         return;
     }
     let suspicion = state.crashes.suspected_crashes.entry(engine.clone()).or_insert_with(|| {
-        out.push(Effect::Probe { engine: engine.clone(), address: known.entry.address });
+        out.push(Effect::Probe { engine: engine.clone(), address: listed.entry.address });
         SuspectedCrash { asked: vec![state.me.vm.clone()], ..SuspectedCrash::default() }
     });
     suspicion.runs.push(Run { id, request, parts, begun, sent, broke: now });
@@ -174,7 +174,7 @@
 /// connection, so another entry VM, on the engine's side of such a partition, is asked for its own probe.
 pub(crate) fn probed(state: &mut State, now: Time, engine: &Name, reach: Port, out: &mut Vec<Effect>) {
     let alone = state.members.is_alone(&state.me.vm);
-    if reach == Port::Closed && state.engines.get(engine).is_some_and(|known| !known.is_leaving()) {
+    if reach == Port::Closed && state.engines.get(engine).is_some_and(|listed| !listed.is_leaving()) {
         state.crashes.suspect_closed(engine, &state.me.vm, now);
     }
     match reach {
@@ -203,7 +203,7 @@
 /// Handles a second probe that finds the port closed. Some entry VMs may have lost exactly the same engines. If
 /// an entry VM is being asked for a path to the engine, its answer is awaited first, which takes no longer.
 fn confirmed_by_peer(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    let asking = state.engines.get(engine).is_some_and(|known| known.path.is_asking());
+    let asking = state.engines.get(engine).is_some_and(|listed| listed.path.is_asking());
     match state.crashes.suspected_crashes.get_mut(engine) {
         Some(suspicion) if asking => suspicion.confirmed_by_peer = true,
         Some(_) | None => confirm_crash(state, now, engine, out),
@@ -231,7 +231,7 @@
     let Some(suspicion) = state.crashes.suspected_crashes.get_mut(engine) else {
         return;
     };
-    let zone = state.engines.get(engine).map(|known| &known.entry.zone);
+    let zone = state.engines.get(engine).map(|listed| &listed.entry.zone);
     let prober = zone
         .and_then(|zone| state.members.pick_prober(engine, zone, *zone == state.me.zone, &suspicion.asked));
     match prober.filter(|_| suspicion.asked.len() <= PROBERS_MAX) {
@@ -254,7 +254,7 @@
         return;
     };
     suspicion.runs.extend(state.crashes.take_closed(engine, now));
-    let service = state.engines.get(engine).map(|known| &known.entry.service);
+    let service = state.engines.get(engine).map(|listed| &listed.entry.service);
     let runs_models = service.is_some_and(|service| state.pool(service).is_some());
     let suspect = |run: &Run| Suspect {
         request: run.request,
@@ -305,11 +305,11 @@
 pub(crate) fn restore_quarantine(
     state: &mut State,
     now: Time,
-    kept: &[Quarantine],
+    stored: &[Quarantine],
     store_ms: u64,
     out: &mut Vec<Effect>,
 ) {
-    for Quarantine { request, until_ms, times } in kept.iter().filter(|kept| kept.until_ms > store_ms) {
+    for Quarantine { request, until_ms, times } in stored.iter().filter(|stored| stored.until_ms > store_ms) {
         // After a restore from a copy, the store's clock may be that of another machine.
         let left = Duration::from_millis(until_ms - store_ms).min(QUARANTINE_MAX);
         let status = Status::Quarantined { left, times: *times };
--- a/fleet/src/crash/parts.rs
+++ b/fleet/src/crash/parts.rs
@@ -330,7 +330,7 @@
 /// Stores the newest time for a part.
 fn store_newest(times: &mut FxHashMap<Fingerprint, Time>, part: Fingerprint, at: Time, now: Time) {
     if times.len() >= PARTS_MAX {
-        times.retain(|_, known| now.since(*known) < SUCCESS_TTL);
+        times.retain(|_, stored| now.since(*stored) < SUCCESS_TTL);
     }
     if times.len() < PARTS_MAX {
         let newest = times.entry(part).or_insert(at);
@@ -344,8 +344,8 @@
         if self.cleared.is_some_and(|cleared| cleared > crash.sent) {
             return;
         }
-        if let Some(known) = self.crashes.iter_mut().find(|known| known.is_same(&crash)) {
-            known.sent = known.sent.max(crash.sent);
+        if let Some(stored) = self.crashes.iter_mut().find(|stored| stored.is_same(&crash)) {
+            stored.sent = stored.sent.max(crash.sent);
             return;
         }
         if self.crashes.len() >= CRASHES_KEPT {
--- a/fleet/src/crash/register.rs
+++ b/fleet/src/crash/register.rs
@@ -170,12 +170,12 @@
     /// store's clock can show now.
     pub(crate) fn stored_quarantines(&self, now: Time, store_ms: u64) -> Vec<Quarantine> {
         let quarantined = self.records.iter().filter(|(_, record)| record.is_quarantined(now));
-        let kept = quarantined.map(|(request, record)| Quarantine {
+        let stored = quarantined.map(|(request, record)| Quarantine {
             request: *request,
             until_ms: store_ms + record.quarantined_until.map_or(0, |until| ms(until.since(now))),
             times: record.times,
         });
-        kept.collect()
+        stored.collect()
     }
 
     /// The verdict on a request or part, if there is one.
@@ -186,17 +186,18 @@
 
     /// All verdicts.
     fn verdicts(&self, now: Time) -> Vec<Verdict> {
-        let known = |(request, record): (&Fingerprint, &RequestRecord)| {
+        let with_status = |(request, record): (&Fingerprint, &RequestRecord)| {
             record.status(now).map(|status| Verdict { request: *request, status })
         };
-        self.records.iter().filter_map(known).collect()
+        self.records.iter().filter_map(with_status).collect()
     }
 
     /// Digest of all verdicts, equal for all entry VMs with the same verdicts; 0 if there is none.
     pub(crate) fn digest(&self, now: Time) -> u64 {
-        let known = self.records.iter().filter_map(|(request, record)| Some((request, record.status(now)?)));
+        let with_status =
+            self.records.iter().filter_map(|(request, record)| Some((request, record.status(now)?)));
         let cleared = |status| matches!(status, Status::Cleared { .. });
-        known.fold(0, |sum, (request, status)| sum ^ request.digest(cleared(status)))
+        with_status.fold(0, |sum, (request, status)| sum ^ request.digest(cleared(status)))
     }
 
     /// Verdicts for another entry VM with this digest: all of them, or none if the digest is equal to the own
--- a/fleet/src/demand.rs
+++ b/fleet/src/demand.rs
@@ -1,4 +1,4 @@
-//! Demand for models and adapters: counted by each entry VM, aggregated by the one that plans placement.
+//! Demand for models and adapters: counted by each entry VM, aggregated by the hub.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 /// takes one to four seconds.
 const HALF_LIFE: Duration = Duration::from_millis(1_200);
 
-/// Maximum waiting time that one update adds: an entry VM that has just begun to plan has not observed the
-/// callers before its first update.
+/// Maximum waiting time that one update adds: a new hub has not observed the waiting requests before its first
+/// update.
 const UPDATE_MAX: Duration = Duration::from_secs(1);
 
 /// Minimum time between two log records on placement.
@@ -103,7 +103,7 @@
     }
 }
 
-/// Smoothed demand of all entry VMs, as seen by the one that plans placement.
+/// Smoothed demand of all entry VMs, as seen by the hub.
 #[derive(Debug, Default)]
 pub struct Aggregate {
     models: BTreeMap<Target, Trend>,
--- a/fleet/src/lease.rs
+++ b/fleet/src/lease.rs
@@ -54,8 +54,8 @@
     let wait = if state.lease.held.is_some() {
         state.settings.lease_renew
     } else {
-        let paces = frame::own_frame_interval(state).div_duration_f64(state.settings.frame_every);
-        state.settings.lease_check.mul_f64(paces)
+        let factor = frame::own_frame_interval(state).div_duration_f64(state.settings.frame_every);
+        state.settings.lease_check.mul_f64(factor)
     };
     let jitter = wait.mul_f64(0.2 * state.rng.f64());
     schedule(state, now + wait - jitter);
@@ -72,8 +72,8 @@
         call(state, now, Call::Write { expected: held.version, row }, out);
         return;
     }
-    let led = state.lease.held.is_none() && state.hub.is_alive(now, &state.settings) && state.hub.leads;
-    if !state.stopping && !led {
+    let has_hub = state.lease.held.is_none() && state.hub.is_alive(now, &state.settings) && state.hub.leads;
+    if !state.stopping && !has_hub {
         call(state, now, Call::Read, out);
     }
 }
@@ -136,8 +136,9 @@
     let until_ms = state.lease.clock.map_or(u64::MAX, |clock| clock.latest_at(over));
     let started_ms = started_ms(state);
     let (holder, address) = (state.me.vm.clone(), state.me.address);
-    let kept = state.lease.clock.map(|clock| state.crashes.stored_quarantines(now, clock.latest_at(now)));
-    let quarantine = kept.unwrap_or_default();
+    let quarantines =
+        state.lease.clock.map(|clock| state.crashes.stored_quarantines(now, clock.latest_at(now)));
+    let quarantine = quarantines.unwrap_or_default();
     let clock = state.lease.clock;
     let ms_of = |time| clock.map_or(u64::MAX, |clock| clock.latest_at(time));
     let outstanding = Box::new(quota::outstanding(state, now, ms_of));
@@ -426,8 +427,8 @@
 /// all entry VMs at once.
 pub(crate) fn hub_announced(state: &mut State, now: Time, hub: Row, out: &mut Vec<Effect>) {
     era::observe(state, now, era_of(hub.term), out);
-    let known = state.lease.hub().map_or(0, |row| row.term);
-    if hub.term <= known || state.lease.held.is_some() {
+    let known_term = state.lease.hub().map_or(0, |row| row.term);
+    if hub.term <= known_term || state.lease.held.is_some() {
         return;
     }
     let version = Revision::new(era_of(hub.term), 0);
--- a/fleet/src/ledger.rs
+++ b/fleet/src/ledger.rs
@@ -1,4 +1,4 @@
-//! Holdings of each engine, and the orders that change it, as tracked by the holder of the lease.
+//! Holdings of each engine, and the orders that change them, as tracked by the hub.
 //!
 //! An engine may carry out an order without answering it, and late. Each order therefore contains the number of
 //! orders that the engine has accepted before. A delayed order becomes invalid as soon as the engine accepts
@@ -238,14 +238,14 @@
     let Some(holdings) = state.ledger.holdings.get_mut(id) else {
         return;
     };
-    let known = holdings.sequence;
+    let known_sequence = holdings.sequence;
     match report {
         Some(report) if report.incarnation < holdings.incarnation && report.incarnation.0.is_some() => {
             holdings.ask_at = Some(now + REPORT_LAG);
         }
         // The report may have been made before the order under way took effect.
         _ if holdings.pending.is_some() => holdings.ask_at = Some(now + REPORT_LAG),
-        Some(report) if !report.busy && known.is_none_or(|known| report.sequence >= known) => {
+        Some(report) if !report.busy && known_sequence.is_none_or(|known| report.sequence >= known) => {
             holdings.adopt(&report.held);
             holdings.sequence = Some(report.sequence);
             for (model, adapter) in report.fetching {
--- a/fleet/src/place.rs
+++ b/fleet/src/place.rs
@@ -173,8 +173,8 @@
     }
 
     /// Whether demand has been observed for too short a time to drop a copy for a model that nobody waits for:
-    /// an entry VM that has just begun to plan would mistake the busiest models for unused ones. Before the
-    /// first request this does not matter.
+    /// a new hub would mistake the busiest models for unused ones. Before the first request this does not
+    /// matter.
     fn lacks_demand_history(&self) -> bool {
         let observed = !self.observed_for.is_zero() && self.observed_for < UNUSED;
         observed && !self.disabled.contains(&Mechanism::ObservedDrops)
--- a/fleet/src/plan.rs
+++ b/fleet/src/plan.rs
@@ -1,4 +1,4 @@
-//! Periodic placement of models and adapters on engines, decided by the holder of the lease.
+//! Periodic placement of models and adapters on engines, decided by the hub.
 //!
 //! Placement follows demand, which moves to other models within seconds. If there is room, each model keeps one
 //! copy at all times. Further copies move from where their utility is lowest to where it is highest. A copy
--- a/fleet/tests/adapter_copies.rs
+++ b/fleet/tests/adapter_copies.rs
@@ -9,8 +9,8 @@
 use boragecove_fleet::order::Order;
 use node::{Node, WRITER, config, entry, listing, millis, orders, row};
 
-/// The holder of the lease. Two engines hold model `m0`, and one of them also holds its adapter `a7`. No model
-/// needs another copy.
+/// The hub. Two engines hold model `m0`, and one of them also holds its adapter `a7`. No model needs another
+/// copy.
 fn hub() -> Node {
     let mut hub = Node::bare("hub");
     hub.feed(Event::Configured(std::sync::Arc::new(config(1))));
--- a/fleet/tests/adapter_waits.rs
+++ b/fleet/tests/adapter_waits.rs
@@ -22,8 +22,7 @@
     streamed,
 };
 
-/// The holder of the lease. Two engines hold `m0` and `m1`, two others `m2` and `m3`, and no model is to be
-/// moved.
+/// The hub. Two engines hold `m0` and `m1`, two others `m2` and `m3`, and no model is to be moved.
 fn hub() -> Node {
     hub_with(vec![
         row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"])),
@@ -33,7 +32,7 @@
     ])
 }
 
-/// The holder of the lease; each model is at one engine.
+/// The hub; each model is at one engine.
 fn single() -> Node {
     hub_with(vec![
         row(1, entry("w1", WRITER, "zone-a", &["m0", "m1"])),
@@ -41,7 +40,7 @@
     ])
 }
 
-/// The holder of the lease with these engines, each with room for eight adapters.
+/// The hub with these engines, each with room for eight adapters.
 fn hub_with(rows: Vec<Row>) -> Node {
     let mut hub = Node::bare("hub");
     let mut config = config(1);
--- a/fleet/tests/crashing_requests.rs
+++ b/fleet/tests/crashing_requests.rs
@@ -388,7 +388,7 @@
     node.refused(body("x"));
 }
 
-/// A client that sends new bodies again and again needs a crash for each, and the memory used is bounded.
+/// A caller that sends new bodies again and again needs a crash for each, and the memory used is bounded.
 #[test]
 fn new_bodies_use_bounded_memory() {
     let mut node = Node::ready("a");
--- a/fleet/tests/demand_trend.rs
+++ b/fleet/tests/demand_trend.rs
@@ -1,4 +1,4 @@
-//! Smoothed demand as seen by the planner: the time for which requests wait while none is served.
+//! Smoothed demand as seen by the hub: the time for which requests wait while none is served.
 
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
     }
 }
 
-/// A process that begins to plan long after its start has not observed the waiting requests in between.
+/// A process that becomes the hub long after its start has not observed the waiting requests in between.
 #[test]
 fn first_update_adds_little_waiting_time() {
     let mut aggregate = Aggregate::default();
--- a/fleet/tests/engine_orders.rs
+++ b/fleet/tests/engine_orders.rs
@@ -86,7 +86,7 @@
     assert!(asked);
 }
 
-/// The holder of the lease. Its engines hold every model, so that no model is to be moved.
+/// The hub. Its engines hold every model, so that no model is to be moved.
 fn settled() -> Node {
     let mut hub = Node::bare("hub");
     hub.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
--- a/fleet/tests/model_placement.rs
+++ b/fleet/tests/model_placement.rs
@@ -187,10 +187,10 @@
     assert_eq!(loaded, ["m3"], "no further load from the weight store until one has finished");
 }
 
-/// After a restart of all entry VMs, a new planner has observed hardly any demand for the busiest model. Until
-/// it has, no copy is dropped for a model that nobody waits for.
+/// After a restart of all entry VMs, a new hub has observed hardly any demand for the busiest model. Until it
+/// has, no copy is dropped for a model that nobody waits for.
 #[test]
-fn new_planner_drops_nothing() {
+fn new_hub_drops_nothing() {
     let pool = pool();
     let candidates = vec![
         candidate("w1", "a", &["m0", "m1"]),
--- a/fleet/tests/part_storm.rs
+++ b/fleet/tests/part_storm.rs
@@ -96,9 +96,9 @@
     check_seeds(2, &Settings { closes: true, first_event: true, ..Settings::default() });
 }
 
-/// Clients retry at once, at other entry VMs, and streams are resumed.
+/// Callers retry at once, at other entry VMs, and streams are resumed.
 #[test]
-fn impatient_clients() {
+fn impatient_callers() {
     check_seeds(2, &Settings { tries: 3, ..Settings::default() });
     check_seeds(2, &Settings { tries: 3, path: "/digest/1", ..Settings::default() });
 }
@@ -206,7 +206,7 @@
             Settings { kills: (4..20).map(|at| (secs(at), 0.33)).collect(), ..base.clone() },
         ),
         ("hub suspended", Settings { suspended: Some((secs(3), secs(10))), ..base.clone() }),
-        ("clients retry", Settings { tries: 3, ..base.clone() }),
+        ("callers retry", Settings { tries: 3, ..base.clone() }),
         ("resumable", Settings { path: "/digest/1", tries: 3, ..base.clone() }),
         ("6 entry VMs", Settings { vms: 6, ..base.clone() }),
         ("65", Settings { vms: 65, ..base.clone() }),
--- a/fleet/tests/scarce_places.rs
+++ b/fleet/tests/scarce_places.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Updates the smoothed demand in the same way as the planner.
+    /// Updates the smoothed demand in the same way as the hub.
     fn observe(&mut self, demand: &BTreeMap<Name, f64>) {
         let keep = (-INTERVAL.as_secs_f64() / 1.2).exp2();
         for model in self.pool.models.iter().map(|model| model.name.clone()) {
--- a/fleet/tests/storm/mod.rs
+++ b/fleet/tests/storm/mod.rs
@@ -71,7 +71,7 @@
     pub duration: Duration,
     /// Path of the requests.
     pub path: &'static str,
-    /// Number of tries of each client; a failed request is retried at once.
+    /// Number of tries of each caller; a failed request is retried at once.
     pub tries: u32,
 }
 
@@ -396,7 +396,7 @@
         }
     }
 
-    /// The client retries at another entry VM.
+    /// The caller retries at another entry VM.
     fn retry(&mut self, request: &Request) {
         if request.tries > 1
             && let Some(vm) = self.vm()
