--- a/fleet/src/adapter.rs
+++ b/fleet/src/adapter.rs
@@ -135,7 +135,7 @@
 }
 
 /// Loads an adapter at the best engine that holds its model but not the adapter, and whose fraction of slots in
-/// use is at most `taken_max`.
+/// use is at most `used_max`.
 fn load_at_best(state: &mut State, now: Time, target: &Target, used_max: f64, out: &mut Vec<Effect>) {
     let Some(name) = &target.adapter else {
         return;
