--- a/fleet/tests/engine_orders.rs
+++ b/fleet/tests/engine_orders.rs
@@ -72,7 +72,7 @@
     assert!(matches!(node.step(id), Some(Step::Send(attempt)) if attempt.engine == engine));
 }
 
-/// An engine that lacks a model of its inventory is asked for a report, even if no other event occurs there.
+/// An engine that lacks a model of its holdings is asked for a report, even if no other event occurs there.
 #[test]
 fn refusal_as_absent_asks_the_engine() {
     let mut hub = settled();
@@ -86,7 +86,7 @@
     assert!(asked);
 }
 
-/// The holder of the lease. Its engines hold every model, so that no model is to be moved.
+/// The hub. Its engines hold every model, so that no model is to be moved.
 fn settled() -> Node {
     let mut hub = Node::bare("hub");
     hub.feed(Event::Configured(std::sync::Arc::new(node::config(1))));
