--- a/fleet/src/budget.rs
+++ b/fleet/src/budget.rs
@@ -35,10 +35,10 @@
 pub use pool::{Account, Counts};
 use window::Window;
 
-/// Part of the allowed ratio that processes earn with their own requests. Because of [`OWN_KEPT`] and
-/// [`PERMIT_KEPT`], up to a quarter more than this part can be used in one window; together with
+/// Part of the allowed ratio that processes earn with their own requests. Because of [`EARNED_KEPT`] and
+/// [`PERMIT_VALID_FOR`], up to a quarter more than this part can be used in one window; together with
 /// [`POOL_PART`] that is still less than the whole ratio.
-const OWN_PART: f64 = 0.35;
+const EARNED_PART: f64 = 0.35;
 /// Part of the allowed ratio that the hub grants, applied to the requests reported to it.
 const POOL_PART: f64 = 0.5;
 /// Part of the slack that the hub grants. The rest covers small time differences between the counts here
@@ -48,14 +48,14 @@
 const RESERVE_PART: f64 = 0.25;
 /// Part of the window for which earned retries stay usable. It bounds how much a process and its successor
 /// can use in the same window.
-const OWN_KEPT: f64 = 0.2;
+const EARNED_KEPT: f64 = 0.2;
 /// How long a granted retry stays valid for sending.
-const PERMIT_KEPT: Duration = Duration::from_millis(500);
+const PERMIT_VALID_FOR: Duration = Duration::from_millis(500);
 /// Part of the window for which request counts are kept that no hub has received. It is slightly longer
 /// than the frame interval with a thousand entry VMs.
-const UNTOLD_KEPT: f64 = 0.5;
+const UNREPORTED_KEPT: f64 = 0.5;
 /// Number of slices by which a window is counted.
-const SLICES: u32 = 40;
+const SLICE_COUNT: u32 = 40;
 /// Part of the window after which a denied caller may ask the hub again.
 const PAUSE_PART: f64 = 0.05;
 
@@ -94,9 +94,9 @@
 /// Retry budget of a process.
 #[derive(Debug, Default)]
 pub(crate) struct Budget {
-    own: FxHashMap<Name, Earned>,
+    earned: FxHashMap<Name, Earned>,
     /// Request counts that no hub has received, by service.
-    untold: BTreeMap<u32, Window>,
+    unreported: BTreeMap<u32, Window>,
     /// The permits that the hub grants; set only while this process is the hub.
     pool: Option<Pool>,
     /// Counts from the lease row that this process takes over; `None` until a row has been read.
@@ -109,8 +109,8 @@
 }
 
 /// Time within which the retry of a permit can arrive at an engine, counted from the grant.
-fn counted(settings: &Settings) -> Duration {
-    settings.repeat_window + PERMIT_KEPT
+fn arrival_window(settings: &Settings) -> Duration {
+    settings.repeat_window + PERMIT_VALID_FOR
 }
 
 /// Retries of a service that the hub may grant beyond what the lease row records.
@@ -119,8 +119,8 @@
 }
 
 /// Length of one slice of the window.
-fn slice(settings: &Settings) -> Duration {
-    settings.repeat_window / SLICES
+fn slice_length(settings: &Settings) -> Duration {
+    settings.repeat_window / SLICE_COUNT
 }
 
 /// Longest pause before the hub is asked again.
@@ -131,72 +131,76 @@
 /// Counts a request that arrived from a caller.
 pub(crate) fn request_arrived(state: &mut State, now: Time, service: &Name) {
     let State { budget, settings, quota, .. } = state;
-    let own = budget.own.entry(service.clone()).or_insert_with(|| Earned::new(quota.process(), service));
-    own.earn(now, settings);
-    let untold = budget.untold.entry(hash(service)).or_default();
-    untold.add(now, 1, settings);
+    let earned =
+        budget.earned.entry(service.clone()).or_insert_with(|| Earned::new(quota.process(), service));
+    earned.earn(now, settings);
+    let unreported = budget.unreported.entry(hash(service)).or_default();
+    unreported.add(now, 1, settings);
 }
 
 /// Takes the request counts that no hub has received, to be sent to the current one. They are never sent
 /// twice, even if that hub does not receive them.
 pub(crate) fn take_unreported(state: &mut State, now: Time) -> Vec<Count> {
-    let kept = state.settings.repeat_window.mul_f64(UNTOLD_KEPT);
-    let untold = std::mem::take(&mut state.budget.untold);
-    let asked =
-        untold.into_iter().map(|(service, window)| Count { service, requests: window.sum(now, kept) });
-    asked.filter(|asked| asked.requests > 0).collect()
+    let kept = state.settings.repeat_window.mul_f64(UNREPORTED_KEPT);
+    let unreported = std::mem::take(&mut state.budget.unreported);
+    let counts =
+        unreported.into_iter().map(|(service, window)| Count { service, requests: window.sum(now, kept) });
+    counts.filter(|counts| counts.requests > 0).collect()
 }
 
 /// As the hub: adds the request counts reported by an entry VM.
-pub(crate) fn request_counts_received(state: &mut State, now: Time, asked: &[Count]) {
+pub(crate) fn request_counts_received(state: &mut State, now: Time, counts: &[Count]) {
     let State { budget, settings, .. } = state;
     if let Some(pool) = &mut budget.pool {
-        pool.told(now, asked, settings);
+        pool.add_requests(now, counts, settings);
     }
 }
 
 /// As the hub: adds its own request counts.
 pub(crate) fn count_own(state: &mut State, now: Time) {
-    let asked = take_unreported(state, now);
-    request_counts_received(state, now, &asked);
+    let counts = take_unreported(state, now);
+    request_counts_received(state, now, &counts);
 }
 
 /// Answers a call for a retry permit.
-pub(crate) fn grant(state: &mut State, now: Time, ask: PermitRequest) -> Permit {
-    let leads = state.lease.held_term(now).is_some();
+pub(crate) fn grant(state: &mut State, now: Time, request: PermitRequest) -> Permit {
+    let is_hub = state.lease.held_term(now).is_some();
     let wait = pause_max(&state.settings).mul_f64(frame::size_factor(state));
     let State { budget, settings, .. } = state;
-    let Some(pool) = budget.pool.as_mut().filter(|_| leads) else {
+    let Some(pool) = budget.pool.as_mut().filter(|_| is_hub) else {
         return Permit::NotHub;
     };
-    if pool.give(now, ask, settings) { Permit::Granted } else { Permit::Exhausted(wait) }
+    if pool.grant(now, request, settings) { Permit::Granted } else { Permit::Exhausted(wait) }
 }
 
 /// Must be called when the lease row is about to be written.
 pub(crate) fn fill_row(state: &mut State) {
     if let Some(pool) = &mut state.budget.pool {
-        pool.propose();
+        pool.fill_row();
     }
 }
 
-/// Counts for the lease row, to be called after [`propose`].
+/// Counts for the lease row, to be called after [`fill_row`].
 pub(crate) fn row_counts(state: &State, now: Time) -> Option<Box<Counts>> {
     let Budget { pool, inherited, .. } = &state.budget;
-    pool.as_ref().map(|pool| pool.spent(now, &state.settings)).or_else(|| inherited.clone()).map(Box::new)
+    pool.as_ref()
+        .map(|pool| pool.row_counts(now, &state.settings))
+        .or_else(|| inherited.clone())
+        .map(Box::new)
 }
 
 /// Must be called when the lease row that was composed last has been written.
 pub(crate) fn row_written(state: &mut State) {
     if let Some(pool) = &mut state.budget.pool {
-        pool.written();
+        pool.row_written();
     }
 }
 
 /// Takes over the counts of the lease row before this process takes the lease. If the previous holder
 /// released the lease, it has granted nothing since it wrote the row; otherwise the reserve is added.
-pub(crate) fn inherit(state: &mut State, spent: Option<&Counts>, released: bool) {
+pub(crate) fn inherit(state: &mut State, counts: Option<&Counts>, released: bool) {
     let beyond = if released { 0 } else { reserve(&state.settings) };
-    state.budget.inherited = spent.map(|spent| spent.clone().plus(beyond));
+    state.budget.inherited = counts.map(|counts| counts.clone().with_granted(beyond));
 }
 
 /// Same as [`inherit`] where nobody has held the lease before.
--- a/fleet/src/budget/permit.rs
+++ b/fleet/src/budget/permit.rs
@@ -5,7 +5,7 @@
 use boragecove_core::time::Time;
 
 use super::earned::Earned;
-use super::{PERMIT_KEPT, Permit, PermitRequest, grant, pause_max};
+use super::{PERMIT_VALID_FOR, Permit, PermitRequest, grant, pause_max};
 use crate::effect::Effect;
 use crate::flow::Stage;
 use crate::flow::{self, Flow};
@@ -16,7 +16,7 @@
 use crate::state::State;
 
 /// Rank of requests whose answer can no longer begin in time; it comes after all priorities.
-const LATE: u8 = 128;
+const LATE_RANK: u8 = 128;
 
 /// Whether a request needs a permit before it can be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
 pub(crate) enum Obtained {
     /// It may be sent.
     Yes,
-    /// The hub has been asked; [`answered`] follows.
+    /// The hub has been asked; [`permit_answered`] follows.
     Pending,
     /// It may not be sent.
     No,
@@ -78,19 +78,19 @@
 
 /// Result of drawing a permit.
 #[derive(Clone, Copy, Debug)]
-enum Drawn {
+enum DrawResult {
     /// A permit that is valid until this time.
-    Until(Time),
-    Asked,
-    Nothing,
+    Granted(Time),
+    Pending,
+    Denied,
 }
 
-impl Drawn {
+impl DrawResult {
     const fn obtained(self) -> Obtained {
         match self {
-            Self::Until(_) => Obtained::Yes,
-            Self::Asked => Obtained::Pending,
-            Self::Nothing => Obtained::No,
+            Self::Granted(_) => Obtained::Yes,
+            Self::Pending => Obtained::Pending,
+            Self::Denied => Obtained::No,
         }
     }
 }
@@ -99,30 +99,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Decision {
     /// Granted: earned by this process.
-    Own,
+    Earned,
     /// Granted by the hub.
-    Leader,
+    Hub,
     /// Denied: the hub has none left.
-    Spent,
+    Exhausted,
     /// Denied: no hub is known.
-    Unled,
+    NoHub,
     /// Denied: the hub did not answer in time.
-    Silent,
+    Unanswered,
 }
 
 impl Decision {
     const fn allows(self) -> bool {
-        matches!(self, Self::Own | Self::Leader)
+        matches!(self, Self::Earned | Self::Hub)
     }
 
     /// Value of the field `by` in logs and label in metrics.
     const fn label(self) -> &'static str {
         match self {
-            Self::Own => "own",
-            Self::Leader => "leader",
-            Self::Spent => "spent",
-            Self::Unled => "unled",
-            Self::Silent => "silent",
+            Self::Earned => "own",
+            Self::Hub => "leader",
+            Self::Exhausted => "spent",
+            Self::NoHub => "unled",
+            Self::Unanswered => "silent",
         }
     }
 }
@@ -135,11 +135,11 @@
     if flow.retry.allows(now) {
         return Obtained::Yes;
     }
-    let drawn = draw(state, now, id, out);
-    if let (Drawn::Until(until), Some(flow)) = (drawn, state.flows.get_mut(&id)) {
+    let result = draw(state, now, id, out);
+    if let (DrawResult::Granted(until), Some(flow)) = (result, state.flows.get_mut(&id)) {
         flow.retry = Retry::Permitted(until);
     }
-    drawn.obtained()
+    result.obtained()
 }
 
 /// Obtains a permit for a request that is still at an engine. The attempt there is ended only if the
@@ -151,67 +151,67 @@
     if flow.early_permit.is_some_and(|until| now < until) {
         return Obtained::Yes;
     }
-    let drawn = draw(state, now, id, out);
-    if let (Drawn::Until(until), Some(flow)) = (drawn, state.flows.get_mut(&id)) {
+    let result = draw(state, now, id, out);
+    if let (DrawResult::Granted(until), Some(flow)) = (result, state.flows.get_mut(&id)) {
         flow.early_permit = Some(until);
     }
-    drawn.obtained()
+    result.obtained()
 }
 
 /// Draws a permit from those earned by this process, or asks the hub.
-fn draw(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> Drawn {
+fn draw(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) -> DrawResult {
     let Some(flow) = state.flows.get(&id) else {
-        return Drawn::Nothing;
+        return DrawResult::Denied;
     };
     if flow.awaits_permit {
-        return Drawn::Asked;
+        return DrawResult::Pending;
     }
     let (service, rank) = (flow.service.clone(), rank(flow, now));
     let State { budget, settings, .. } = state;
-    if let Some(until) = budget.own.get_mut(&service).and_then(|own| own.take(now, settings)) {
-        note(state, now, id, Decision::Own, out);
-        return Drawn::Until(until);
+    if let Some(until) = budget.earned.get_mut(&service).and_then(|earned| earned.take(now, settings)) {
+        record(state, now, id, Decision::Earned, out);
+        return DrawResult::Granted(until);
     }
     let ask = PermitRequest { service: hash(&service), rank };
     if state.lease.held_term(now).is_some() {
-        let given = grant(state, now, ask) == Permit::Granted;
-        note(state, now, id, if given { Decision::Leader } else { Decision::Spent }, out);
-        return if given { Drawn::Until(now + PERMIT_KEPT) } else { Drawn::Nothing };
+        let granted = grant(state, now, ask) == Permit::Granted;
+        record(state, now, id, if granted { Decision::Hub } else { Decision::Exhausted }, out);
+        return if granted { DrawResult::Granted(now + PERMIT_VALID_FOR) } else { DrawResult::Denied };
     }
     let paused = state.budget.paused.get(&ask.service);
-    if paused.is_some_and(|(until, from)| now < *until && rank >= *from) {
-        note(state, now, id, Decision::Spent, out);
-        return Drawn::Nothing;
+    if paused.is_some_and(|(until, from_rank)| now < *until && rank >= *from_rank) {
+        record(state, now, id, Decision::Exhausted, out);
+        return DrawResult::Denied;
     }
-    let leads = state.hub.leads && state.hub.is_alive(now, &state.settings);
-    let leader = state.lease.hub().filter(|row| leads && row.holder != state.me.vm).map(|row| row.address);
-    let Some(address) = leader else {
-        note(state, now, id, Decision::Unled, out);
-        return Drawn::Nothing;
+    let has_hub = state.hub.leads && state.hub.is_alive(now, &state.settings);
+    let hub = state.lease.hub().filter(|row| has_hub && row.holder != state.me.vm).map(|row| row.address);
+    let Some(address) = hub else {
+        record(state, now, id, Decision::NoHub, out);
+        return DrawResult::Denied;
     };
     if let Some(flow) = state.flows.get_mut(&id) {
         flow.awaits_permit = true;
     }
     out.push(Effect::RequestPermit { address, request: id, asked: now, ask });
-    Drawn::Asked
+    DrawResult::Pending
 }
 
 /// Returns the unused permits of a request that ends.
 pub(crate) fn return_unused(state: &mut State, flow: &Flow) {
-    let Some(own) = state.budget.own.get_mut(&flow.service) else {
+    let Some(earned) = state.budget.earned.get_mut(&flow.service) else {
         return;
     };
     if let Retry::Permitted(until) = flow.retry {
-        own.put_back(until);
+        earned.return_permit(until);
     }
     if let Some(until) = flow.early_permit {
-        own.put_back(until);
+        earned.return_permit(until);
     }
 }
 
 /// Rank of a request among those that ask for permits; 0 is served first.
 fn rank(flow: &Flow, now: Time) -> u8 {
-    if now < flow.begin_by { flow.priority().min(LATE - 1) } else { LATE }
+    if now < flow.begin_by { flow.priority().min(LATE_RANK - 1) } else { LATE_RANK }
 }
 
 /// Handles the hub's answer to a call made at `asked`; `permit` is `None` if the call failed.
@@ -229,14 +229,14 @@
     flow.awaits_permit = false;
     let (service, rank) = (hash(&flow.service), rank(flow, now));
     let (decision, wait) = match permit {
-        Some(Permit::Granted) => (Decision::Leader, Duration::ZERO),
-        Some(Permit::Exhausted(wait)) => (Decision::Spent, wait),
-        Some(Permit::NotHub) => (Decision::Unled, pause_max(&state.settings)),
-        None => (Decision::Silent, pause_max(&state.settings)),
+        Some(Permit::Granted) => (Decision::Hub, Duration::ZERO),
+        Some(Permit::Exhausted(wait)) => (Decision::Exhausted, wait),
+        Some(Permit::NotHub) => (Decision::NoHub, pause_max(&state.settings)),
+        None => (Decision::Unanswered, pause_max(&state.settings)),
     };
-    note(state, now, id, decision, out);
+    record(state, now, id, decision, out);
     if decision.allows() {
-        return permitted(state, now, id, asked + PERMIT_KEPT, out);
+        return use_hub_permit(state, now, id, asked + PERMIT_VALID_FOR, out);
     }
     state.budget.paused.insert(service, (now + wait, rank));
     let at_engine = state.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Sent { .. }));
@@ -246,7 +246,7 @@
 }
 
 /// Uses a permit granted by the hub.
-fn permitted(state: &mut State, now: Time, id: Id, until: Time, out: &mut Vec<Effect>) {
+fn use_hub_permit(state: &mut State, now: Time, id: Id, until: Time, out: &mut Vec<Effect>) {
     let Some(flow) = state.flows.get_mut(&id) else {
         return;
     };
@@ -256,16 +256,16 @@
         return;
     }
     flow.retry = Retry::Permitted(until);
-    let fresh = !state.waiting.contains(&id);
-    flow::dispatch(state, now, id, fresh, out);
-    let waits = state.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Waiting));
-    if !waits {
+    let is_new = !state.waiting.contains(&id);
+    flow::dispatch(state, now, id, is_new, out);
+    let is_waiting = state.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Waiting));
+    if !is_waiting {
         state.waiting.remove(&id);
     }
 }
 
 /// Counts and logs a decision.
-fn note(state: &mut State, now: Time, id: Id, decision: Decision, out: &mut Vec<Effect>) {
+fn record(state: &mut State, now: Time, id: Id, decision: Decision, out: &mut Vec<Effect>) {
     let Some(service) = state.flows.get(&id).map(|flow| flow.service.clone()) else {
         return;
     };
@@ -274,7 +274,7 @@
         request: id.0,
         allowed: decision.allows(),
         by: decision.label(),
-        earned: state.budget.own.get(&service).map_or(0, Earned::left),
+        earned: state.budget.earned.get(&service).map_or(0, Earned::available),
         service,
         hub_age_ms: ms(state.hub.age(now).min(Duration::from_hours(1))),
         alive_ms: ms(now.since(state.started)),
--- a/fleet/src/budget/window.rs
+++ b/fleet/src/budget/window.rs
@@ -5,7 +5,7 @@
 
 use boragecove_core::time::Time;
 
-use super::{counted, slice};
+use super::{arrival_window, slice_length};
 use crate::settings::Settings;
 
 /// Recent counts.
@@ -18,8 +18,8 @@
 impl Window {
     /// Adds `count` at `now`.
     pub(super) fn add(&mut self, now: Time, count: u32, settings: &Settings) {
-        let length = slice(settings);
-        let kept = counted(settings) + length;
+        let length = slice_length(settings);
+        let kept = arrival_window(settings) + length;
         while self.slices.front().is_some_and(|(from, _)| now.since(*from) > kept) {
             self.slices.pop_front();
         }
@@ -43,7 +43,7 @@
 
     /// Inverse of `by_age`. The youngest counts of each age are taken to be `before` older than their index
     /// says.
-    pub(super) fn aged(now: Time, ages: &[u32], length: Duration, before: Duration) -> Self {
+    pub(super) fn from_ages(now: Time, ages: &[u32], length: Duration, before: Duration) -> Self {
         let parts = ages.iter().enumerate().rev();
         Self { slices: parts.map(|(age, count)| (now - (length * age as u32 + before), *count)).collect() }
     }
--- a/fleet/src/notice.rs
+++ b/fleet/src/notice.rs
@@ -70,29 +70,29 @@
 pub(crate) fn notice_received(
     state: &mut State,
     now: Time,
-    from: &Start,
+    source: &Start,
     notice: Notice,
     asked: Option<AnsweredRequest>,
     out: &mut Vec<Effect>,
 ) {
-    let listed = state.engines.get(&from.engine);
+    let listed = state.engines.get(&source.engine);
     // The report comes from an earlier start of the engine.
-    if listed.is_some_and(|known| known.entry.incarnation != from.incarnation) {
+    if listed.is_some_and(|known| known.entry.incarnation != source.incarnation) {
         return;
     }
     if notice.leaving {
-        departure::mark_leaving(state, now, from, Source::Answer, out);
-        tell_departure(state, now, out);
+        departure::mark_leaving(state, now, source, Source::Answer, out);
+        notify_departure(state, now, out);
     }
     if let Some(pause) = notice.pause {
-        keep_pause(state, now, &from.engine, pause.min(PAUSE_MAX), out);
+        keep_pause(state, now, &source.engine, pause.min(PAUSE_MAX), out);
     }
-    rate_limit::rate_limit_received(state, now, from, notice.rate_limit, asked, out);
-    rate_limit::noticed_brittle(state, now, from, notice.rejection_limit, asked, out);
+    rate_limit::rate_limit_received(state, now, source, notice.rate_limit, asked, out);
+    rate_limit::rejection_limit_received(state, now, source, notice.rejection_limit, asked, out);
 }
 
 /// Reports departures to the other entry VMs, through the hub, or directly where no hub answers.
-fn tell_departure(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+fn notify_departure(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     departure::notify(state, now, out);
     if state.lease.held_term(now).is_some() || !state.departures.has_unreported() {
         return;
--- a/fleet/src/path.rs
+++ b/fleet/src/path.rs
@@ -35,23 +35,23 @@
 
 /// Number of other entry VMs asked in turn whether they reach an engine, until the engine is tried from
 /// here again.
-const ASKED_MAX: usize = 4;
+const PROBERS_MAX: usize = 4;
 /// Number of relays remembered.
 const RELAYS_MAX: usize = 8;
 /// Probe requests per second of all entry VMs together, each of which costs another entry VM two
 /// connections. With very many entry VMs the sum is higher, because each may send at least the minimum in
-/// `OWN_ASKS_PER_S`.
-const ASKS_PER_S: u32 = 8_000;
+/// `OWN_PROBES_PER_S`.
+const PROBES_PER_S: u32 = 8_000;
 /// Least and greatest number of probe requests per second of one entry VM.
-const OWN_ASKS_PER_S: (u32, u32) = (8, 64);
+const OWN_PROBES_PER_S: (u32, u32) = (8, 64);
 /// How long an entry VM that did not reach an engine is asked about other engines only after those without
 /// such a failure.
-const BLIND: Duration = Duration::from_secs(2);
+const FAILED_PROBER_KEPT: Duration = Duration::from_secs(2);
 /// How long an engine must accept connections from here before it is used directly again. A path that comes
 /// and goes costs requests each time.
-const SETTLED: Duration = Duration::from_secs(1);
+const STABLE_AFTER: Duration = Duration::from_secs(1);
 /// How long an engine counts as reached directly after the last direct contact.
-const HEARD_WITHIN: Duration = Duration::from_secs(2);
+const CONTACT_RECENT: Duration = Duration::from_secs(2);
 
 /// Path to one engine.
 #[derive(Clone, Debug, Default)]
@@ -61,11 +61,11 @@
     /// The entry VM that relays requests in the meantime.
     relay: Option<Relay>,
     /// Since when the port accepts connections from here again.
-    open: Option<Time>,
+    open_since: Option<Time>,
     /// Entry VMs asked since the engine was last tried from here.
-    asked: Vec<Name>,
+    probers: Vec<Name>,
     /// Whether an answer from one of them is pending.
-    asking: bool,
+    probing: bool,
     /// When anything last arrived from the engine without a relay.
     pub(crate) heard_at: Option<Time>,
 }
@@ -83,11 +83,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct Paths {
     /// Entry VMs that did not reach an engine, with the expiry of that finding.
-    blind: Vec<(Name, Time)>,
+    failed_probers: Vec<(Name, Time)>,
     /// Start of the current second of probe requests, and their number.
-    counted: (Time, u32),
+    probe_count: (Time, u32),
     /// Since when this process is cut off; `None` if it is not.
-    cut_off: Option<Time>,
+    cut_off_since: Option<Time>,
     /// Entry VMs that recently reached engines which are not reachable from here, latest last.
     relays: Vec<Relay>,
     /// Requests currently relayed for other entry VMs.
@@ -120,7 +120,7 @@
 
     /// Whether another entry VM is being asked whether it reaches the engine.
     pub(crate) const fn is_asking(&self) -> bool {
-        self.asking
+        self.probing
     }
 
     /// Whether no connection can be opened from here.
@@ -136,8 +136,8 @@
     if path.relay.is_some() {
         return path.relay.as_ref();
     }
-    let since = state.paths.cut_off?;
-    let denied = path.lost_since.is_some() && !path.asked.is_empty();
+    let since = state.paths.cut_off_since?;
+    let denied = path.lost_since.is_some() && !path.probers.is_empty();
     if denied || path.heard_at.is_some_and(|at| at >= since) || state.paths.relays.is_empty() {
         return None;
     }
@@ -146,10 +146,10 @@
     state.paths.relays.get(index)
 }
 
-/// Whether a request can reach the engine now, directly or through a relay. `unsent`: connecting directly
-/// has already failed for this request.
-pub(crate) fn is_reachable(state: &State, now: Time, engine: &Engine, unsent: bool) -> bool {
-    !(unsent || engine.health.is_suspected(now)) || relay_of(state, engine).is_some()
+/// Whether a request can reach the engine now, directly or through a relay. `connect_failed`: connecting
+/// directly has already failed for this request.
+pub(crate) fn is_reachable(state: &State, now: Time, engine: &Engine, connect_failed: bool) -> bool {
+    !(connect_failed || engine.health.is_suspected(now)) || relay_of(state, engine).is_some()
 }
 
 /// Handles a failure to connect to an engine: other entry VMs are asked whether they reach it.
@@ -158,16 +158,16 @@
         return;
     };
     let path = &mut known.path;
-    path.open = None;
+    path.open_since = None;
     path.lost_since.get_or_insert(now);
-    if !path.asking {
-        path.asked.clear();
+    if !path.probing {
+        path.probers.clear();
     }
-    ask(state, now, engine, out);
+    probe_next(state, now, engine, out);
 }
 
 /// Asks the next entry VM whether it reaches the engine, unless a relay is known or a question is pending.
-fn ask(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
+fn probe_next(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     if !state.settings.is_enabled(Mechanism::Relays) {
         return;
     }
@@ -175,30 +175,31 @@
         return;
     };
     let path = &known.path;
-    if path.relay.is_some() || path.asking || path.asked.len() >= ASKED_MAX || known.is_leaving() {
+    if path.relay.is_some() || path.probing || path.probers.len() >= PROBERS_MAX || known.is_leaving() {
         return;
     }
-    state.paths.blind.retain(|(_, until)| *until > now);
-    let blind = |vm: &Name| state.paths.blind.iter().any(|(name, _)| name == vm);
-    let Some(next) = state.members.pick_relay(engine, &state.me, &known.entry.zone, &path.asked, blind)
+    state.paths.failed_probers.retain(|(_, until)| *until > now);
+    let has_failed = |vm: &Name| state.paths.failed_probers.iter().any(|(name, _)| name == vm);
+    let Some(next) =
+        state.members.pick_relay(engine, &state.me, &known.entry.zone, &path.probers, has_failed)
     else {
         return;
     };
     let (vm, address) = (next.vm.clone(), next.address);
-    if !state.paths.take_ask(now, state.hub.nodes) {
+    if !state.paths.allow_probe(now, state.hub.nodes) {
         return;
     }
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
-    known.path.asked.push(vm.clone());
-    known.path.asking = true;
+    known.path.probers.push(vm.clone());
+    known.path.probing = true;
     out.push(Effect::AskPath { vm, address, engine: engine.clone() });
 }
 
 impl Paths {
     /// Remembers an entry VM that reaches an engine which this one does not reach.
-    fn note_relay(&mut self, relay: Relay) {
+    fn remember_relay(&mut self, relay: Relay) {
         self.relays.retain(|known| known.vm != relay.vm);
         if self.relays.len() >= RELAYS_MAX {
             self.relays.remove(0);
@@ -207,13 +208,13 @@
     }
 
     /// Counts a probe request and returns whether the rate allows it, given the number of entry VMs.
-    fn take_ask(&mut self, now: Time, nodes: u32) -> bool {
-        if now.since(self.counted.0) >= Duration::from_secs(1) {
-            self.counted = (now, 0);
+    fn allow_probe(&mut self, now: Time, nodes: u32) -> bool {
+        if now.since(self.probe_count.0) >= Duration::from_secs(1) {
+            self.probe_count = (now, 0);
         }
-        self.counted.1 += 1;
-        let (least, most) = OWN_ASKS_PER_S;
-        self.counted.1 <= (ASKS_PER_S / nodes.max(1)).clamp(least, most)
+        self.probe_count.1 += 1;
+        let (least, most) = OWN_PROBES_PER_S;
+        self.probe_count.1 <= (PROBES_PER_S / nodes.max(1)).clamp(least, most)
     }
 }
 
@@ -222,32 +223,32 @@
     state: &mut State,
     now: Time,
     engine: &Name,
-    by: Relay,
-    reach: Option<Port>,
+    prober: Relay,
+    port: Option<Port>,
     out: &mut Vec<Effect>,
 ) {
-    crash::path_seen(state, now, engine, reach, out);
+    crash::path_seen(state, now, engine, port, out);
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
-    known.path.asking = false;
+    known.path.probing = false;
     if known.path.lost_since.is_none() {
         return;
     }
-    if reach != Some(Port::Open) {
-        if known.path.relay.as_ref() == Some(&by) {
-            return relay_failed(state, now, engine, &by.vm, out);
+    if port != Some(Port::Open) {
+        if known.path.relay.as_ref() == Some(&prober) {
+            return relay_failed(state, now, engine, &prober.vm, out);
         }
-        state.paths.blind.push((by.vm, now + BLIND));
-        return ask(state, now, engine, out);
+        state.paths.failed_probers.push((prober.vm, now + FAILED_PROBER_KEPT));
+        return probe_next(state, now, engine, out);
     }
     if known.path.relay.is_some() {
         return;
     }
-    known.path.relay = Some(by.clone());
-    state.paths.blind.retain(|(vm, _)| *vm != by.vm);
-    state.paths.note_relay(by);
-    note(state, now, engine, "relayed", out);
+    known.path.relay = Some(prober.clone());
+    state.paths.failed_probers.retain(|(vm, _)| *vm != prober.vm);
+    state.paths.remember_relay(prober);
+    record(state, now, engine, "relayed", out);
     flow::request_rescan(state);
     if state.engines.values().filter(|engine| engine.path.is_relayed()).count() == 1 {
         // Other engines may have become unreachable at the same time.
@@ -262,16 +263,16 @@
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
-    let Some(Relay { vm, address }) = known.path.relay.clone().filter(|_| !known.path.asking) else {
+    let Some(Relay { vm, address }) = known.path.relay.clone().filter(|_| !known.path.probing) else {
         return;
     };
-    known.path.asking = true;
+    known.path.probing = true;
     out.push(Effect::AskPath { vm, address, engine: engine.clone() });
 }
 
 /// Handles a relay's failure to pass on a request: another relay is looked for.
 pub(crate) fn relay_failed(state: &mut State, now: Time, engine: &Name, relay: &Name, out: &mut Vec<Effect>) {
-    state.paths.blind.push((relay.clone(), now + BLIND));
+    state.paths.failed_probers.push((relay.clone(), now + FAILED_PROBER_KEPT));
     state.paths.relays.retain(|known| known.vm != *relay);
     let Some(known) = state.engines.get_mut(engine) else {
         return;
@@ -284,12 +285,12 @@
         return;
     }
     known.path.relay = None;
-    known.path.asked = vec![relay.clone()];
-    ask(state, now, engine, out);
+    known.path.probers = vec![relay.clone()];
+    probe_next(state, now, engine, out);
 }
 
 /// Handles a successful connection to the engine's port. Returns whether the engine can be used directly
-/// from now on. A relayed engine must first accept connections for `SETTLED`.
+/// from now on. A relayed engine must first accept connections for `STABLE_AFTER`.
 pub(crate) fn port_opened(state: &mut State, now: Time, engine: &Name) -> bool {
     let Some(known) = state.engines.get_mut(engine) else {
         return false;
@@ -298,12 +299,12 @@
     if path.relay.is_none() {
         return true;
     }
-    let since = *path.open.get_or_insert(now);
-    if now.since(since) >= SETTLED {
+    let since = *path.open_since.get_or_insert(now);
+    if now.since(since) >= STABLE_AFTER {
         return true;
     }
-    known.health.suspect_until = Some(since + SETTLED);
-    state.timers.set(since + SETTLED, Timer::Probe(engine.clone()));
+    known.health.suspect_until = Some(since + STABLE_AFTER);
+    state.timers.set(since + STABLE_AFTER, Timer::Probe(engine.clone()));
     false
 }
 
@@ -325,8 +326,8 @@
         return false;
     }
     known.path.heard_at = Some(now);
-    let earlier = known.path.lost_since.zip(sent).is_some_and(|(lost, sent)| sent <= lost);
-    !(known.path.relay.is_some() && earlier)
+    let sent_before_loss = known.path.lost_since.zip(sent).is_some_and(|(lost, sent)| sent <= lost);
+    !(known.path.relay.is_some() && sent_before_loss)
 }
 
 /// Uses an engine directly again.
@@ -334,19 +335,19 @@
     let Some(known) = state.engines.get_mut(engine) else {
         return;
     };
-    let before = std::mem::take(&mut known.path);
+    let previous = std::mem::take(&mut known.path);
     known.path.heard_at = Some(now);
-    if before.relay.is_some() {
-        note(state, now, engine, "regained", out);
+    if previous.relay.is_some() {
+        record(state, now, engine, "regained", out);
     }
-    if before.lost_since.is_some() {
+    if previous.lost_since.is_some() {
         update_cut_off(state, now, out);
     }
 }
 
 /// Whether this process is cut off from most engines that it uses while other entry VMs reach them.
 pub(crate) const fn is_cut_off(state: &State) -> bool {
-    state.paths.cut_off.is_some()
+    state.paths.cut_off_since.is_some()
 }
 
 /// Recomputes whether this process is cut off.
@@ -354,20 +355,20 @@
     let relayed = state.engines.values().filter(|engine| engine.path.relay.is_some()).count();
     let direct = |engine: &&Engine| {
         engine.path.lost_since.is_none()
-            && engine.path.heard_at.is_some_and(|at| now.since(at) < HEARD_WITHIN)
+            && engine.path.heard_at.is_some_and(|at| now.since(at) < CONTACT_RECENT)
     };
     let direct = state.engines.values().filter(direct).count();
     let cut_off = relayed > direct;
-    if cut_off == state.paths.cut_off.is_some() {
+    if cut_off == state.paths.cut_off_since.is_some() {
         return;
     }
-    state.paths.cut_off = cut_off.then_some(now);
+    state.paths.cut_off_since = cut_off.then_some(now);
     let label = if cut_off { "cut_off" } else { "joined" };
     out.push(Effect::Record(Record::Reach { state: label, relayed, direct }));
     flow::request_rescan(state);
 }
 
-fn note(state: &mut State, now: Time, engine: &Name, label: &'static str, out: &mut Vec<Effect>) {
+fn record(state: &mut State, now: Time, engine: &Name, label: &'static str, out: &mut Vec<Effect>) {
     if !state.suspicions.allow(now, out) {
         return;
     }
--- a/fleet/src/path/relay.rs
+++ b/fleet/src/path/relay.rs
@@ -12,7 +12,7 @@
 use crate::state::State;
 
 /// Largest number of requests relayed at the same time.
-const PASSING_MAX: u32 = 512;
+const RELAYING_MAX: u32 = 512;
 
 /// Why a request of another entry VM is not relayed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -41,8 +41,8 @@
 }
 
 /// Accepts a request of another entry VM to be relayed to this start of an engine, which runs `build`
-/// according to that entry VM. Returns the engine's address. [`crate::event::Event::RelayEnded`] must follow
-/// when the request has ended.
+/// according to that entry VM. Returns the engine's address. [`crate::event::Event::RelayEnded`] must
+/// follow when the request has ended.
 ///
 /// # Errors
 ///
@@ -85,7 +85,7 @@
     if known.path.relay.is_some() || known.health.is_suspected(now) {
         return Err(Denial::Unreached);
     }
-    if state.paths.relaying >= PASSING_MAX {
+    if state.paths.relaying >= RELAYING_MAX {
         return Err(Denial::Full);
     }
     Ok(known.entry.address)
--- a/fleet/src/quota.rs
+++ b/fleet/src/quota.rs
@@ -1,6 +1,6 @@
 //! Rate limits of workspaces, enforced as sums over all entry VMs.
 //!
-//! The hub gives shares of each limit to a few entry VMs, one in each availability zone (`lead`,
+//! The hub gives shares of each limit to a few entry VMs, one in each availability zone (`hub`,
 //! `allocator`). Each share fills a token bucket there (`bucket`). The entry VMs of the zone draw credit
 //! from it, for a single request, or in advance for many requests if they receive many (`charge`). The
 //! hub's work thus grows with the number of workspaces and zones, not of entry VMs. Shares stay valid while
@@ -10,7 +10,7 @@
 mod allocator;
 mod bucket;
 mod charge;
-mod lead;
+mod hub;
 mod message;
 
 use std::collections::BTreeMap;
@@ -29,8 +29,8 @@
 use bucket::{Bucket, Capacity, Rate};
 use charge::Balance;
 pub(crate) use charge::{Answer, Pending, charge, charge_record, draw_answered, refund, retry_draw};
-use lead::Owners;
-pub(crate) use lead::{
+use hub::Owners;
+pub(crate) use hub::{
     allot, allot_own, begin, end, fill_row, inherit, inherit_unknown, outstanding, row_holders_read,
 };
 pub use message::{Allotment, Credit, Draw, HeldShare, Report, WHOLE};
@@ -44,7 +44,7 @@
 /// between entry VMs.
 const DEBT_PART: f64 = 0.5;
 /// Least burst, in requests of the default token count, where the bounds leave room for fewer.
-const AT_ONCE_MIN: f64 = 4.0;
+const BURST_MIN_REQUESTS: f64 = 4.0;
 
 /// State of workspace limits in a process.
 #[derive(Debug)]
@@ -73,7 +73,7 @@
     parts: u32,
     until: Time,
     bucket: Bucket,
-    asked: Rate,
+    demand: Rate,
 }
 
 impl Quota {
@@ -113,7 +113,7 @@
         let held = self.holdings.iter().map(|(workspace, holding)| HeldShare {
             workspace: workspace.clone(),
             parts: holding.parts,
-            demand_per_s: holding.asked.per_s(now).round(),
+            demand_per_s: holding.demand.per_s(now).round(),
         });
         Report { process: self.process, shares: held.collect() }
     }
@@ -126,34 +126,34 @@
 
 impl Holding {
     fn new(now: Time, parts: u32, until: Time, limit: &Limit, settings: &Settings) -> Self {
-        let empty = Self { parts, until, bucket: Bucket::default(), asked: Rate::default() };
-        Self { bucket: Bucket::new(now, empty.size(limit, settings)), ..empty }
+        let empty = Self { parts, until, bucket: Bucket::default(), demand: Rate::default() };
+        Self { bucket: Bucket::new(now, empty.capacity(limit, settings)), ..empty }
     }
 
     /// Bucket size for the held share.
-    fn size(&self, limit: &Limit, settings: &Settings) -> Capacity {
-        size(limit, settings).part(f64::from(self.parts) / f64::from(WHOLE))
+    fn capacity(&self, limit: &Limit, settings: &Settings) -> Capacity {
+        capacity(limit, settings).part(f64::from(self.parts) / f64::from(WHOLE))
     }
 }
 
 /// Bucket size for a whole limit. If the platform counts in windows, a full burst is available again in
 /// each window. The burst is then spread over the window as additional rate, so that steady callers get all
 /// that a window may hold; what may come at once is a part of the overage.
-fn size(limit: &Limit, settings: &Settings) -> Capacity {
+fn capacity(limit: &Limit, settings: &Settings) -> Capacity {
     let debt = settings.quota_slack * DEBT_PART;
-    let one = match limit.unit {
+    let request_units = match limit.unit {
         Unit::Requests => 1.0,
-        Unit::Tokens { default_tokens: unsaid } => unsaid,
+        Unit::Tokens { default_tokens } => default_tokens,
     };
     let window_s = settings.quota_window.as_secs_f64();
     if window_s <= 0.0 {
-        return Capacity { per_s: limit.per_s, burst: limit.burst.max(one), debt };
+        return Capacity { per_s: limit.per_s, burst: limit.burst.max(request_units), debt };
     }
-    let over = (limit.per_s * window_s + limit.burst) * settings.quota_overage * BURST_PART;
+    let overage_burst = (limit.per_s * window_s + limit.burst) * settings.quota_overage * BURST_PART;
     // Where overage and debt allow less than the least burst, part of the limit's burst is not spread.
-    let kept = (one * AT_ONCE_MIN - over - debt).clamp(0.0, limit.burst);
-    let per_s = limit.per_s + (limit.burst - kept) / window_s;
-    Capacity { per_s, burst: over + kept, debt }
+    let unspread = (request_units * BURST_MIN_REQUESTS - overage_burst - debt).clamp(0.0, limit.burst);
+    let per_s = limit.per_s + (limit.burst - unspread) / window_s;
+    Capacity { per_s, burst: overage_burst + unspread, debt }
 }
 
 fn limit_of(state: &State, workspace: &str) -> Option<Limit> {
@@ -168,15 +168,15 @@
 
 /// Replaces all held shares by those in the hub's answer to the frame sent at `sent`.
 pub(crate) fn apply_allotments(state: &mut State, now: Time, sent: Time, allotments: Vec<Allotment>) {
-    let mut before = std::mem::take(&mut state.quota.holdings);
+    let mut previous = std::mem::take(&mut state.quota.holdings);
     for Allotment { workspace, parts } in allotments {
         let Some(limit) = limit_of(state, &workspace) else {
             continue;
         };
-        let holding = match before.remove(&workspace) {
+        let holding = match previous.remove(&workspace) {
             Some(mut holding) => {
-                let size = holding.size(&limit, &state.settings);
-                holding.bucket.refill(now, holding.until, size);
+                let capacity = holding.capacity(&limit, &state.settings);
+                holding.bucket.refill(now, holding.until, capacity);
                 Holding { parts, until: holding.until.max(sent + LEASE), ..holding }
             }
             None => Holding::new(now, parts, sent + LEASE, &limit, &state.settings),
@@ -193,16 +193,16 @@
     let Some(holding) = state.quota.holdings.get_mut(&draw.workspace) else {
         return Credit::NotHolder;
     };
-    let size = holding.size(&limit, &state.settings);
-    holding.bucket.refill(now, holding.until, size);
+    let capacity = holding.capacity(&limit, &state.settings);
+    holding.bucket.refill(now, holding.until, capacity);
     if holding.until <= now {
         return Credit::NotHolder;
     }
     // A negative amount in a draw must not fill the bucket.
-    let wanted = |units: f64| units.max(0.0);
-    holding.asked.add(now, wanted(draw.demand));
-    match holding.bucket.take(wanted(draw.cost), wanted(draw.prefetch), size) {
-        Ok(given) => Credit::Granted(given),
+    let non_negative = |units: f64| units.max(0.0);
+    holding.demand.add(now, non_negative(draw.demand));
+    match holding.bucket.take(non_negative(draw.cost), non_negative(draw.prefetch), capacity) {
+        Ok(granted) => Credit::Granted(granted),
         Err(wait) => Credit::Insufficient(wait),
     }
 }
--- a/fleet/src/quota/bucket.rs
+++ b/fleet/src/quota/bucket.rs
@@ -52,7 +52,7 @@
     }
 
     /// Time in which the bucket gains `units`.
-    pub(crate) fn time_for(self, units: f64) -> Duration {
+    pub(crate) fn time_to_fill(self, units: f64) -> Duration {
         Duration::try_from_secs_f64(units / self.per_s).unwrap_or(WAIT_MAX).min(WAIT_MAX)
     }
 }
@@ -63,40 +63,40 @@
     level: f64,
     at: Time,
     /// Units requested by callers that were denied and told when to retry.
-    promised: f64,
+    promised_units: f64,
 }
 
 impl Bucket {
     /// Starts fully overdrawn, because the previous holder of the share may have left its bucket so.
-    pub(crate) fn new(now: Time, size: Capacity) -> Self {
-        Self { level: -size.debt, at: now, promised: 0.0 }
+    pub(crate) fn new(now: Time, capacity: Capacity) -> Self {
+        Self { level: -capacity.debt, at: now, promised_units: 0.0 }
     }
 
     /// Adds the units gained since the last call, up to `until`.
-    pub(crate) fn refill(&mut self, now: Time, until: Time, size: Capacity) {
-        let fed = now.min(until).since(self.at).as_secs_f64() * size.per_s;
-        self.level = (self.level + fed).min(size.burst);
-        self.promised = (self.promised - fed).max(0.0);
+    pub(crate) fn refill(&mut self, now: Time, until: Time, capacity: Capacity) {
+        let gained = now.min(until).since(self.at).as_secs_f64() * capacity.per_s;
+        self.level = (self.level + gained).min(capacity.burst);
+        self.promised_units = (self.promised_units - gained).max(0.0);
         self.at = self.at.max(now);
     }
 
-    /// Takes `cost` units, and up to `ahead` more if available. For a `cost` larger than the bucket ever
+    /// Takes `cost` units, and up to `prefetch` more if available. For a `cost` larger than the bucket ever
     /// holds, it takes what is there. Returns the units taken; otherwise the time until a request of this
     /// size can be admitted after those denied before it.
-    pub(crate) fn take(&mut self, cost: f64, ahead: f64, size: Capacity) -> Result<f64, Duration> {
-        let there = self.level + size.debt;
-        if cost > size.burst_max() && there > 0.0 {
-            self.level -= there;
-            return Ok(there);
+    pub(crate) fn take(&mut self, cost: f64, prefetch: f64, capacity: Capacity) -> Result<f64, Duration> {
+        let available = self.level + capacity.debt;
+        if cost > capacity.burst_max() && available > 0.0 {
+            self.level -= available;
+            return Ok(available);
         }
-        if there < cost {
-            let missing = cost - there + self.promised;
-            self.promised += cost;
-            return Err(size.time_for(missing));
+        if available < cost {
+            let missing = cost - available + self.promised_units;
+            self.promised_units += cost;
+            return Err(capacity.time_to_fill(missing));
         }
         self.level -= cost;
-        let more = ahead.min(self.level).max(0.0);
-        self.level -= more;
-        Ok(cost + more)
+        let extra = prefetch.min(self.level).max(0.0);
+        self.level -= extra;
+        Ok(cost + extra)
     }
 }
--- a/fleet/src/quota/charge.rs
+++ b/fleet/src/quota/charge.rs
@@ -9,7 +9,7 @@
 
 use super::bucket::Rate;
 use super::message::{Credit, Draw};
-use super::{draw, limit_of, size};
+use super::{capacity, draw, limit_of};
 use crate::effect::Effect;
 use crate::flow::{self, RETRY_AFTER, Stage};
 use crate::record::Charge;
@@ -18,22 +18,22 @@
 use crate::timer::Timer;
 
 /// Credit is drawn in advance for this time of a workspace's requests.
-const AHEAD: Duration = Duration::from_millis(250);
+const PREFETCH_SPAN: Duration = Duration::from_millis(250);
 /// Unspent credit expires after this time.
-const KEEP: Duration = Duration::from_secs(1);
+const CREDIT_VALID_FOR: Duration = Duration::from_secs(1);
 /// Longest time for which no holder is asked after a workspace ran out of credit.
-const SHORT_MAX: Duration = Duration::from_millis(150);
+const REFUSAL_CACHED_MAX: Duration = Duration::from_millis(150);
 /// Number of holders with insufficient credit after which a request is refused.
-const SHORT_ASKS: usize = 2;
+const INSUFFICIENT_MAX: usize = 2;
 /// If the workspace can get fewer than this many requests of the same cost at once, all holders are asked
 /// instead: the remaining credit may be with any one of them, and such callers are few.
-const FEW: f64 = 10.0;
+const FEW_REQUESTS: f64 = 10.0;
 /// Pause before holders are asked again if none could be reached.
-const ASK_AGAIN: Duration = Duration::from_millis(100);
+const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a request waits for a holder that can be reached.
 const HOLDER_WAIT: Duration = Duration::from_millis(400);
 /// How long a holder that did not answer is not asked again.
-const SILENT: Duration = Duration::from_secs(1);
+const SILENT_HOLDER_SKIPPED: Duration = Duration::from_secs(1);
 
 /// Credit of a workspace at this entry VM, and the holders that it is drawn from.
 #[derive(Debug, Default)]
@@ -43,9 +43,9 @@
     /// Rate of units spent here; it determines how much credit is drawn in advance.
     spent: Rate,
     /// Units requested by callers since the last draw.
-    unsaid: f64,
+    unreported_demand: f64,
     /// After a refusal: until when no holder is asked, and when callers are told to retry.
-    short: Option<(Time, Time)>,
+    refused_until: Option<(Time, Time)>,
     /// Owners of shares of the limit, beginning with the one in the local availability zone.
     holders: Vec<(Name, SocketAddr)>,
     /// Version of the list of entry VMs that `holders` was computed from.
@@ -78,9 +78,9 @@
     }
 
     /// Credit to keep for later requests. It is bounded so that all entry VMs together keep no more than is
-    /// admitted in `AHEAD`.
-    fn ahead(&self, now: Time) -> f64 {
-        self.spent.per_s(now) * AHEAD.as_secs_f64()
+    /// admitted in `PREFETCH_SPAN`.
+    fn prefetch(&self, now: Time) -> f64 {
+        self.spent.per_s(now) * PREFETCH_SPAN.as_secs_f64()
     }
 
     /// Spends credit for a request, if there is enough.
@@ -97,12 +97,12 @@
     /// Adds drawn credit.
     fn put(&mut self, now: Time, units: f64) {
         self.credit = self.left(now) + units;
-        self.until = now + KEEP;
+        self.until = now + CREDIT_VALID_FOR;
     }
 
     /// Drops credit beyond what is kept for later requests.
     fn trim(&mut self, now: Time) {
-        self.credit = self.left(now).min(self.ahead(now));
+        self.credit = self.left(now).min(self.prefetch(now));
     }
 }
 
@@ -112,20 +112,20 @@
     let Some((workspace, cost)) = cost(state, id) else {
         return true;
     };
-    if at_once(state, &workspace).is_some_and(|most| cost > most) {
+    if burst_max(state, &workspace).is_some_and(|most| cost > most) {
         // The request costs more than the limit ever admits at once.
         flow::give_up(state, now, id, Code::OverQuota, None, out);
         return false;
     }
     let balance = state.quota.balances.entry(workspace).or_default();
-    balance.unsaid += cost;
-    let short = balance.short.filter(|(until, _)| *until > now);
+    balance.unreported_demand += cost;
+    let refusal = balance.refused_until.filter(|(until, _)| *until > now);
     if balance.spend(now, cost) {
-        charged(state, id);
+        mark_charged(state, id);
         return true;
     }
-    if let Some((_, back)) = short {
-        flow::give_up(state, now, id, Code::OverQuota, Some(back.since(now)), out);
+    if let Some((_, retry_at)) = refusal {
+        flow::give_up(state, now, id, Code::OverQuota, Some(retry_at.since(now)), out);
         return false;
     }
     ask(state, now, id, &Pending::default(), out)
@@ -153,7 +153,7 @@
 
 /// Asks the next holder for credit. Returns true if the request may proceed now, as when this process is
 /// the holder and has credit.
-fn ask(state: &mut State, now: Time, id: Id, asking: &Pending, out: &mut Vec<Effect>) -> bool {
+fn ask(state: &mut State, now: Time, id: Id, pending: &Pending, out: &mut Vec<Effect>) -> bool {
     let Some((workspace, cost)) = cost(state, id) else {
         return true;
     };
@@ -161,28 +161,28 @@
     if spend(state, now, id, &workspace) {
         return true;
     }
-    let Some((holder, address)) = next_holder(state, now, &workspace, asking.tried) else {
-        nobody(state, now, id, asking, out);
+    let Some((holder, address)) = next_holder(state, now, &workspace, pending.tried) else {
+        no_holder_left(state, now, id, pending, out);
         return false;
     };
     let Some(balance) = state.quota.balances.get_mut(&workspace) else {
         return true;
     };
-    let ahead = balance.ahead(now);
-    let ahead = if ahead < cost { 0.0 } else { ahead };
-    let asked = std::mem::take(&mut balance.unsaid);
+    let prefetch = balance.prefetch(now);
+    let prefetch = if prefetch < cost { 0.0 } else { prefetch };
+    let demand = std::mem::take(&mut balance.unreported_demand);
     let missing = cost - balance.left(now);
-    let question = Draw { workspace, cost: missing, prefetch: ahead, demand: asked };
-    let mine = holder == state.me.vm;
+    let request = Draw { workspace, cost: missing, prefetch, demand };
+    let is_local = holder == state.me.vm;
     if let Some(flow) = state.flows.get_mut(&id) {
-        flow.stage = Stage::Charging(Pending { holder: Some(holder), ..asking.clone() });
+        flow.stage = Stage::Charging(Pending { holder: Some(holder), ..pending.clone() });
     }
-    if mine {
-        let credit = draw(state, now, &question);
-        let answer = Answer { workspace: question.workspace, credit: Some(credit) };
-        return drawn(state, now, id, answer, out);
+    if is_local {
+        let credit = draw(state, now, &request);
+        let answer = Answer { workspace: request.workspace, credit: Some(credit) };
+        return apply_answer(state, now, id, answer, out);
     }
-    out.push(Effect::RequestCredit { address, request: id, draw: question });
+    out.push(Effect::RequestCredit { address, request: id, draw: request });
     false
 }
 
@@ -198,13 +198,13 @@
         balance.members = version;
     }
     let members = &state.members;
-    let mut answering = balance.holders.iter().filter(|(vm, _)| !members.is_silent(vm, now));
-    answering.nth(tried).cloned()
+    let mut reachable = balance.holders.iter().filter(|(vm, _)| !members.is_silent(vm, now));
+    reachable.nth(tried).cloned()
 }
 
 /// Handles the case that no further holder can be asked.
-fn nobody(state: &mut State, now: Time, id: Id, asking: &Pending, out: &mut Vec<Effect>) {
-    if let Some(wait) = asking.wait {
+fn no_holder_left(state: &mut State, now: Time, id: Id, pending: &Pending, out: &mut Vec<Effect>) {
+    if let Some(wait) = pending.wait {
         refuse(state, now, id, wait, out);
         return;
     }
@@ -214,8 +214,8 @@
         return;
     }
     if let Some(flow) = state.flows.get_mut(&id) {
-        flow.stage = Stage::Charging(Pending { holder: None, tried: 0, ..asking.clone() });
-        state.timers.set(now + ASK_AGAIN, Timer::QuotaRetry(id));
+        flow.stage = Stage::Charging(Pending { holder: None, tried: 0, ..pending.clone() });
+        state.timers.set(now + RETRY_INTERVAL, Timer::QuotaRetry(id));
     }
 }
 
@@ -226,47 +226,47 @@
     {
         // Partial credit collected for this request must not be withheld from other entry VMs.
         balance.trim(now);
-        balance.short = Some((now + wait.min(SHORT_MAX), now + wait));
+        balance.refused_until = Some((now + wait.min(REFUSAL_CACHED_MAX), now + wait));
     }
     flow::give_up(state, now, id, Code::OverQuota, Some(wait), out);
 }
 
 /// Asks the holders again after a pause.
 pub(crate) fn retry_draw(state: &mut State, now: Time, id: Id, out: &mut Vec<Effect>) {
-    let Some(Stage::Charging(asking)) = state.flows.get(&id).map(|flow| flow.stage.clone()) else {
+    let Some(Stage::Charging(pending)) = state.flows.get(&id).map(|flow| flow.stage.clone()) else {
         return;
     };
-    if asking.holder.is_none() && ask(state, now, id, &asking, out) {
+    if pending.holder.is_none() && ask(state, now, id, &pending, out) {
         flow::dispatch(state, now, id, true, out);
     }
 }
 
 /// Handles a holder's answer or its absence.
 pub(crate) fn draw_answered(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) {
-    if drawn(state, now, id, answer, out) {
+    if apply_answer(state, now, id, answer, out) {
         flow::dispatch(state, now, id, true, out);
     }
 }
 
 /// Most units of a workspace's limit that can be spent at once over all holders; `None` without a limit.
-fn at_once(state: &State, workspace: &Name) -> Option<f64> {
-    Some(size(&limit_of(state, workspace)?, &state.settings).burst_max())
+fn burst_max(state: &State, workspace: &Name) -> Option<f64> {
+    Some(capacity(&limit_of(state, workspace)?, &state.settings).burst_max())
 }
 
 /// Whether the request costs a large part of what its workspace can spend at once.
 fn is_large_part(state: &State, id: Id) -> bool {
-    let most = cost(state, id).and_then(|(workspace, cost)| Some((at_once(state, &workspace)?, cost)));
-    most.is_some_and(|(most, cost)| most < cost * FEW)
+    let most = cost(state, id).and_then(|(workspace, cost)| Some((burst_max(state, &workspace)?, cost)));
+    most.is_some_and(|(most, cost)| most < cost * FEW_REQUESTS)
 }
 
 /// Applies a holder's answer. Returns true if the request may proceed.
-fn drawn(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) -> bool {
+fn apply_answer(state: &mut State, now: Time, id: Id, answer: Answer, out: &mut Vec<Effect>) -> bool {
     let Answer { workspace, credit } = answer;
     *state.quota.draws.entry(credit.map_or("silent", Credit::label)).or_default() += 1;
     if let Some(Credit::Granted(units)) = credit {
-        keep(state, now, &workspace, units);
+        add_credit(state, now, &workspace, units);
     }
-    let Some(Stage::Charging(mut asking)) = state.flows.get(&id).map(|flow| flow.stage.clone()) else {
+    let Some(Stage::Charging(mut pending)) = state.flows.get(&id).map(|flow| flow.stage.clone()) else {
         trim(state, now, &workspace);
         return false;
     };
@@ -274,37 +274,37 @@
         Some(Credit::Granted(_)) if spend(state, now, id, &workspace) => return true,
         // The request costs more than one holder ever has at once.
         Some(Credit::Granted(_)) => {
-            asking.wait.get_or_insert_with(|| time_for_the_rest(state, now, id));
-            asking.tried += 1;
+            pending.wait.get_or_insert_with(|| time_for_the_rest(state, now, id));
+            pending.tried += 1;
         }
         Some(Credit::Insufficient(wait)) => {
-            asking.wait = Some(asking.wait.map_or(wait, |least| least.min(wait)));
-            asking.waits += 1;
-            if asking.waits >= SHORT_ASKS && !is_large_part(state, id) {
-                refuse(state, now, id, wait.min(asking.wait.unwrap_or(wait)), out);
+            pending.wait = Some(pending.wait.map_or(wait, |least| least.min(wait)));
+            pending.waits += 1;
+            if pending.waits >= INSUFFICIENT_MAX && !is_large_part(state, id) {
+                refuse(state, now, id, wait.min(pending.wait.unwrap_or(wait)), out);
                 return false;
             }
-            asking.tried += 1;
+            pending.tried += 1;
         }
-        Some(Credit::NotHolder) => asking.tried += 1,
+        Some(Credit::NotHolder) => pending.tried += 1,
         // The silent holder is skipped from now on, so the same index leads to the next one.
         None => {
-            if let Some(holder) = &asking.holder {
-                state.members.mark_silent(holder, now + SILENT);
+            if let Some(holder) = &pending.holder {
+                state.members.mark_silent(holder, now + SILENT_HOLDER_SKIPPED);
             }
         }
     }
-    ask(state, now, id, &asking, out)
+    ask(state, now, id, &pending, out)
 }
 
 /// Time in which all holders together gain the credit that the request lacks.
 fn time_for_the_rest(state: &State, now: Time, id: Id) -> Duration {
     let Some((workspace, cost)) = cost(state, id) else {
-        return SHORT_MAX;
+        return REFUSAL_CACHED_MAX;
     };
     let left = state.quota.balances.get(&workspace).map_or(0.0, |balance| balance.left(now));
     let limit = limit_of(state, &workspace);
-    limit.map_or(SHORT_MAX, |limit| size(&limit, &state.settings).time_for(cost - left))
+    limit.map_or(REFUSAL_CACHED_MAX, |limit| capacity(&limit, &state.settings).time_to_fill(cost - left))
 }
 
 /// The request that credit was drawn for has ended; its credit is kept for later requests within the usual
@@ -316,10 +316,10 @@
 }
 
 /// Adds drawn credit to the workspace's balance.
-fn keep(state: &mut State, now: Time, workspace: &Name, units: f64) {
+fn add_credit(state: &mut State, now: Time, workspace: &Name, units: f64) {
     let balance = state.quota.balances.entry(workspace.clone()).or_default();
     balance.put(now, units);
-    balance.short = None;
+    balance.refused_until = None;
 }
 
 /// Spends credit for a request, if there is enough.
@@ -327,13 +327,13 @@
     let cost = state.flows.get(&id).map_or(0.0, |flow| flow.cost);
     let spent = state.quota.balances.get_mut(workspace).is_some_and(|balance| balance.spend(now, cost));
     if spent {
-        charged(state, id);
+        mark_charged(state, id);
     }
     spent
 }
 
 /// Marks a request as charged.
-fn charged(state: &mut State, id: Id) {
+fn mark_charged(state: &mut State, id: Id) {
     if let Some(flow) = state.flows.get_mut(&id) {
         flow.stage = Stage::Waiting;
         flow.charged_workspace = flow.workspace.as_ref().map(|workspace| workspace.name.clone());
--- a/fleet/src/quota/lead.rs
+++ b/fleet/src/quota/hub.rs
@@ -69,7 +69,7 @@
     }
     let Quota { allocator, proposed, .. } = &mut state.quota;
     if let Some(allocator) = allocator {
-        allocator.tidy(now, &proposed.known);
+        allocator.drop_expired(now, &proposed.known);
     }
 }
 
@@ -98,7 +98,7 @@
     state.quota.inherited = Outstanding { unheard: vec![anyone], ..Outstanding::default() };
 }
 
-/// Record of shares for the lease row, to be called after [`propose`].
+/// Record of shares for the lease row, to be called after [`fill_row`].
 pub(crate) fn outstanding(state: &State, now: Time, ms: impl Fn(Time) -> u64) -> Outstanding {
     let Quota { allocator, proposed, inherited, .. } = &state.quota;
     if let Some(allocator) = allocator {
@@ -106,19 +106,25 @@
     }
     // If this process loses the lease at once, the next hub still needs the record of the hub before it.
     let until_ms = ms(now + LEASE);
-    let before = inherited.holders.iter().map(|holder| Unheard { vm: holder.vm.clone(), until_ms });
+    let previous_holders = inherited.holders.iter().map(|holder| Unheard { vm: holder.vm.clone(), until_ms });
     Outstanding {
         holders: proposed.holders.clone(),
-        unheard: inherited.unheard.iter().cloned().chain(before).collect(),
+        unheard: inherited.unheard.iter().cloned().chain(previous_holders).collect(),
         lapsed: inherited.lapsed.clone(),
     }
 }
 
-/// Starts a term as the hub with a row that names `holders`. The previous lease ended at `over`; `at`
-/// converts store time to process time.
-pub(crate) fn begin(state: &mut State, now: Time, holders: &[Holder], over: Time, at: impl Fn(u64) -> Time) {
-    let before = std::mem::take(&mut state.quota.inherited);
-    state.quota.allocator = Some(Allocator::new(&before, over, at));
+/// Starts a term as the hub with a row that names `holders`. The previous lease ended at `previous_ended`;
+/// `at` converts store time to process time.
+pub(crate) fn begin(
+    state: &mut State,
+    now: Time,
+    holders: &[Holder],
+    previous_ended: Time,
+    at: impl Fn(u64) -> Time,
+) {
+    let previous = std::mem::take(&mut state.quota.inherited);
+    state.quota.allocator = Some(Allocator::new(&previous, previous_ended, at));
     row_holders_read(state, holders);
     allot_own(state, now);
 }
@@ -134,7 +140,7 @@
     state: &mut State,
     now: Time,
     vm: &Name,
-    number: u64,
+    frame_number: u64,
     report: &Report,
 ) -> Option<Vec<Allotment>> {
     state.lease.held_term(now)?;
@@ -144,7 +150,7 @@
         let owned = written.by_vm.get(vm).into_iter().flatten();
         owned.filter(|(workspace, _)| proposed.owns(vm, workspace)).cloned().collect()
     });
-    allocator.as_mut()?.renew(now, vm, number, report, owned)
+    allocator.as_mut()?.renew(now, vm, frame_number, report, owned)
 }
 
 /// The hub allots shares to itself.
--- a/fleet/src/rate_limit.rs
+++ b/fleet/src/rate_limit.rs
@@ -27,9 +27,7 @@
 use crate::state::State;
 use crate::timer::Timer;
 pub use brittle::BrittleReport;
-pub(crate) use brittle::{
-    WAIT_MAX, rejection_limit_received as noticed_brittle, rejection_received, would_wait,
-};
+pub(crate) use brittle::{WAIT_MAX, rejection_limit_received, rejection_received, would_wait};
 pub(crate) use start::{engine_started, ignores_reported_schedule, mark_cold, surge_limit};
 pub(crate) use table::Table;
 
@@ -38,11 +36,11 @@
 const UNCERTAIN_PART: f64 = 0.25;
 /// Longest time between two requests to a limited engine, whatever its limit: only an answer tells whether
 /// the limit still applies.
-const TRIAL_EVERY: Duration = Duration::from_secs(4);
-/// After `AGEING` without a new report, the penalty of a rate-limited engine begins to fall; it reaches
-/// zero after a further `AGED`.
-const AGEING: Duration = Duration::from_secs(2);
-const AGED: Duration = Duration::from_secs(2);
+const INTERVAL_MAX: Duration = Duration::from_secs(4);
+/// After `PENALTY_HELD` without a new report, the penalty of a rate-limited engine begins to fall; it
+/// reaches zero after a further `PENALTY_FADE`.
+const PENALTY_HELD: Duration = Duration::from_secs(2);
+const PENALTY_FADE: Duration = Duration::from_secs(2);
 /// Largest penalty of a rate-limited engine in the choice of engines, in ms of waiting.
 const PENALTY_MAX_MS: f64 = 500.0;
 
@@ -122,16 +120,16 @@
     /// requests that have no other one, and ends when the report has grown old.
     fn penalty_ms(self, now: Time) -> f64 {
         let age = now.since(self.reported_at);
-        let fresh = 1.0 - age.saturating_sub(AGEING).div_duration_f64(AGED);
+        let weight = 1.0 - age.saturating_sub(PENALTY_HELD).div_duration_f64(PENALTY_FADE);
         let half_ms = self.interval(1.0).as_secs_f64() * 500.0;
-        half_ms.min(PENALTY_MAX_MS) * fresh.max(0.0)
+        half_ms.min(PENALTY_MAX_MS) * weight.max(0.0)
     }
 }
 
 /// Time between two requests at this rate.
 fn interval(per_s: f64) -> Duration {
     let interval = Duration::try_from_secs_f64(1.0 / per_s);
-    interval.map_or(TRIAL_EVERY, |interval| interval.min(TRIAL_EVERY))
+    interval.map_or(INTERVAL_MAX, |interval| interval.min(INTERVAL_MAX))
 }
 
 /// Handles the rate limit in an engine's answer. An answer without a limit clears the known one only if its
@@ -139,41 +137,42 @@
 pub(crate) fn rate_limit_received(
     state: &mut State,
     now: Time,
-    from: &Start,
-    intake: Rate,
-    asked: Option<AnsweredRequest>,
+    source: &Start,
+    rate: Rate,
+    request: Option<AnsweredRequest>,
     out: &mut Vec<Effect>,
 ) {
-    let before = state.rate_limits.limit(&from.engine, from.incarnation);
-    let per_s = match intake {
+    let previous = state.rate_limits.limit(&source.engine, source.incarnation);
+    let per_s = match rate {
         Rate::PerSecond(per_s) => Some(per_s),
         Rate::Unlimited => {
-            let over = before.zip(asked).is_some_and(|(limit, asked)| asked.sent_at > limit.reported_at);
-            if !over {
+            let is_lifted =
+                previous.zip(request).is_some_and(|(limit, request)| request.sent_at > limit.reported_at);
+            if !is_lifted {
                 return;
             }
             None
         }
-        Rate::Invalid => return unreadable(state, from, "rate limit", out),
+        Rate::Invalid => return log_invalid(state, source, "rate limit", out),
     };
-    let before = before.map(|limit| limit.per_s);
-    if per_s != before {
+    let previous = previous.map(|limit| limit.per_s);
+    if per_s != previous {
         out.push(Effect::Record(Record::Intake {
-            request: asked.map(|asked| asked.request.0),
-            engine: from.engine.clone(),
+            request: request.map(|request| request.request.0),
+            engine: source.engine.clone(),
             limit_per_s: per_s,
-            before_per_s: before,
+            before_per_s: previous,
         }));
     }
-    keep(state, now, from, per_s, now, true);
+    store_limit(state, now, source, per_s, now, true);
 }
 
 /// Logs once per engine that a value it reports is not a valid number.
-fn unreadable(state: &mut State, from: &Start, what: &str, out: &mut Vec<Effect>) {
-    if !state.rate_limits.is_new_unreadable(&from.engine) {
+fn log_invalid(state: &mut State, source: &Start, what: &str, out: &mut Vec<Effect>) {
+    if !state.rate_limits.mark_invalid_logged(&source.engine) {
         return;
     }
-    let error = format!("engine {} reported an invalid {what}", from.engine);
+    let error = format!("engine {} reported an invalid {what}", source.engine);
     out.push(Effect::Record(Record::Unusable { what: "engine_limit", error }));
 }
 
@@ -189,41 +188,49 @@
 
 /// Handles a limit report of another entry VM; the engine's latest statement wins. Returns whether this is
 /// the first report that the engine's service has brittle engines.
-pub(crate) fn report_received(state: &mut State, now: Time, told: &Report) -> bool {
-    let Report { start: from, per_s, age, .. } = told;
-    let heard = now - *age;
-    let listed = state.engines.get(&from.engine).map(|engine| engine.entry.incarnation);
-    if listed.is_some_and(|listed| listed != from.incarnation) {
+pub(crate) fn report_received(state: &mut State, now: Time, report: &Report) -> bool {
+    let Report { start: source, per_s, age, .. } = report;
+    let reported_at = now - *age;
+    let listed = state.engines.get(&source.engine).map(|engine| engine.entry.incarnation);
+    if listed.is_some_and(|listed| listed != source.incarnation) {
         return false;
     }
-    let first = brittle::told(state, now, told);
-    let named = per_s.is_some() || state.rate_limits.limit(&from.engine, from.incarnation).is_some();
-    if named && !state.rate_limits.has_newer(from, *per_s, heard) {
-        keep(state, now, from, *per_s, heard, false);
+    let first = brittle::report_received(state, now, report);
+    let concerns_limit =
+        per_s.is_some() || state.rate_limits.limit(&source.engine, source.incarnation).is_some();
+    if concerns_limit && !state.rate_limits.has_newer(source, *per_s, reported_at) {
+        store_limit(state, now, source, *per_s, reported_at, false);
     }
     first
 }
 
 /// Stores the rate limit that an engine reported, or its end.
-fn keep(state: &mut State, now: Time, from: &Start, per_s: Option<f64>, heard: Time, own: bool) {
-    let Start { engine, incarnation } = from;
+fn store_limit(
+    state: &mut State,
+    now: Time,
+    source: &Start,
+    per_s: Option<f64>,
+    reported_at: Time,
+    report_to_hub: bool,
+) {
+    let Start { engine, incarnation } = source;
     if incarnation.0.is_none() && !state.engines.contains_key(engine) {
         // Without an incarnation, this report cannot be told from one of a later engine with the same id.
         return;
     }
-    let said = state.rate_limits.set(now, from, per_s, heard, own);
-    let apart = state.rate_limits.limit(engine, *incarnation).map(|limit| limit.interval(1.0));
+    let previous = state.rate_limits.set(now, source, per_s, reported_at, report_to_hub);
+    let spacing = state.rate_limits.limit(engine, *incarnation).map(|limit| limit.interval(1.0));
     if let Some(known) = state.engines.get_mut(engine) {
-        match apart {
+        match spacing {
             // The engine has just received requests without spacing.
-            Some(apart) if said.is_none() => known.schedule.delay_until(now + apart),
+            Some(spacing) if previous.is_none() => known.schedule.delay_until(now + spacing),
             // The limit has risen since the next reservation time was set.
-            Some(apart) if said < per_s => known.schedule.bring_forward(now + apart),
-            None if said.is_some() => known.schedule.bring_forward(now),
+            Some(spacing) if previous < per_s => known.schedule.bring_forward(now + spacing),
+            None if previous.is_some() => known.schedule.bring_forward(now),
             Some(_) | None => {}
         }
     }
-    if apart.is_some() && said.is_none_or(|said| Some(said) > per_s) {
+    if spacing.is_some() && previous.is_none_or(|previous| Some(previous) > per_s) {
         state.timers.set(now, Timer::RescheduleWaiting(engine.clone()));
     }
 }
@@ -247,16 +254,16 @@
     let Some(limit) = effective_limit(state, now, engine) else {
         return start::access(state, now, engine);
     };
-    let place = Access::After(engine.schedule.wait(now), limit.penalty_ms(now));
+    let reservation = Access::After(engine.schedule.wait(now), limit.penalty_ms(now));
     // Usually no entry VM is silent. This check avoids finding the owner for every request and engine.
     if !state.members.list().is_empty() && !state.members.any_silent(now) {
-        return place;
+        return reservation;
     }
     let Some(owner) = state.members.sole_owner(&engine.entry.id, &engine.entry.zone) else {
         return Access::Closed(RETRY_AFTER);
     };
     let silence = state.members.silent_for(&owner.vm, now).filter(|_| owner.vm != state.me.vm);
-    silence.map_or(place, Access::Closed)
+    silence.map_or(reservation, Access::Closed)
 }
 
 /// Spacing of the reservations that this entry VM grants at an engine.
@@ -279,6 +286,6 @@
 pub(crate) fn expected_spacing(state: &State, now: Time, engine: &Engine) -> Duration {
     match effective_limit(state, now, engine) {
         Some(limit) => limit.interval(1.0),
-        None => start::apart(state, engine),
+        None => start::expected_spacing(state, engine),
     }
 }
--- a/fleet/src/rate_limit/brittle.rs
+++ b/fleet/src/rate_limit/brittle.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::table::Table;
-use super::{Limit, Report, unreadable};
+use super::{Limit, Report, log_invalid};
 use crate::effect::Effect;
 use crate::engine::Engine;
 use crate::frame;
@@ -32,15 +32,15 @@
 /// Time over which engines count their rejections.
 const WINDOW: Duration = Duration::from_secs(1);
 /// Time after the last rejection in which the rate of reservations returns to the engine's full throughput.
-const RECOVERED: Duration = Duration::from_secs(4);
+const RECOVERY: Duration = Duration::from_secs(4);
 /// Number of rejections remembered per engine; far fewer already stop its reservations.
-const REMEMBERED_MAX: usize = 16;
+const REJECTIONS_MAX: usize = 16;
 /// Rejections closer together than this are taken to be the same one, reported by different entry VMs:
 /// reports give a rejection's age, not its time.
-const SAME: Duration = Duration::from_millis(2);
+const SAME_REJECTION: Duration = Duration::from_millis(2);
 /// How long a service counts as brittle after one of its engines reported a rejection limit. An engine that
 /// crashes is back within seconds, but reports nothing before its first answer.
-const SERVICE_KEPT: Duration = Duration::from_secs(10);
+const SERVICE_BRITTLE_FOR: Duration = Duration::from_secs(10);
 /// Longest wait for a reservation at a brittle engine. Requests whose reservation was granted before a
 /// rejection still arrive after it, so few may be waiting.
 pub(crate) const WAIT_MAX: Duration = Duration::from_millis(50);
@@ -64,17 +64,17 @@
 }
 
 impl Brittle {
-    pub(super) fn told(&self, now: Time) -> BrittleReport {
+    pub(super) fn report(&self, now: Time) -> BrittleReport {
         BrittleReport {
             rejections_per_s: self.rejections_per_s,
             rejection_ages: self.rejections.iter().map(|at| now.since(*at)).collect(),
         }
     }
 
-    pub(super) fn of(told: &BrittleReport, now: Time) -> Self {
+    pub(super) fn from_report(report: &BrittleReport, now: Time) -> Self {
         Self {
-            rejections_per_s: told.rejections_per_s,
-            rejections: told.rejection_ages.iter().map(|age| now - *age).collect(),
+            rejections_per_s: report.rejections_per_s,
+            rejections: report.rejection_ages.iter().map(|age| now - *age).collect(),
         }
     }
 
@@ -82,27 +82,27 @@
     pub(super) fn merge(&mut self, rejections: &[Time]) -> bool {
         let before = self.rejections.len();
         for at in rejections {
-            let known = |other: &Time| at.since(*other).max(other.since(*at)) < SAME;
-            if !self.rejections.iter().any(known) {
+            let is_known = |other: &Time| at.since(*other).max(other.since(*at)) < SAME_REJECTION;
+            if !self.rejections.iter().any(is_known) {
                 self.rejections.push(*at);
             }
         }
         let new = self.rejections.len() > before;
         self.rejections.sort_unstable();
-        let beyond = self.rejections.len().saturating_sub(REMEMBERED_MAX);
+        let beyond = self.rejections.len().saturating_sub(REJECTIONS_MAX);
         self.rejections.drain(..beyond);
         new
     }
 
     /// Requests per second that the engine may get, out of the `runs_per_s` that it can run.
     fn per_s(&self, now: Time, runs_per_s: f64) -> f64 {
-        let lately = self.rejections.iter().filter(|at| now.since(**at) < WINDOW).count();
-        if lately >= ((self.rejections_per_s / 2.0) as usize).max(1) {
+        let recent = self.rejections.iter().filter(|at| now.since(**at) < WINDOW).count();
+        if recent >= ((self.rejections_per_s / 2.0) as usize).max(1) {
             return 0.0;
         }
-        let age = self.rejections.last().map_or(RECOVERED, |at| now.since(*at));
-        let recovered = (age.as_secs_f64() / RECOVERED.as_secs_f64()).min(1.0);
-        runs_per_s * (0.5 + recovered / 2.0) * 0.5_f64.powf(lately as f64)
+        let age = self.rejections.last().map_or(RECOVERY, |at| now.since(*at));
+        let recovered = (age.as_secs_f64() / RECOVERY.as_secs_f64()).min(1.0);
+        runs_per_s * (0.5 + recovered / 2.0) * 0.5_f64.powf(recent as f64)
     }
 }
 
@@ -118,9 +118,9 @@
     }
     let slots = f64::from(engine.entry.slots.max(1)) * SLOTS_PART;
     let runs_per_s = slots * 1_000.0 / state.mean_run_ms(service).max(1.0);
-    let heard = known.and_then(|known| known.rejections.last().copied()).unwrap_or_default();
+    let reported_at = known.and_then(|known| known.rejections.last().copied()).unwrap_or_default();
     let per_s = known.map_or(runs_per_s, |known| known.per_s(now, runs_per_s));
-    Some(Limit { per_s, reported_at: heard })
+    Some(Limit { per_s, reported_at })
 }
 
 /// Whether the engine is brittle, or may be, and has no free slot: another request would have to queue
@@ -134,45 +134,47 @@
 pub(crate) fn rejection_limit_received(
     state: &mut State,
     now: Time,
-    from: &Start,
-    bearing: Tolerance,
-    asked: Option<AnsweredRequest>,
+    source: &Start,
+    tolerance: Tolerance,
+    request: Option<AnsweredRequest>,
     out: &mut Vec<Effect>,
 ) {
-    let (word, label) = match bearing {
-        Tolerance::PerSecond(most) => {
-            (Some(Brittle { rejections_per_s: most, rejections: Vec::new() }), "brittle")
+    let (brittle, label) = match tolerance {
+        Tolerance::PerSecond(rejections_per_s) => {
+            (Some(Brittle { rejections_per_s, rejections: Vec::new() }), "brittle")
         }
         Tolerance::Unlimited => {
-            let heard = state.rate_limits.brittle_report(from).map(|(_, heard)| heard);
-            if heard.is_none_or(|heard| asked.is_none_or(|asked| asked.sent_at <= heard)) {
+            let reported_at = state.rate_limits.brittle_report(source).map(|(_, reported_at)| reported_at);
+            if reported_at
+                .is_none_or(|reported_at| request.is_none_or(|request| request.sent_at <= reported_at))
+            {
                 return;
             }
             (None, "sound")
         }
-        Tolerance::Invalid => return unreadable(state, from, "rejection limit", out),
+        Tolerance::Invalid => return log_invalid(state, source, "rejection limit", out),
     };
-    let most = word.as_ref().map(|word| word.rejections_per_s);
-    let service = service_of(state, from).filter(|_| most.is_some());
-    let first = service.is_some_and(|service| state.rate_limits.note_service(service, now));
-    if !state.rate_limits.set_brittle(from, word, now, true) {
+    let rejections_per_s = brittle.as_ref().map(|brittle| brittle.rejections_per_s);
+    let service = service_of(state, source).filter(|_| rejections_per_s.is_some());
+    let first = service.is_some_and(|service| state.rate_limits.mark_service_brittle(service, now));
+    if !state.rate_limits.set_brittle(source, brittle, now, true) {
         return;
     }
-    note(from, most, label, out);
+    record(source, rejections_per_s, label, out);
     if first {
-        tell(state, now, from, out);
+        notify(state, now, source, out);
     }
 }
 
-fn service_of(state: &State, from: &Start) -> Option<Name> {
-    state.engines.get(&from.engine).map(|engine| engine.entry.service.clone())
+fn service_of(state: &State, source: &Start) -> Option<Name> {
+    state.engines.get(&source.engine).map(|engine| engine.entry.service.clone())
 }
 
 /// Reports to all entry VMs that a service has brittle engines, through the hub. Otherwise hundreds of them
 /// would keep sending without reservations until each has received an answer or a frame that says so.
-fn tell(state: &mut State, now: Time, from: &Start, out: &mut Vec<Effect>) {
-    let advert = state.engines.get(&from.engine).and_then(|known| state.rate_limits.report(now, known));
-    let message = Message { limits: advert.into_iter().collect(), ..Message::default() };
+fn notify(state: &mut State, now: Time, source: &Start, out: &mut Vec<Effect>) {
+    let report = state.engines.get(&source.engine).and_then(|known| state.rate_limits.report(now, known));
+    let message = Message { limits: report.into_iter().collect(), ..Message::default() };
     push::notify(state, now, &message, out);
     frame::send(state, now, out);
 }
@@ -186,13 +188,13 @@
     let Some(brittle) = state.rate_limits.brittle(known).cloned() else {
         return;
     };
-    let from = Start { engine: engine.clone(), incarnation: known.entry.incarnation };
+    let source = Start { engine: engine.clone(), incarnation: known.entry.incarnation };
     let zone = known.entry.zone.clone();
-    let word = Brittle { rejections: vec![now], ..brittle };
-    let most = Some(word.rejections_per_s);
-    state.rate_limits.set_brittle(&from, Some(word), now, true);
-    note(&from, most, "rejected", out);
-    hold(state, now, engine);
+    let updated = Brittle { rejections: vec![now], ..brittle };
+    let rejections_per_s = Some(updated.rejections_per_s);
+    state.rate_limits.set_brittle(&source, Some(updated), now, true);
+    record(&source, rejections_per_s, "rejected", out);
+    reset_reservations(state, now, engine);
     let owner = state.members.sole_owner(engine, &zone).filter(|owner| owner.vm != state.me.vm);
     let limit = state.engines.get(engine).and_then(|known| state.rate_limits.report(now, known));
     if let Some(address) = owner.map(|owner| owner.address) {
@@ -208,53 +210,53 @@
 
 /// Handles the rejection limit in another entry VM's report. Returns whether this is the first report that
 /// the engine's service has brittle engines.
-pub(super) fn told(state: &mut State, now: Time, advert: &Report) -> bool {
-    let Some(told) = &advert.brittle else {
-        if state.rate_limits.brittle_report(&advert.start).is_some() && advert.brittle_age.is_some() {
-            let heard = advert.brittle_age.map_or(now, |age| now - age);
-            state.rate_limits.set_brittle(&advert.start, None, heard, false);
+pub(super) fn report_received(state: &mut State, now: Time, report: &Report) -> bool {
+    let Some(brittle_report) = &report.brittle else {
+        if state.rate_limits.brittle_report(&report.start).is_some() && report.brittle_age.is_some() {
+            let reported_at = report.brittle_age.map_or(now, |age| now - age);
+            state.rate_limits.set_brittle(&report.start, None, reported_at, false);
         }
         return false;
     };
-    let heard = advert.brittle_age.map_or(now, |age| now - age);
-    let first = service_of(state, &advert.start)
-        .is_some_and(|service| state.rate_limits.note_service(service, heard));
-    let word = Brittle::of(told, now);
-    let rejected = !word.rejections.is_empty();
-    let news = state.rate_limits.set_brittle(&advert.start, Some(word), heard, false);
-    if news && rejected {
-        hold(state, now, &advert.start.engine);
+    let reported_at = report.brittle_age.map_or(now, |age| now - age);
+    let first = service_of(state, &report.start)
+        .is_some_and(|service| state.rate_limits.mark_service_brittle(service, reported_at));
+    let brittle = Brittle::from_report(brittle_report, now);
+    let rejected = !brittle.rejections.is_empty();
+    let changed = state.rate_limits.set_brittle(&report.start, Some(brittle), reported_at, false);
+    if changed && rejected {
+        reset_reservations(state, now, &report.start.engine);
     }
-    news && first
+    changed && first
 }
 
 /// Cancels the reservations at an engine and delays the next one by the current spacing.
-fn hold(state: &mut State, now: Time, engine: &Name) {
+fn reset_reservations(state: &mut State, now: Time, engine: &Name) {
     let Some(known) = state.engines.get(engine) else {
         return;
     };
-    let Some(apart) = limit(state, now, known).map(|limit| limit.interval(1.0).min(WINDOW)) else {
+    let Some(spacing) = limit(state, now, known).map(|limit| limit.interval(1.0).min(WINDOW)) else {
         return;
     };
     if let Some(known) = state.engines.get_mut(engine) {
-        known.schedule.delay_until(now + apart);
+        known.schedule.delay_until(now + spacing);
     }
     state.timers.set(now, Timer::RescheduleWaiting(engine.clone()));
 }
 
-fn note(from: &Start, most: Option<f64>, label: &'static str, out: &mut Vec<Effect>) {
+fn record(source: &Start, rejections_per_s: Option<f64>, label: &'static str, out: &mut Vec<Effect>) {
     out.push(Effect::Record(Record::Brittle {
-        engine: from.engine.clone(),
+        engine: source.engine.clone(),
         state: label,
-        rejections_per_s: most,
+        rejections_per_s,
     }));
 }
 
 impl Table {
     /// State of a listed engine that is brittle.
     pub(super) fn brittle(&self, engine: &Engine) -> Option<&Brittle> {
-        let word = self.entry(&engine.entry.id, engine.entry.incarnation)?;
-        word.brittle.as_ref()
+        let entry = self.entry(&engine.entry.id, engine.entry.incarnation)?;
+        entry.brittle.as_ref()
     }
 
     /// Whether a listed engine has reported a rejection limit.
@@ -264,14 +266,14 @@
 
     /// Whether an engine of the service has recently reported a rejection limit.
     pub(super) fn is_service_brittle(&self, service: &Name, now: Time) -> bool {
-        self.services.get(service).is_some_and(|at| now.since(*at) < SERVICE_KEPT)
+        self.services.get(service).is_some_and(|at| now.since(*at) < SERVICE_BRITTLE_FOR)
     }
 
     /// Records that an engine of a service reported a rejection limit. Returns whether it is the first such
-    /// report for `SERVICE_KEPT`.
-    fn note_service(&mut self, service: Name, heard: Time) -> bool {
+    /// report for `SERVICE_BRITTLE_FOR`.
+    fn mark_service_brittle(&mut self, service: Name, reported_at: Time) -> bool {
         let before = self.services.get(&service).copied();
-        self.services.insert(service, before.max(Some(heard)).unwrap_or(heard));
-        before.is_none_or(|before| heard.since(before) >= SERVICE_KEPT)
+        self.services.insert(service, before.max(Some(reported_at)).unwrap_or(reported_at));
+        before.is_none_or(|before| reported_at.since(before) >= SERVICE_BRITTLE_FOR)
     }
 }
--- a/fleet/src/rate_limit/start.rs
+++ b/fleet/src/rate_limit/start.rs
@@ -20,13 +20,13 @@
 const SURGE_PART: f64 = 0.8;
 /// Same as `SURGE_PART` while this entry VM knows of no others: several may then grant reservations at the
 /// same time.
-const SURGE_ALONE: f64 = 0.15;
+const SURGE_PART_ALONE: f64 = 0.15;
 
 /// Marks an engine as cold that has just started, or that is used again after a time in which it may have
 /// been restarted.
 pub(crate) fn engine_started(state: &mut State, now: Time, engine: &Name) {
     let service = state.engines.get(engine).map(|engine| engine.entry.service.clone());
-    if let Some(start) = service.and_then(|service| start_of(state, &service)) {
+    if let Some(start) = service.and_then(|service| cold_start_of(state, &service)) {
         mark_cold(state, now, engine, start.duration);
     }
 }
@@ -34,17 +34,17 @@
 /// Marks an engine as cold for the time `left`, and cancels earlier reservations at it.
 pub(crate) fn mark_cold(state: &mut State, now: Time, engine: &Name, left: Duration) {
     let service = state.engines.get(engine).map(|engine| engine.entry.service.clone());
-    let Some(start) = service.and_then(|service| start_of(state, &service)) else {
+    let Some(start) = service.and_then(|service| cold_start_of(state, &service)) else {
         return;
     };
     let Some(known) = state.engines.get_mut(engine).filter(|_| !left.is_zero()) else {
         return;
     };
-    let before = known.cold.filter(|cold| now < cold.until);
-    let until = before.map_or(now, |cold| cold.until).max(now + left);
-    let since = before.map_or(now, |cold| cold.since);
+    let previous = known.cold.filter(|cold| now < cold.until);
+    let until = previous.map_or(now, |cold| cold.until).max(now + left);
+    let since = previous.map_or(now, |cold| cold.since);
     known.cold = Some(Cold { per_s: start.per_s, since, until });
-    if before.is_none() {
+    if previous.is_none() {
         let limit = Limit { per_s: start.per_s, reported_at: now };
         known.schedule.delay_until(now + limit.interval(1.0));
         state.timers.set(now, Timer::RescheduleWaiting(engine.clone()));
@@ -52,14 +52,14 @@
 }
 
 /// Cold-start rate of a service's engines, from the configuration.
-fn start_of(state: &State, service: &Name) -> Option<Warmup> {
+fn cold_start_of(state: &State, service: &Name) -> Option<Warmup> {
     state.config.as_ref()?.service(service)?.start
 }
 
 /// Requests that an engine of the service may get in any second even if it is not known to be cold: it may
 /// have restarted unnoticed. `None` if the service has no cold-start rate.
 pub(crate) fn surge_limit(state: &State, service: &Name) -> Option<f64> {
-    let start = start_of(state, service)?;
+    let start = cold_start_of(state, service)?;
     Some(start.per_s * state.settings.cold_overage + state.settings.cold_slack)
 }
 
@@ -89,7 +89,7 @@
         return Spacing::AtLeast(interval(surge * SURGE_PART));
     }
     let alone = state.members.list().is_empty();
-    if alone { Spacing::AtLeast(interval(surge * SURGE_ALONE)) } else { Spacing::NotOwner }
+    if alone { Spacing::AtLeast(interval(surge * SURGE_PART_ALONE)) } else { Spacing::NotOwner }
 }
 
 /// Whether and when this entry VM can use an engine without a known limit. If the engine may be cold and
@@ -106,6 +106,6 @@
 }
 
 /// Spacing that the owner is expected to use at an engine without a known limit.
-pub(super) fn apart(state: &State, engine: &Engine) -> Duration {
+pub(super) fn expected_spacing(state: &State, engine: &Engine) -> Duration {
     surge_limit(state, &engine.entry.service).map_or(Duration::ZERO, |surge| interval(surge * SURGE_PART))
 }
--- a/fleet/src/rate_limit/table.rs
+++ b/fleet/src/rate_limit/table.rs
@@ -15,9 +15,9 @@
 use crate::schedule::{Grant, ReservationRequest};
 
 /// Largest number of engines whose reports are stored; the earliest report is dropped first.
-const WORDS_MAX: usize = 1_000;
+const ENTRIES_MAX: usize = 1_000;
 /// How long a lifted limit is remembered: longer than any earlier report of the limit can be in transit.
-const LIFTED_KEPT: Duration = Duration::from_mins(1);
+const LIFTED_LIMIT_KEPT: Duration = Duration::from_mins(1);
 
 /// Limits of one start of an engine.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,15 +26,15 @@
     /// Rate limit in requests per second; `None` if it was lifted or never set.
     per_s: Option<f64>,
     /// When the engine reported the rate limit or its end.
-    heard: Time,
+    reported_at: Time,
     /// Number of the last change of this entry, in the order of this process's changes.
-    number: u64,
+    change: u64,
     /// Whether the hub must be told of it.
-    own: bool,
+    report_to_hub: bool,
     /// State of a brittle engine; `None` if it has no rejection limit.
     pub(super) brittle: Option<Brittle>,
     /// When the engine reported the rejection limit or its end.
-    brittle_heard: Option<Time>,
+    brittle_reported_at: Option<Time>,
 }
 
 /// Limits that engines have reported.
@@ -44,9 +44,9 @@
     /// By service: when one of its engines last reported a rejection limit.
     pub(super) services: BTreeMap<Name, Time>,
     /// Engines for which an invalid value has been logged.
-    unreadable: BTreeSet<Name>,
+    invalid_logged: BTreeSet<Name>,
     /// Numbers the changes of all entries.
-    exchange: Cursor,
+    cursor: Cursor,
     /// Requests sent to engines with a rate or rejection limit.
     sent: u64,
     /// Requests for reservations at such engines, by result.
@@ -54,14 +54,14 @@
 }
 
 impl Entry {
-    fn told(&self, now: Time, engine: &Name) -> Report {
-        let from = Start { engine: engine.clone(), incarnation: self.incarnation };
+    fn report(&self, now: Time, engine: &Name) -> Report {
+        let start = Start { engine: engine.clone(), incarnation: self.incarnation };
         Report {
-            start: from,
+            start,
             per_s: self.per_s,
-            age: now.since(self.heard),
-            brittle: self.brittle.as_ref().map(|brittle| brittle.told(now)),
-            brittle_age: self.brittle_heard.map(|at| now.since(at)),
+            age: now.since(self.reported_at),
+            brittle: self.brittle.as_ref().map(|brittle| brittle.report(now)),
+            brittle_age: self.brittle_reported_at.map(|at| now.since(at)),
         }
     }
 }
@@ -69,8 +69,8 @@
 impl Table {
     /// The rate limit that this start of an engine has reported, if any.
     pub(crate) fn limit(&self, engine: &Name, incarnation: Incarnation) -> Option<Limit> {
-        let word = self.by_engine.get(engine).filter(|word| word.incarnation == incarnation)?;
-        word.per_s.map(|per_s| Limit { per_s, reported_at: word.heard })
+        let entry = self.by_engine.get(engine).filter(|entry| entry.incarnation == incarnation)?;
+        entry.per_s.map(|per_s| Limit { per_s, reported_at: entry.reported_at })
     }
 
     /// The rate limit that a listed engine has reported, if any.
@@ -88,7 +88,7 @@
 
     /// Number of engines with a rate limit.
     pub(crate) fn limited_count(&self) -> usize {
-        self.by_engine.values().filter(|word| word.per_s.is_some()).count()
+        self.by_engine.values().filter(|entry| entry.per_s.is_some()).count()
     }
 
     /// Requests sent to engines with a rate or rejection limit.
@@ -102,8 +102,8 @@
     }
 
     /// Counts the result of a request for a reservation; `grant` is `None` if the call failed.
-    pub(crate) fn count_answer(&mut self, ask: &ReservationRequest, grant: Option<Grant>) {
-        if ask.is_limited() {
+    pub(crate) fn count_answer(&mut self, request: &ReservationRequest, grant: Option<Grant>) {
+        if request.is_limited() {
             *self.answers.entry(grant.map_or("silent", Grant::label)).or_default() += 1;
         }
     }
@@ -116,56 +116,60 @@
     /// The report on an engine that goes with a request for a reservation.
     pub(crate) fn report(&self, now: Time, engine: &Engine) -> Option<Report> {
         let Engine { entry, .. } = engine;
-        let word = self.by_engine.get(&entry.id).filter(|word| word.incarnation == entry.incarnation)?;
-        Some(word.told(now, &entry.id))
+        let stored =
+            self.by_engine.get(&entry.id).filter(|stored| stored.incarnation == entry.incarnation)?;
+        Some(stored.report(now, &entry.id))
     }
 
     /// Reports that the hub has not acknowledged, and the number of the last change they cover.
     pub(crate) fn unreported(&self, now: Time) -> (Vec<Report>, u64) {
-        let untold =
-            self.by_engine.iter().filter(|(_, word)| word.own && self.exchange.is_unreported(word.number));
-        (untold.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.last_change())
+        let unreported = self
+            .by_engine
+            .iter()
+            .filter(|(_, entry)| entry.report_to_hub && self.cursor.is_unreported(entry.change));
+        (unreported.map(|(engine, entry)| entry.report(now, engine)).collect(), self.cursor.last_change())
     }
 
     /// The hub of this term has acknowledged all changes up to this one. A new hub is sent all limits in
     /// force.
     pub(crate) fn hub_replied(&mut self, term: u64, changes: u64) {
-        if !self.exchange.hub_replied(term, changes) {
+        if !self.cursor.hub_replied(term, changes) {
             return;
         }
-        for word in self.by_engine.values_mut() {
-            word.own |= word.per_s.is_some() || word.brittle.is_some();
+        for entry in self.by_engine.values_mut() {
+            entry.report_to_hub |= entry.per_s.is_some() || entry.brittle.is_some();
         }
     }
 
     /// Which of the hub's changes are known here.
     pub(crate) const fn hub_position(&self) -> Position {
-        self.exchange.hub_position()
+        self.cursor.hub_position()
     }
 
     /// As the hub of this term: reports that changed after `known`, and the number of the last change.
     pub(crate) fn changed_since(&self, now: Time, term: u64, known: Position) -> (Vec<Report>, u64) {
         let since = Cursor::acknowledged(term, known);
-        let changed = self.by_engine.iter().filter(|(_, word)| word.number > since);
-        (changed.map(|(engine, word)| word.told(now, engine)).collect(), self.exchange.last_change())
+        let changed = self.by_engine.iter().filter(|(_, entry)| entry.change > since);
+        (changed.map(|(engine, entry)| entry.report(now, engine)).collect(), self.cursor.last_change())
     }
 
     /// All changes of the hub up to this one are known.
     pub(crate) const fn set_hub_version(&mut self, version: u64) {
-        self.exchange.set_hub_version(version);
+        self.cursor.set_hub_version(version);
     }
 
-    /// Whether the stored report on this start of an engine is at least as new as one made at `heard`. If
-    /// it also differs, it is sent again, because the other entry VM does not have it.
-    pub(super) fn has_newer(&mut self, from: &Start, per_s: Option<f64>, heard: Time) -> bool {
-        let known = self.by_engine.get_mut(&from.engine);
-        let Some(known) = known.filter(|word| word.incarnation == from.incarnation && word.heard >= heard)
+    /// Whether the stored report on this start of an engine is at least as new as one made at
+    /// `reported_at`. If it also differs, it is sent again, because the other entry VM does not have it.
+    pub(super) fn has_newer(&mut self, source: &Start, per_s: Option<f64>, reported_at: Time) -> bool {
+        let known = self.by_engine.get_mut(&source.engine);
+        let Some(known) =
+            known.filter(|entry| entry.incarnation == source.incarnation && entry.reported_at >= reported_at)
         else {
             return false;
         };
         if known.per_s != per_s {
-            known.number = self.exchange.next();
-            known.own = true;
+            known.change = self.cursor.next();
+            known.report_to_hub = true;
         }
         true
     }
@@ -174,111 +178,122 @@
     pub(super) fn set(
         &mut self,
         now: Time,
-        from: &Start,
+        source: &Start,
         per_s: Option<f64>,
-        heard: Time,
-        own: bool,
+        reported_at: Time,
+        report_to_hub: bool,
     ) -> Option<f64> {
-        let Start { engine, incarnation } = from;
+        let Start { engine, incarnation } = source;
         let before = self.entry(engine, *incarnation).cloned();
-        let said = before.as_ref().and_then(|word| word.per_s);
-        let word = match before {
-            Some(before) if said == per_s => Entry { heard, ..before },
+        let previous_limit = before.as_ref().and_then(|entry| entry.per_s);
+        let entry = match before {
+            Some(before) if previous_limit == per_s => Entry { reported_at, ..before },
             before => {
-                let number = self.exchange.next();
-                self.by_engine.retain(|_, word| {
-                    word.per_s.is_some() || word.brittle.is_some() || now.since(word.heard) < LIFTED_KEPT
+                let change = self.cursor.next();
+                self.by_engine.retain(|_, entry| {
+                    entry.per_s.is_some()
+                        || entry.brittle.is_some()
+                        || now.since(entry.reported_at) < LIFTED_LIMIT_KEPT
                 });
                 let (brittle, brittle_heard) =
-                    before.map_or((None, None), |before| (before.brittle, before.brittle_heard));
-                Entry { incarnation: *incarnation, per_s, heard, number, own, brittle, brittle_heard }
+                    before.map_or((None, None), |before| (before.brittle, before.brittle_reported_at));
+                Entry {
+                    incarnation: *incarnation,
+                    per_s,
+                    reported_at,
+                    change,
+                    report_to_hub,
+                    brittle,
+                    brittle_reported_at: brittle_heard,
+                }
             }
         };
-        self.insert(engine.clone(), word);
-        said
+        self.insert(engine.clone(), entry);
+        previous_limit
     }
 
     /// The entry of this start of an engine.
     pub(super) fn entry(&self, engine: &Name, incarnation: Incarnation) -> Option<&Entry> {
-        self.by_engine.get(engine).filter(|word| word.incarnation == incarnation)
+        self.by_engine.get(engine).filter(|entry| entry.incarnation == incarnation)
     }
 
     /// The state of this start of an engine if it is brittle, and when it was reported.
-    pub(super) fn brittle_report(&self, from: &Start) -> Option<(&Brittle, Time)> {
-        let word = self.entry(&from.engine, from.incarnation)?;
-        word.brittle.as_ref().zip(word.brittle_heard)
+    pub(super) fn brittle_report(&self, source: &Start) -> Option<(&Brittle, Time)> {
+        let entry = self.entry(&source.engine, source.incarnation)?;
+        entry.brittle.as_ref().zip(entry.brittle_reported_at)
     }
 
     /// Stores the rejection limit that this start of an engine reported, or its end. Rejections are merged,
     /// since each entry VM sees only its own. Returns whether anything changed.
     pub(super) fn set_brittle(
         &mut self,
-        from: &Start,
-        said: Option<Brittle>,
-        heard: Time,
-        own: bool,
+        source: &Start,
+        reported: Option<Brittle>,
+        reported_at: Time,
+        report_to_hub: bool,
     ) -> bool {
-        let Start { engine, incarnation } = from;
+        let Start { engine, incarnation } = source;
         let known = self.entry(engine, *incarnation).cloned();
-        if known.is_none() && said.is_none() {
+        if known.is_none() && reported.is_none() {
             return false;
         }
-        let mut word = known.unwrap_or_else(|| Entry {
+        let mut entry = known.unwrap_or_else(|| Entry {
             incarnation: *incarnation,
             per_s: None,
-            heard: Time::default(),
-            number: 0,
-            own,
+            reported_at: Time::default(),
+            change: 0,
+            report_to_hub,
             brittle: None,
-            brittle_heard: None,
+            brittle_reported_at: None,
         });
-        let later = word.brittle_heard.is_none_or(|at| heard >= at);
-        let news = match (&mut word.brittle, said) {
-            (Some(known), Some(said)) => {
-                let other = later && known.rejections_per_s.total_cmp(&said.rejections_per_s).is_ne();
-                if other {
-                    known.rejections_per_s = said.rejections_per_s;
+        let is_newer = entry.brittle_reported_at.is_none_or(|at| reported_at >= at);
+        let changed = match (&mut entry.brittle, reported) {
+            (Some(known), Some(reported)) => {
+                let limit_changed =
+                    is_newer && known.rejections_per_s.total_cmp(&reported.rejections_per_s).is_ne();
+                if limit_changed {
+                    known.rejections_per_s = reported.rejections_per_s;
                 }
-                known.merge(&said.rejections) || other
+                known.merge(&reported.rejections) || limit_changed
             }
-            (brittle, said) if later => {
-                let news = *brittle != said;
-                *brittle = said;
-                news
+            (brittle, reported) if is_newer => {
+                let changed = *brittle != reported;
+                *brittle = reported;
+                changed
             }
             _ => return false,
         };
-        if later {
-            word.brittle_heard = Some(heard);
+        if is_newer {
+            entry.brittle_reported_at = Some(reported_at);
         }
-        if news {
-            word.number = self.exchange.next();
-            word.own = own;
+        if changed {
+            entry.change = self.cursor.next();
+            entry.report_to_hub = report_to_hub;
         }
-        self.insert(engine.clone(), word);
-        news
+        self.insert(engine.clone(), entry);
+        changed
     }
 
-    fn insert(&mut self, engine: Name, word: Entry) {
-        if self.by_engine.len() >= WORDS_MAX && !self.by_engine.contains_key(&engine) {
-            let earliest = self.by_engine.iter().min_by_key(|(_, word)| word.heard);
+    fn insert(&mut self, engine: Name, entry: Entry) {
+        if self.by_engine.len() >= ENTRIES_MAX && !self.by_engine.contains_key(&engine) {
+            let earliest = self.by_engine.iter().min_by_key(|(_, entry)| entry.reported_at);
             if let Some(earliest) = earliest.map(|(engine, _)| engine.clone()) {
                 self.by_engine.remove(&earliest);
             }
         }
-        self.by_engine.insert(engine, word);
+        self.by_engine.insert(engine, entry);
     }
 
     /// Whether this is the first invalid value of the engine.
-    pub(super) fn is_new_unreadable(&mut self, engine: &Name) -> bool {
-        self.unreadable.len() < WORDS_MAX && self.unreadable.insert(engine.clone())
+    pub(super) fn mark_invalid_logged(&mut self, engine: &Name) -> bool {
+        self.invalid_logged.len() < ENTRIES_MAX && self.invalid_logged.insert(engine.clone())
     }
 
     /// Handles the removal of an engine from the list. A later engine may come under the same id; without
     /// an incarnation the two cannot be told apart, so the entry is dropped.
     pub(crate) fn engine_removed(&mut self, engine: &Name) {
-        self.unreadable.remove(engine);
-        if self.by_engine.get(engine).is_some_and(|word| word.incarnation.0.is_none()) {
+        self.invalid_logged.remove(engine);
+        if self.by_engine.get(engine).is_some_and(|entry| entry.incarnation.0.is_none()) {
             self.by_engine.remove(engine);
         }
     }
