--- a/fleet/tests/brittle_engines.rs
+++ b/fleet/tests/brittle_engines.rs
@@ -20,7 +20,7 @@
 
 /// Time after engines first report a rejection limit before they may shrink their queues, as stated by the
 /// operators for each size of deployment.
-fn contact(vms: usize) -> Duration {
+fn contact_time(vms: usize) -> Duration {
     Duration::from_secs(match vms {
         ..30 => 3,
         30..150 => 4,
@@ -47,7 +47,7 @@
 }
 
 /// The platform's bound: crashes during one period in which a service's engines are brittle.
-fn allowed() -> usize {
+fn crashes_allowed() -> usize {
     2 + ENGINES / 10
 }
 
@@ -60,7 +60,7 @@
 /// Engines that can run 53 requests per second each become brittle and then stop queueing requests, while
 /// callers send half, most and more than all that the engines can run together.
 #[test]
-fn room_shrinks() {
+fn queues_shrink() {
     for vms in SIZES {
         // The largest deployments take long to simulate.
         let loads: &[f64] = if vms < 300 { &[250.0, 450.0, 700.0] } else { &[700.0] };
@@ -70,20 +70,20 @@
             for number in 0..ENGINES {
                 world.make_brittle(&engine(number), 5.0, SLOTS as usize, 8);
             }
-            world.generate_load(contact(vms), per_s);
+            world.generate_load(contact_time(vms), per_s);
             for number in 0..ENGINES {
-                world.shrink(&engine(number), 0);
+                world.set_queue_max(&engine(number), 0);
             }
             world.generate_load(Duration::from_secs(8), per_s);
             let (served, all) = served(&world);
             println!(
                 "{vms} entry VMs, {per_s} requests/s: {} crashes, {served} of {all} served",
-                world.falls()
+                world.crashes()
             );
             assert!(
-                world.falls() <= allowed(),
+                world.crashes() <= crashes_allowed(),
                 "{vms} entry VMs, {per_s} requests/s: {} crashes",
-                world.falls()
+                world.crashes()
             );
             assert!(served > 0, "{vms} entry VMs, {per_s} requests/s: nothing served");
         }
@@ -94,7 +94,7 @@
 /// moment callers send more than the engines can run. All entry VMs are notified at once, with one message
 /// each.
 #[test]
-fn first_word() {
+fn first_report() {
     for vms in [65, 300, 984] {
         for seed in [2, 3, 5] {
             let mut world = world(vms, seed);
@@ -103,8 +103,12 @@
             for number in 0..ENGINES {
                 world.make_brittle(&engine(number), 5.0, SLOTS as usize, 8);
             }
-            world.generate_load(contact(vms), 700.0);
-            assert!(world.falls() <= allowed(), "{vms} entry VMs, seed {seed}: {} crashes", world.falls());
+            world.generate_load(contact_time(vms), 700.0);
+            assert!(
+                world.crashes() <= crashes_allowed(),
+                "{vms} entry VMs, seed {seed}: {} crashes",
+                world.crashes()
+            );
             let pushes = world.pushes - pushes;
             assert!(pushes < 2 * vms, "{vms} entry VMs, seed {seed}: {pushes} messages");
         }
@@ -116,39 +120,39 @@
     let vms = *u.choose(&[6, 9, 65])?;
     let mut world = world(vms, u.arbitrary()?);
     let per_s = *u.choose(&[200.0, 350.0, 500.0])?;
-    let most = f64::from(u.int_in_range(3..=12)?);
-    let mut steps = vec![format!("{vms} entry VMs, {per_s} requests/s, {most} rejections")];
+    let rejections_per_s = f64::from(u.int_in_range(3..=12)?);
+    let mut steps = vec![format!("{vms} entry VMs, {per_s} requests/s, {rejections_per_s} rejections")];
     world.generate_load(Duration::from_secs(1), per_s);
     for number in 0..ENGINES {
-        world.make_brittle(&engine(number), most, SLOTS as usize, 6);
+        world.make_brittle(&engine(number), rejections_per_s, SLOTS as usize, 6);
     }
-    world.generate_load(contact(vms), per_s);
+    world.generate_load(contact_time(vms), per_s);
     for _ in 0..u.int_in_range(1..=4)? {
         let (kind, number) = (u.int_in_range(0..=4)?, u.int_in_range(0..=ENGINES - 1)?);
         steps.push(format!("{:?}: {kind}, {}", world.now, engine(number)));
         match kind {
             0 => {
-                let leader = world.leader().unwrap_or(0);
-                world.restart(leader);
+                let hub = world.leader().unwrap_or(0);
+                world.restart(hub);
             }
             1 => {
                 let at = u.int_in_range(0..=vms - 1)?;
                 world.restart(at);
             }
-            2 => world.shrink(&engine(number), 0),
-            _ => (0..ENGINES).for_each(|number| world.shrink(&engine(number), 0)),
+            2 => world.set_queue_max(&engine(number), 0),
+            _ => (0..ENGINES).for_each(|number| world.set_queue_max(&engine(number), 0)),
         }
         world.generate_load(millis(u.int_in_range(0..=3_000)?), per_s);
     }
     world.generate_load(Duration::from_secs(3), per_s);
-    Ok((steps, world.falls()))
+    Ok((steps, world.crashes()))
 }
 
 #[test]
-fn random_days() {
+fn random_faults() {
     arbtest(|u| {
-        let (steps, falls) = play(u)?;
-        assert!(falls <= allowed(), "{falls} crashes after {steps:#?}");
+        let (steps, crashes) = play(u)?;
+        assert!(crashes <= crashes_allowed(), "{crashes} crashes after {steps:#?}");
         Ok(())
     })
     .budget_ms(world::budget_ms(6_000));
--- a/fleet/tests/engine_limits.rs
+++ b/fleet/tests/engine_limits.rs
@@ -88,7 +88,7 @@
 }
 
 /// Requests that an engine got from all entry VMs since a time, as a part of its limit.
-fn part(world: &World, engine: &str, limit: f64, since: Time) -> f64 {
+fn part_of_limit(world: &World, engine: &str, limit: f64, since: Time) -> f64 {
     world.arrivals(engine, since) as f64 / world.now.since(since).as_secs_f64() / limit
 }
 
@@ -105,7 +105,7 @@
     let since = world.now;
     run(&mut world, Duration::from_secs(20), 60.0, 60.0);
     for (engine, limit) in engines {
-        let got = part(&world, engine, limit, since);
+        let got = part_of_limit(&world, engine, limit, since);
         assert!((0.75..=1.1).contains(&got), "{engine}: {got} of its limit");
     }
 }
@@ -124,7 +124,7 @@
         let since = world.now;
         run(&mut world, Duration::from_secs(6), 80.0, 0.0);
         assert!(worst_excess(&world, &["w6"], CONTACT) <= 0.0);
-        let got = part(&world, "w6", 3.0, since);
+        let got = part_of_limit(&world, "w6", 3.0, since);
         assert!((0.7..=1.1).contains(&got), "seed {seed}: {got} of its limit");
     }
 }
@@ -147,7 +147,7 @@
             world.advance(Duration::from_millis(50));
         }
         assert!(worst_excess(&world, &["w6"], CONTACT) <= 0.0, "seed {seed}");
-        let got = part(&world, "w6", 4.0, since);
+        let got = part_of_limit(&world, "w6", 4.0, since);
         assert!((0.7..=1.3).contains(&got), "seed {seed}: {got} of its limit");
     }
 }
@@ -155,15 +155,15 @@
 /// The hub is lost: reservations are still granted, for a part of the limit, until a new hub has been in
 /// place for a while.
 #[test]
-fn leader_lost() {
+fn hub_lost() {
     let mut world = world(9, 4);
     world.set_limit("w6", Some(4.0));
     run(&mut world, Duration::from_secs(5), 80.0, 0.0);
-    let leader = world.leader().expect("a hub");
-    world.kill(leader);
+    let hub = world.leader().expect("a hub");
+    world.kill(hub);
     let since = world.now;
     run(&mut world, Duration::from_secs(6), 80.0, 0.0);
-    let got = part(&world, "w6", 4.0, since);
+    let got = part_of_limit(&world, "w6", 4.0, since);
     assert!(got >= 0.15, "{got} of its limit");
     run(&mut world, Duration::from_secs(6), 80.0, 0.0);
     assert!(worst_excess(&world, &["w6"], CONTACT) <= 0.0);
@@ -171,7 +171,7 @@
 
 /// The store is unreachable for longer than any lease, so that there is no hub.
 #[test]
-fn store_away() {
+fn store_unreachable() {
     let mut world = world(9, 5);
     world.set_limit("w6", Some(4.0));
     run(&mut world, Duration::from_secs(5), 80.0, 0.0);
@@ -179,7 +179,7 @@
     run(&mut world, Duration::from_secs(6), 80.0, 0.0);
     let since = world.now;
     run(&mut world, Duration::from_secs(8), 80.0, 0.0);
-    let got = part(&world, "w6", 4.0, since);
+    let got = part_of_limit(&world, "w6", 4.0, since);
     assert!(got >= 0.2, "{got} of its limit");
     assert!(worst_excess(&world, &["w6"], CONTACT) <= 0.0);
 }
@@ -242,7 +242,7 @@
 /// limit was sent to another engine although it had also run at the first, and its answer was put together
 /// from both.
 #[test]
-fn withdrawn_runs_once() {
+fn cancelled_runs_once() {
     for seed in 0..8 {
         let mut world = world(6, 30 + seed);
         run(&mut world, Duration::from_secs(1), 300.0, 0.0);
@@ -265,8 +265,8 @@
     }
     let contact = Duration::from_secs(5);
     run(&mut world, contact, 150.0, 150.0);
-    let leader = world.leader().expect("a hub");
-    world.kill(leader);
+    let hub = world.leader().expect("a hub");
+    world.kill(hub);
     run(&mut world, Duration::from_secs(4), 750.0, 750.0);
     for engine in ["w0", "w6", "g0"] {
         // All three engines are in the first zone.
@@ -301,7 +301,7 @@
         let since = world.now;
         run(&mut world, Duration::from_secs(3), 40.0, 60.0);
         for (engine, usual) in [("w6", 10.0), ("g0", 15.0)] {
-            let got = part(&world, engine, usual, since);
+            let got = part_of_limit(&world, engine, usual, since);
             assert!(got > 0.5, "limit {limit}: {engine} gets {got} of its usual load");
         }
     }
@@ -317,12 +317,12 @@
         let since = world.now;
         run(&mut world, Duration::from_secs(8), 80.0, 0.0);
         assert!(world.limit_excess("w6", CONTACT) <= 0.0);
-        let got = part(&world, "w6", limit, since);
+        let got = part_of_limit(&world, "w6", limit, since);
         assert!((0.7..=1.15).contains(&got), "{got} of {limit}");
     }
 }
 
-fn disturb(world: &mut World, kind: u8, at: usize) {
+fn inject_fault(world: &mut World, kind: u8, at: usize) {
     match kind {
         0 => world.kill(at),
         1 => world.restart(at),
@@ -339,7 +339,7 @@
 
 /// Plays a random sequence of faults and limits. Returns the largest excess over the platform's bound at
 /// any engine; negative if there was none.
-fn play(u: &mut Unstructured<'_>) -> arbitrary::Result<(f64, &'static str)> {
+fn play_random_faults(u: &mut Unstructured<'_>) -> arbitrary::Result<(f64, &'static str)> {
     const NAMES: [&str; 10] = ["w0", "w1", "w2", "w3", "w4", "w5", "w6", "g0", "g1", "g2"];
     let mut world = world(u.int_in_range(4..=13)?, u.arbitrary()?);
     let load = *u.choose(&[20.0, 80.0, 300.0])?;
@@ -356,7 +356,7 @@
             1 if u.ratio(1, 2)? => world.heal(),
             _ => {
                 let at = u.int_in_range(0..=world.len() - 1)?;
-                disturb(&mut world, u.int_in_range(0..=9)?, at);
+                inject_fault(&mut world, u.int_in_range(0..=9)?, at);
             }
         }
         let ms = u.int_in_range(200..=5_000)?;
@@ -377,7 +377,7 @@
 #[test]
 fn limit_sum_holds() {
     arbtest(|u| {
-        let (excess, engine) = play(u)?;
+        let (excess, engine) = play_random_faults(u)?;
         assert!(excess <= 0.0, "{engine}: {excess} over the bound");
         Ok(())
     })
@@ -387,7 +387,7 @@
 /// Proves that the check works: with every reservation granted at once, and without any fault, it must find
 /// an excess.
 #[test]
-fn check_bites() {
+fn check_finds_excess() {
     let mut world = world(6, 1);
     world.grants_immediately = true;
     world.set_limit("w6", Some(1.4));
--- a/fleet/tests/engine_partitions.rs
+++ b/fleet/tests/engine_partitions.rs
@@ -25,7 +25,7 @@
 const ASKED_PER_S: u64 = 160;
 /// Time after which no effect of a partition is left: the longest pause between two tries, plus the time
 /// for which an engine must accept connections.
-const REJOINED: Duration = Duration::from_secs(7);
+const RECOVERED: Duration = Duration::from_secs(7);
 
 fn gateway(number: usize) -> Entry {
     Entry { slots: 64, ..entry(&format!("g{number}"), GATEWAY, ZONES[number % ZONES.len()], &[]) }
@@ -46,7 +46,7 @@
 }
 
 /// Sends requests to random entry VMs for a while; half of them go to the first few.
-fn ask(world: &mut World, time: Duration, some: usize) {
+fn send_requests(world: &mut World, time: Duration, some: usize) {
     let end = world.now + time;
     while world.now < end {
         let all = world.len();
@@ -59,7 +59,7 @@
 }
 
 /// First tries at the entry VMs that are cut off and at the others: number served and number of all.
-fn counted(world: &World, cut: &[usize], from: Time, until: Time) -> [(usize, usize); 2] {
+fn first_tries(world: &World, cut: &[usize], from: Time, until: Time) -> [(usize, usize); 2] {
     let mut sums = [(0, 0); 2];
     for (vm, (served, all)) in world.served_and_total(from, until) {
         let sum = &mut sums[usize::from(!cut.contains(&vm))];
@@ -69,8 +69,8 @@
 }
 
 /// Describes how the platform's bound is broken, if it is.
-fn broken(world: &World, cut: &[usize], from: Time, until: Time) -> Option<String> {
-    let [(served, all), (others_served, others)] = counted(world, cut, from, until);
+fn bound_violation(world: &World, cut: &[usize], from: Time, until: Time) -> Option<String> {
+    let [(served, all), (others_served, others)] = first_tries(world, cut, from, until);
     let part = |served: usize, all: usize| if all == 0 { 1.0 } else { served as f64 / all as f64 };
     let worse = part(served, all) < part(others_served, others) * 2.0 / 3.0;
     let failed = (all - served) > 10 + (all + others) / 50;
@@ -78,10 +78,10 @@
 }
 
 /// Number of entry VMs that consider some engine unreachable from there.
-fn apart(world: &World) -> usize {
-    let apart =
+fn entry_vms_with_lost_paths(world: &World) -> usize {
+    let has_lost_path =
         |at: &usize| world.is_running(*at) && world.state(*at).engines().any(|engine| engine.path.is_lost());
-    (0..world.len()).filter(apart).count()
+    (0..world.len()).filter(has_lost_path).count()
 }
 
 fn all_of_zone(world: &World, zone: usize) -> Vec<usize> {
@@ -103,28 +103,28 @@
                 1 | 2 => all_of_zone(&world, 1),
                 _ => (0..vms * 2 / 3).collect(),
             };
-            ask(&mut world, Duration::from_secs(1), 6);
+            send_requests(&mut world, Duration::from_secs(1), 6);
             for at in &cut {
                 world.partition(*at, Some(Partition { lost: Lost::All, refused }));
             }
             let began = world.now;
-            ask(&mut world, CUT, 6);
+            send_requests(&mut world, CUT, 6);
             let until = world.now;
-            let fault = broken(&world, &cut, began + CONTACT, until - Duration::from_secs(1));
+            let fault = bound_violation(&world, &cut, began + CONTACT, until - Duration::from_secs(1));
             assert_eq!(fault, None, "{vms} entry VMs, case {case}");
             let asks_per_s = world.path_queries as f64 / CUT.as_secs_f64();
             println!("{vms} entry VMs, case {case}: {asks_per_s} probe requests/s");
             assert!(asks_per_s < 8_000.0, "{vms} entry VMs, case {case}: {asks_per_s} probe requests/s");
-            let passed: usize = cut.iter().map(|at| world.relayed_for(*at)).sum();
-            assert!(passed > 0, "{vms} entry VMs, case {case}: nothing was relayed");
+            let relayed: usize = cut.iter().map(|at| world.relayed_for(*at)).sum();
+            assert!(relayed > 0, "{vms} entry VMs, case {case}: nothing was relayed");
             let doubled = if refused { world.over_repeated() } else { world.repeated() };
             assert_eq!(doubled, 0, "{vms} entry VMs, case {case}: requests ran twice");
             for at in &cut {
                 world.partition(*at, None);
             }
-            ask(&mut world, REJOINED, 6);
+            send_requests(&mut world, RECOVERED, 6);
             assert_eq!(
-                apart(&world),
+                entry_vms_with_lost_paths(&world),
                 0,
                 "{vms} entry VMs, case {case}: some engines still count as unreachable"
             );
@@ -139,52 +139,52 @@
     let mut world = world_with(6, 1, settings);
     world.partition(1, Some(Partition { lost: Lost::All, refused: true }));
     let began = world.now;
-    ask(&mut world, CUT, 6);
+    send_requests(&mut world, CUT, 6);
     let until = world.now;
-    assert!(broken(&world, &[1], began + CONTACT, until).is_some());
+    assert!(bound_violation(&world, &[1], began + CONTACT, until).is_some());
 }
 
 /// A hub that reaches no engine gives up the lease, and does not take it again while others reach engines.
 #[test]
-fn leader_hands_on() {
+fn hub_gives_up_lease() {
     for vms in [6, 65] {
         let mut world = world(vms, 7);
-        let leader = world.leader().expect("a hub");
-        world.partition(leader, Some(Partition { lost: Lost::All, refused: false }));
-        ask(&mut world, Duration::from_secs(6), leader + 1);
+        let hub = world.leader().expect("a hub");
+        world.partition(hub, Some(Partition { lost: Lost::All, refused: false }));
+        send_requests(&mut world, Duration::from_secs(6), hub + 1);
         let after = world.leader();
-        assert!(after.is_some_and(|after| after != leader), "{vms} entry VMs: hub {after:?}");
-        ask(&mut world, Duration::from_secs(6), leader + 1);
-        assert_ne!(world.leader(), Some(leader), "{vms} entry VMs: it is the hub again");
+        assert!(after.is_some_and(|after| after != hub), "{vms} entry VMs: hub {after:?}");
+        send_requests(&mut world, Duration::from_secs(6), hub + 1);
+        assert_ne!(world.leader(), Some(hub), "{vms} entry VMs: it is the hub again");
     }
 }
 
 /// If nobody reaches an engine, there is still a hub.
 #[test]
-fn somebody_leads() {
+fn hub_without_any_path() {
     let mut world = world(6, 8);
     for at in 0..6 {
         world.partition(at, Some(Partition { lost: Lost::All, refused: true }));
     }
-    ask(&mut world, Duration::from_secs(10), 6);
+    send_requests(&mut world, Duration::from_secs(10), 6);
     assert!(world.leader().is_some());
 }
 
 /// A path that comes and goes each second costs few requests: it is used again only after it has been
 /// stable.
 #[test]
-fn way_comes_and_goes() {
+fn flapping_path() {
     let mut world = world(6, 9);
-    ask(&mut world, Duration::from_secs(1), 6);
+    send_requests(&mut world, Duration::from_secs(1), 6);
     let began = world.now;
     for round in 0..12 {
         let partition = Partition { lost: Lost::All, refused: false };
         world.partition(1, (round % 2 == 0).then_some(partition));
-        ask(&mut world, Duration::from_secs(1), 6);
+        send_requests(&mut world, Duration::from_secs(1), 6);
     }
-    let fault = broken(&world, &[1], began + CONTACT, world.now - Duration::from_secs(1));
+    let fault = bound_violation(&world, &[1], began + CONTACT, world.now - Duration::from_secs(1));
     assert_eq!(fault, None);
-    let [(served, all), _] = counted(&world, &[1], began + CONTACT, world.now - Duration::from_secs(1));
+    let [(served, all), _] = first_tries(&world, &[1], began + CONTACT, world.now - Duration::from_secs(1));
     assert!(served * 20 >= all * 19, "{served} of {all} served");
 }
 
@@ -192,7 +192,7 @@
 /// engines agree that these are down. Connections are reset and refused repeatedly, for some entry VMs of
 /// one zone or of all zones, while the engines run.
 #[test]
-fn resets_accuse_nobody() {
+fn resets_quarantine_nothing() {
     for vms in [6, 65] {
         for zone in [Some(0), Some(1), None] {
             let mut world = world(vms, 10 + zone.unwrap_or(9) as u64);
@@ -202,11 +202,11 @@
                 for at in &cut {
                     world.partition(*at, Some(Partition { lost: Lost::Half, refused: true }));
                 }
-                ask(&mut world, Duration::from_secs(2), vms);
+                send_requests(&mut world, Duration::from_secs(2), vms);
                 for at in &cut {
                     world.partition(*at, None);
                 }
-                ask(&mut world, Duration::from_secs(3), vms);
+                send_requests(&mut world, Duration::from_secs(3), vms);
             }
             let accused = (0..vms).filter(|at| world.state(*at).crashes().quarantined_count(world.now) > 0);
             assert_eq!(accused.count(), 0, "{vms} entry VMs, zone {zone:?}");
@@ -219,7 +219,7 @@
 }
 
 /// Plays a random sequence of partitions and faults. Returns the steps and the violations found.
-fn play(
+fn play_random_faults(
     u: &mut Unstructured<'_>,
     sizes: &[usize],
     settings: Settings,
@@ -227,7 +227,7 @@
     let vms = *u.choose(sizes)?;
     let mut world = world_with(vms, u.arbitrary()?, settings);
     let (mut steps, mut faults) = (vec![format!("{vms} entry VMs")], Vec::new());
-    let (mut left, mut reset) = (Vec::new(), false);
+    let (mut departed, mut reset) = (Vec::new(), false);
     for _ in 0..u.int_in_range(1..=3)? {
         let refused = u.arbitrary()?;
         reset |= refused;
@@ -243,43 +243,51 @@
         }
         let began = world.now;
         steps.push(format!("{began:?}: {lost:?} lost, refused {refused}, by {:?}", &cut[..cut.len().min(6)]));
-        let mut troubled = false;
+        let mut disturbed = false;
         for _ in 0..u.int_in_range(0..=3)? {
-            ask(&mut world, millis(u.int_in_range(0..=2_000)?), 6);
+            send_requests(&mut world, millis(u.int_in_range(0..=2_000)?), 6);
             let at = u.int_in_range(0..=vms - 1)?;
             let kind = u.int_in_range(0..=5)?;
             steps.push(format!("{:?}: kind {kind}, vm {at}, leader {:?}", world.now, world.leader()));
             match kind {
                 0 => world.restart(at),
                 1 => {
-                    let leader = world.leader().unwrap_or(at);
-                    world.restart(leader);
+                    let hub = world.leader().unwrap_or(at);
+                    world.restart(hub);
                 }
                 2 => world.suspend(at, true),
                 3 => world.suspend(at, false),
-                _ if left.len() < ENGINES / 2 => {
-                    let number = left.len();
+                _ if departed.len() < ENGINES / 2 => {
+                    let number = departed.len();
                     world.register(Entry { leaving: true, ..gateway(number) });
-                    left.push((number, world.now));
+                    departed.push((number, world.now));
                 }
                 _ => {}
             }
-            troubled |= kind < 4;
+            disturbed |= kind < 4;
         }
-        ask(&mut world, CUT, 6);
+        send_requests(&mut world, CUT, 6);
         let until = world.now;
         // A fault during the partition has effects for as long as the platform's bounds allow a disturbed
         // entry VM.
-        let from = if troubled { until - Duration::from_secs(3) } else { began + CONTACT };
+        let from = if disturbed { until - Duration::from_secs(3) } else { began + CONTACT };
         let running: Vec<usize> = cut.iter().copied().filter(|at| world.calm_since(*at).is_some()).collect();
-        faults.extend(broken(&world, &running, from.max(began + CONTACT), until - Duration::from_secs(1)));
+        faults.extend(bound_violation(
+            &world,
+            &running,
+            from.max(began + CONTACT),
+            until - Duration::from_secs(1),
+        ));
         for at in &cut {
             world.partition(*at, None);
         }
         world.heal();
-        ask(&mut world, REJOINED, 6);
-        if apart(&world) > 0 {
-            faults.push(format!("{} entry VMs still count engines as unreachable", apart(&world)));
+        send_requests(&mut world, RECOVERED, 6);
+        if entry_vms_with_lost_paths(&world) > 0 {
+            faults.push(format!(
+                "{} entry VMs still count engines as unreachable",
+                entry_vms_with_lost_paths(&world)
+            ));
         }
         if !faults.is_empty() {
             break;
@@ -290,7 +298,7 @@
     if doubled > 0 {
         faults.push(format!("{doubled} requests ran twice"));
     }
-    for (number, since) in left {
+    for (number, since) in departed {
         let late = world.senders(&format!("g{number}"), since + Duration::from_secs(5), world.now);
         faults.extend(
             late.first().map(|late| format!("g{number} left at {since:?} but was sent a request: {late:?}")),
@@ -305,9 +313,9 @@
 
 /// Random partitions of all kinds that overlap with departures, restarts, suspensions and lost hubs.
 #[test]
-fn random_days() {
+fn random_partitions() {
     arbtest(|u| {
-        let (steps, faults) = play(u, &[6, 9, 65], Settings::default())?;
+        let (steps, faults) = play_random_faults(u, &[6, 9, 65], Settings::default())?;
         assert!(faults.is_empty(), "{faults:#?} after {steps:#?}");
         Ok(())
     })
--- a/fleet/tests/engine_intake.rs
+++ b/fleet/tests/engine_rate_limits.rs
@@ -19,23 +19,23 @@
 use boragecove_fleet::schedule::Grant;
 use node::{GATEWAY, Node, entry, listing, millis, plain, removed, row, short_stream};
 
-fn start(engine: &str, born: Option<u64>) -> Start {
-    Start { engine: engine.into(), incarnation: Incarnation(born) }
+fn start(engine: &str, incarnation: Option<u64>) -> Start {
+    Start { engine: engine.into(), incarnation: Incarnation(incarnation) }
 }
 
-fn says(node: &mut Node, from: Start, intake: Rate, asked: Option<AnsweredRequest>) {
-    let notice = Notice { rate_limit: intake, ..Notice::default() };
+fn feed_notice(node: &mut Node, from: Start, rate: Rate, asked: Option<AnsweredRequest>) {
+    let notice = Notice { rate_limit: rate, ..Notice::default() };
     node.feed(Event::NoticeReceived { from, notice, asked });
 }
 
 /// Feeds an engine's answer with this rate limit to a request that was sent just now.
-fn names(node: &mut Node, engine: &str, per_s: f64) {
+fn report_limit(node: &mut Node, engine: &str, per_s: f64) {
     let asked = AnsweredRequest { request: Id(1), sent_at: node.now };
-    says(node, start(engine, None), Rate::PerSecond(per_s), Some(asked));
+    feed_notice(node, start(engine, None), Rate::PerSecond(per_s), Some(asked));
 }
 
 /// An entry VM that is the only one, and is certain of that.
-fn alone() -> Node {
+fn sole_entry_vm() -> Node {
     let mut node = Node::ready("a");
     node.lead();
     renew(&mut node, Duration::from_secs(5));
@@ -58,7 +58,7 @@
 }
 
 /// Leaves one engine of the plain service and one with each model.
-fn only(node: &mut Node) {
+fn keep_one_engine(node: &mut Node) {
     node.feed(listing(vec![removed(10, "g2"), removed(11, "w2")], 11, false));
 }
 
@@ -89,10 +89,10 @@
 }
 
 #[test]
-fn told_when_to_come_back() {
-    let mut node = alone();
-    only(&mut node);
-    names(&mut node, "g1", 2.0);
+fn retry_after_is_exact() {
+    let mut node = sole_entry_vm();
+    keep_one_engine(&mut node);
+    report_limit(&mut node, "g1", 2.0);
     let mut waits = Vec::new();
     for _ in 0..5 {
         waits.push(call(&mut node).map(|(_, attempt)| attempt.at.since(node.now)));
@@ -104,14 +104,14 @@
 /// Scarce reservations go to urgent requests: less urgent ones find the schedule full sooner.
 #[test]
 fn urgent_first() {
-    let mut node = alone();
+    let mut node = sole_entry_vm();
     let mut config = node::config(2);
     let urgent = |route: &mut Arc<boragecove_fleet::config::Route>| {
         Arc::make_mut(route).priority = if *route.name == *"brief" { 0 } else { 3 };
     };
     config.routes.iter_mut().for_each(urgent);
     node.feed(Event::Configured(Arc::new(config)));
-    names(&mut node, "w1", 3.0);
+    report_limit(&mut node, "w1", 3.0);
     let mut sent = [0, 0];
     for number in 0..100 {
         let path = ["/brief/1", "/digest/1"][number % 2];
@@ -129,11 +129,11 @@
 
 /// Requests with a reservation from before the limit was reported lose it.
 #[test]
-fn places_given_before() {
-    let mut node = alone();
-    only(&mut node);
+fn earlier_reservations_are_cancelled() {
+    let mut node = sole_entry_vm();
+    keep_one_engine(&mut node);
     let ids: Vec<Id> = (0..12).map(|_| node.arrive(short_stream("m0"))).collect();
-    names(&mut node, "w1", 2.0);
+    report_limit(&mut node, "w1", 2.0);
     let later = ids.iter().filter_map(|id| match node.step(*id) {
         Some(Step::Send(attempt)) => Some(attempt.at.since(node.now)),
         _ => None,
@@ -144,9 +144,9 @@
 
 /// A reservation expires shortly after its time, as when the machine was suspended.
 #[test]
-fn place_is_void_later() {
-    let mut node = alone();
-    names(&mut node, "w1", 2.0);
+fn late_reservation_expires() {
+    let mut node = sole_entry_vm();
+    report_limit(&mut node, "w1", 2.0);
     let (id, attempt) = node.sent(short_stream("m1"));
     assert_eq!(attempt.send_by, Some(attempt.at + millis(300)));
     let late = attempt.at.since(node.now) + millis(350);
@@ -159,61 +159,61 @@
 }
 
 #[test]
-fn ends_by_a_later_answer() {
-    let mut node = alone();
-    only(&mut node);
+fn later_answer_lifts_limit() {
+    let mut node = sole_entry_vm();
+    keep_one_engine(&mut node);
     let before = AnsweredRequest { request: Id(1), sent_at: node.now };
     node.advance(millis(10));
-    names(&mut node, "g1", 1.0);
-    says(&mut node, start("g1", None), Rate::Unlimited, Some(before));
-    says(&mut node, start("g1", None), Rate::Unlimited, None);
+    report_limit(&mut node, "g1", 1.0);
+    feed_notice(&mut node, start("g1", None), Rate::Unlimited, Some(before));
+    feed_notice(&mut node, start("g1", None), Rate::Unlimited, None);
     let later = AnsweredRequest { sent_at: node.now + millis(5), ..before };
-    says(&mut node, start("g1", None), Rate::Invalid, Some(later));
+    feed_notice(&mut node, start("g1", None), Rate::Invalid, Some(later));
     assert!(sent_in_a_second(&mut node) <= 2, "no later answer has lifted the limit");
     let asked = AnsweredRequest { request: Id(2), sent_at: node.now };
     node.advance(millis(10));
-    says(&mut node, start("g1", None), Rate::Unlimited, Some(asked));
+    feed_notice(&mut node, start("g1", None), Rate::Unlimited, Some(asked));
     assert!(sent_in_a_second(&mut node) > 40);
 }
 
 #[test]
-fn unreadable_has_one_line() {
-    let mut node = alone();
-    let mut lines = 0;
+fn invalid_value_is_logged_once() {
+    let mut node = sole_entry_vm();
+    let mut records = 0;
     for _ in 0..5 {
-        says(&mut node, start("g1", None), Rate::Invalid, None);
+        feed_notice(&mut node, start("g1", None), Rate::Invalid, None);
         let line = |effect: &&Effect| matches!(effect, Effect::Record(Record::Unusable { .. }));
-        lines += node.effects.iter().filter(line).count();
+        records += node.effects.iter().filter(line).count();
     }
-    assert_eq!(lines, 1);
+    assert_eq!(records, 1);
     assert!(sent_in_a_second(&mut node) > 40);
 }
 
-fn born(id: &str, at: u64) -> Entry {
+fn with_incarnation(id: &str, at: u64) -> Entry {
     Entry { incarnation: Incarnation(Some(at)), ..entry(id, GATEWAY, "zone-a", &[]) }
 }
 
 #[test]
-fn word_of_one_start() {
-    let mut node = alone();
-    only(&mut node);
-    node.feed(listing(vec![row(12, born("g1", 1_000))], 12, false));
-    says(&mut node, start("g1", Some(500)), Rate::PerSecond(1.0), None);
+fn limit_of_one_incarnation() {
+    let mut node = sole_entry_vm();
+    keep_one_engine(&mut node);
+    node.feed(listing(vec![row(12, with_incarnation("g1", 1_000))], 12, false));
+    feed_notice(&mut node, start("g1", Some(500)), Rate::PerSecond(1.0), None);
     assert!(sent_in_a_second(&mut node) > 40, "reported by an earlier start");
-    says(&mut node, start("g1", Some(1_000)), Rate::PerSecond(1.0), None);
+    feed_notice(&mut node, start("g1", Some(1_000)), Rate::PerSecond(1.0), None);
     assert!(sent_in_a_second(&mut node) <= 2);
     node.feed(listing(vec![removed(13, "g1")], 13, false));
-    node.feed(listing(vec![row(14, born("g1", 1_000))], 14, false));
+    node.feed(listing(vec![row(14, with_incarnation("g1", 1_000))], 14, false));
     assert!(sent_in_a_second(&mut node) <= 2, "the same start was removed and listed again");
-    node.feed(listing(vec![row(15, born("g1", 2_000))], 15, false));
+    node.feed(listing(vec![row(15, with_incarnation("g1", 2_000))], 15, false));
     assert!(sent_in_a_second(&mut node) > 40, "a later start has not reported a limit");
 }
 
 /// An answer that also reports that the engine leaves or pauses: both take precedence over the rate limit.
 #[test]
-fn with_other_words() {
-    let mut node = alone();
-    only(&mut node);
+fn notice_with_pause_or_departure() {
+    let mut node = sole_entry_vm();
+    keep_one_engine(&mut node);
     let pause = Some(Duration::from_secs(2));
     let notice = Notice { pause, rate_limit: Rate::PerSecond(5.0), ..Notice::default() };
     node.feed(Event::NoticeReceived { from: start("g1", None), notice, asked: None });
@@ -232,9 +232,9 @@
 /// Without a hub, an entry VM does not know the owner of a schedule, and sends nothing to a rate-limited
 /// engine.
 #[test]
-fn nobody_to_ask() {
+fn no_hub_no_owner() {
     let mut node = Node::ready("a");
-    names(&mut node, "w1", 5.0);
+    report_limit(&mut node, "w1", 5.0);
     let refusal = node.refused(short_stream("m1"));
     assert_eq!(refusal.code, Code::BackendRefused);
     assert!(refusal.retry_after.is_some());
@@ -243,11 +243,11 @@
 
 /// The hub accepts reports from frames, and sends each change once to every other entry VM.
 #[test]
-fn told_by_frames() {
+fn reported_by_frames() {
     let mut hub = Node::ready("hub");
     hub.lead();
-    let told = Report { start: start("g1", None), per_s: Some(1.0), age: millis(30), ..Report::default() };
-    let frame = Frame { vm: "b".into(), zone: "zone-a".into(), limits: vec![told], ..Frame::default() };
+    let report = Report { start: start("g1", None), per_s: Some(1.0), age: millis(30), ..Report::default() };
+    let frame = Frame { vm: "b".into(), zone: "zone-a".into(), limits: vec![report], ..Frame::default() };
     hub.feed(Event::FrameReceived(Box::new(frame)));
     assert_eq!(hub.state.engines_limited(), 1);
     let asker = Frame { vm: "c".into(), zone: "zone-b".into(), ..Frame::default() };
@@ -261,23 +261,23 @@
 
 /// Each change is logged once, with the request whose answer reported it.
 #[test]
-fn changes_have_lines() {
-    let mut node = alone();
-    let mut lines = Vec::new();
+fn changes_are_logged_once() {
+    let mut node = sole_entry_vm();
+    let mut records = Vec::new();
     for per_s in [2.0, 2.0, 3.0] {
-        names(&mut node, "g1", per_s);
-        lines.extend(node.effects.iter().filter_map(|effect| match effect {
+        report_limit(&mut node, "g1", per_s);
+        records.extend(node.effects.iter().filter_map(|effect| match effect {
             Effect::Record(Record::Intake { request, limit_per_s, .. }) => Some((*request, *limit_per_s)),
             _ => None,
         }));
     }
-    assert_eq!(lines, [(Some(1), Some(2.0)), (Some(1), Some(3.0))]);
+    assert_eq!(records, [(Some(1), Some(2.0)), (Some(1), Some(3.0))]);
 }
 
 /// A reservation requested before the limit was reported is not used, even if an earlier limit had ended
 /// before.
 #[test]
-fn asked_for_before() {
+fn earlier_reservation_request() {
     for earlier in [false, true] {
         let mut node = Node::ready("a");
         node.advance(millis(10));
@@ -301,18 +301,18 @@
         let reply = Reply { number, leads: true, members, ..Reply::default() };
         node.feed(Event::Replied(Some(Box::new(reply))));
         if earlier {
-            names(&mut node, "w1", 1.0);
+            report_limit(&mut node, "w1", 1.0);
             node.advance(millis(10));
             let asked = Some(AnsweredRequest { request: Id(1), sent_at: node.now });
             node.advance(millis(10));
-            says(&mut node, start("w1", None), Rate::Unlimited, asked);
+            feed_notice(&mut node, start("w1", None), Rate::Unlimited, asked);
         }
         let id = node.arrive(short_stream("m1"));
         assert!(
             node.effects.iter().any(|effect| matches!(effect, Effect::Reserve { .. })),
             "no reservation was requested"
         );
-        names(&mut node, "w1", 1.0);
+        report_limit(&mut node, "w1", 1.0);
         node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
         assert!(!matches!(node.step(id), Some(Step::Send(_))), "earlier limit: {earlier}");
     }
@@ -321,11 +321,11 @@
 /// A report without an incarnation from an engine that is not listed is ignored: the next engine with this
 /// id may be another one.
 #[test]
-fn unlisted_without_start() {
-    let mut node = alone();
-    only(&mut node);
+fn unlisted_without_incarnation() {
+    let mut node = sole_entry_vm();
+    keep_one_engine(&mut node);
     node.feed(listing(vec![removed(12, "g1")], 12, false));
-    says(&mut node, start("g1", None), Rate::PerSecond(1.0), None);
+    feed_notice(&mut node, start("g1", None), Rate::PerSecond(1.0), None);
     node.feed(listing(vec![row(13, entry("g1", GATEWAY, "zone-a", &[]))], 13, false));
     assert!(sent_in_a_second(&mut node) > 40);
 }
--- a/fleet/tests/repeat_budget.rs
+++ b/fleet/tests/repeat_budget.rs
@@ -25,7 +25,7 @@
 }
 
 /// The same for runs without faults; engines that reject more are sent less.
-const SHED_CALM: f64 = 0.7;
+const SHED_WITHOUT_FAULTS: f64 = 0.7;
 
 /// A deployment in which engines reject requests from the start.
 fn world(vms: usize, seed: u64) -> World {
@@ -48,40 +48,40 @@
 
 /// Faults of entry VMs while engines reject requests.
 #[derive(Clone, Copy, Debug)]
-enum Trouble {
-    Calm,
+enum Fault {
+    Undisturbed,
     /// This part of the entry VMs is killed at once, every so many ms.
     Killed(f64, u64),
     /// Each entry VM is restarted, one after the other, twice.
-    InTurn,
+    RestartedInTurn,
     /// The hub is killed every so many ms.
-    Leaders(u64),
+    HubsKilled(u64),
     /// Each zone in turn is cut off for a while.
-    CutByTurns,
+    ZonesCutInTurn,
     /// All zones are cut off, and all entry VMs are restarted during that and after it.
     CutThenRestarted,
     /// Alternating halves of the entry VMs are suspended.
-    Frozen,
+    Suspended,
     /// The store is unreachable, and all entry VMs are killed repeatedly in the meantime.
-    StoreAway,
+    StoreUnreachable,
     /// Entry VMs are added one by one, while every second one of the old is killed.
     Replaced,
 }
 
-impl Trouble {
+impl Fault {
     const ALL: [Self; 13] = [
-        Self::Calm,
+        Self::Undisturbed,
         Self::Killed(1.0, 1_200),
         Self::Killed(1.0, 2_000),
         Self::Killed(1.0, 5_000),
         Self::Killed(0.6, 1_200),
         Self::Killed(0.34, 1_000),
-        Self::InTurn,
-        Self::Leaders(1_500),
-        Self::CutByTurns,
+        Self::RestartedInTurn,
+        Self::HubsKilled(1_500),
+        Self::ZonesCutInTurn,
         Self::CutThenRestarted,
-        Self::Frozen,
-        Self::StoreAway,
+        Self::Suspended,
+        Self::StoreUnreachable,
         Self::Replaced,
     ];
 }
@@ -95,7 +95,7 @@
 }
 
 /// Plays a fault for two and a half windows, then a window without faults.
-fn play(world: &mut World, trouble: Trouble, per_s: f64) {
+fn play(world: &mut World, fault: Fault, per_s: f64) {
     let length = settings().repeat_window;
     let steps = |world: &mut World, every: Duration, step: &mut dyn FnMut(&mut World, u32)| {
         let mut number = 0;
@@ -106,10 +106,10 @@
         }
     };
     world.generate_load(length / 2, per_s);
-    match trouble {
-        Trouble::Calm => world.generate_load(length, per_s),
-        Trouble::Killed(part, every) => steps(world, millis(every), &mut |world, _| kill(world, part)),
-        Trouble::InTurn => {
+    match fault {
+        Fault::Undisturbed => world.generate_load(length, per_s),
+        Fault::Killed(part, every) => steps(world, millis(every), &mut |world, _| kill(world, part)),
+        Fault::RestartedInTurn => {
             let every = length.div_f64(world.len() as f64).max(millis(5));
             for _ in 0..2 {
                 for at in 0..world.len() {
@@ -118,16 +118,16 @@
                 }
             }
         }
-        Trouble::Leaders(every) => steps(world, millis(every), &mut |world, _| {
-            if let Some(leader) = world.leader() {
-                world.restart(leader);
+        Fault::HubsKilled(every) => steps(world, millis(every), &mut |world, _| {
+            if let Some(hub) = world.leader() {
+                world.restart(hub);
             }
         }),
-        Trouble::CutByTurns => steps(world, SECOND * 4, &mut |world, number| {
+        Fault::ZonesCutInTurn => steps(world, SECOND * 4, &mut |world, number| {
             let zone = number as usize % ZONES.len();
             (0..ZONES.len()).for_each(|other| world.cut(other, other == zone));
         }),
-        Trouble::CutThenRestarted => {
+        Fault::CutThenRestarted => {
             (0..ZONES.len()).for_each(|zone| world.cut(zone, true));
             world.generate_load(SECOND * 4, per_s);
             kill(world, 1.0);
@@ -135,17 +135,17 @@
             (0..ZONES.len()).for_each(|zone| world.cut(zone, false));
             kill(world, 1.0);
         }
-        Trouble::Frozen => steps(world, millis(800), &mut |world, number| {
+        Fault::Suspended => steps(world, millis(800), &mut |world, number| {
             for at in 0..world.len() {
                 world.suspend(at, at % 2 == number as usize % 2);
             }
         }),
-        Trouble::StoreAway => {
+        Fault::StoreUnreachable => {
             (0..world.len()).for_each(|at| world.set_store_access(at, false));
             steps(world, SECOND * 3, &mut |world, _| kill(world, 1.0));
             (0..world.len()).for_each(|at| world.set_store_access(at, true));
         }
-        Trouble::Replaced => {
+        Fault::Replaced => {
             let before = world.len();
             let every = length.div_f64(before as f64).max(millis(5));
             for at in 0..before {
@@ -162,46 +162,46 @@
 }
 
 /// Plays a fault and returns the worst window.
-fn worst(vms: usize, trouble: Trouble, per_s: f64) -> Window {
+fn worst(vms: usize, fault: Fault, per_s: f64) -> Window {
     let mut world = world(vms, vms as u64 + per_s as u64);
-    play(&mut world, trouble, per_s);
+    play(&mut world, fault, per_s);
     let worst = world.repeats().worst(&settings());
-    println!("{vms} entry VMs, {per_s} requests/s, {trouble:?}: {:.2}, {worst:?}", worst.part());
+    println!("{vms} entry VMs, {per_s} requests/s, {fault:?}: {:.2}, {worst:?}", worst.part());
     worst
 }
 
-fn assert_kept(vms: usize, trouble: Trouble, per_s: f64) {
-    let worst = worst(vms, trouble, per_s);
-    assert!(worst.part() <= 1.0, "{vms} entry VMs, {per_s} requests/s, {trouble:?}: {worst:?}");
+fn assert_bound(vms: usize, fault: Fault, per_s: f64) {
+    let worst = worst(vms, fault, per_s);
+    assert!(worst.part() <= 1.0, "{vms} entry VMs, {per_s} requests/s, {fault:?}: {worst:?}");
 }
 
 /// Guards against retries drawn from a fixed share of each process, which its successor has again. Engines
 /// reject requests while entry VMs are killed in series, restarted in turn, replaced, suspended, cut off or
 /// left without a store.
 #[test]
-fn kept_over_lives() {
+fn bound_holds_over_restarts() {
     for vms in [6, 9] {
-        for trouble in Trouble::ALL {
-            assert_kept(vms, trouble, 100.0);
+        for fault in Fault::ALL {
+            assert_bound(vms, fault, 100.0);
         }
     }
 }
 
 /// The same with many entry VMs, which at their start do not know how many there are.
 #[test]
-fn kept_by_many() {
+fn bound_holds_with_many() {
     for (vms, per_s) in [(65, 100.0), (300, 300.0)] {
-        for trouble in [Trouble::Killed(1.0, 2_000), Trouble::CutThenRestarted, Trouble::Leaders(1_500)] {
-            assert_kept(vms, trouble, per_s);
+        for fault in [Fault::Killed(1.0, 2_000), Fault::CutThenRestarted, Fault::HubsKilled(1_500)] {
+            assert_bound(vms, fault, per_s);
         }
     }
-    assert_kept(984, Trouble::Killed(1.0, 5_000), 300.0);
+    assert_bound(984, Fault::Killed(1.0, 5_000), 300.0);
 }
 
 /// The worst window in which engines of a previously healthy service begin to reject requests and one hub
 /// after the other is killed. Each hub grants its whole allowance at once, since hardly any process has
 /// earned retries.
-fn worst_of_leaders(forgetful: bool) -> Window {
+fn worst_of_killed_hubs(forgetful: bool) -> Window {
     let mut world = world(9, 3);
     world.forgets_shares = forgetful;
     world.shed(0.0);
@@ -209,8 +209,8 @@
     world.shed(SHED);
     for _ in 0..8 {
         world.generate_load(SECOND * 2, 40.0);
-        if let Some(leader) = world.leader() {
-            world.restart(leader);
+        if let Some(hub) = world.leader() {
+            world.restart(hub);
         }
     }
     world.repeats().worst(&settings())
@@ -218,8 +218,8 @@
 
 /// Proves that the lease row is needed: without the counts in it, each hub has the whole slack again.
 #[test]
-fn rows_are_needed() {
-    let (kept, broken) = (worst_of_leaders(false), worst_of_leaders(true));
+fn row_counts_are_needed() {
+    let (kept, broken) = (worst_of_killed_hubs(false), worst_of_killed_hubs(true));
     println!("hubs killed: {:.2}; without counts in the row: {:.2}", kept.part(), broken.part());
     assert!(kept.part() <= 1.0, "{kept:?}");
     assert!(broken.part() > 1.0, "the missing counts were not detected: {broken:?}");
@@ -228,7 +228,7 @@
 /// Proves that the check works: with twice the ratio and the slack of the platform's bound, it must find an
 /// excess.
 #[test]
-fn ratio_is_needed() {
+fn excess_is_detected() {
     let loose = Settings { repeat_ratio: 0.4, repeat_slack: 116.0, ..settings() };
     let mut world = world_with(9, 3, loose);
     world.generate_load(settled(&settings()), 100.0);
@@ -239,7 +239,7 @@
 /// The part of the allowed retries that is used without faults.
 fn used(vms: usize, per_s: f64) -> f64 {
     let mut world = world(vms, 5);
-    world.shed(SHED_CALM);
+    world.shed(SHED_WITHOUT_FAULTS);
     world.generate_load(settled(&settings()) * 2, per_s);
     let used = world.repeats().used(world.now, &settings());
     println!("{vms} entry VMs, {per_s} requests/s: {used:.2} of the allowed retries are used");
@@ -249,7 +249,7 @@
 /// An allowed retry that is not made is a caller that is not served. With many entry VMs each gets few
 /// requests, and a fixed share of each would be less than one retry.
 #[test]
-fn used_when_calm() {
+fn allowance_is_used_without_faults() {
     for (vms, per_s) in [(9, 100.0), (9, 300.0), (65, 100.0), (65, 300.0), (300, 100.0), (300, 300.0)] {
         let used = used(vms, per_s);
         assert!(used >= 0.75, "{vms} entry VMs, {per_s} requests/s: {used:.2}");
@@ -257,7 +257,7 @@
 }
 
 /// Plays a random sequence of faults, one after the other and at the same time.
-fn any_day(u: &mut Unstructured<'_>) -> arbitrary::Result<(Vec<String>, Window)> {
+fn random_faults(u: &mut Unstructured<'_>) -> arbitrary::Result<(Vec<String>, Window)> {
     let vms = *u.choose(&[6, 9, 9, 65])?;
     let mut world = world(vms, u.arbitrary()?);
     let per_s = *u.choose(&[30.0, 100.0, 300.0])?;
@@ -282,9 +282,9 @@
 }
 
 #[test]
-fn kept_at_random() {
+fn bound_holds_at_random() {
     arbtest(|u| {
-        let (steps, worst) = any_day(u)?;
+        let (steps, worst) = random_faults(u)?;
         assert!(worst.part() <= 1.0, "{worst:?} after {steps:#?}");
         Ok(())
     })
@@ -298,8 +298,8 @@
     for vms in [9, 65, 300] {
         for per_s in [100.0, 300.0] {
             used(vms, per_s);
-            for trouble in Trouble::ALL {
-                worst(vms, trouble, per_s);
+            for fault in Fault::ALL {
+                worst(vms, fault, per_s);
             }
         }
     }
--- a/fleet/tests/request_relays.rs
+++ b/fleet/tests/request_relays.rs
@@ -15,13 +15,13 @@
 use node::{BUILD, GATEWAY, Node, address, entry, listing, millis, plain, row};
 
 /// Largest number of requests relayed at the same time.
-const MOST: usize = 512;
+const RELAYING_MAX: usize = 512;
 
 fn g1() -> Name {
     "g1".into()
 }
 
-fn pass(node: &mut Node) -> Result<(), Denial> {
+fn relay_request(node: &mut Node) -> Result<(), Denial> {
     boragecove_fleet::relay_request(
         &mut node.state,
         node.now,
@@ -37,7 +37,7 @@
 }
 
 /// An entry VM that knows another one, and only one engine of the plain service.
-fn knows_another() -> Node {
+fn with_second_entry_vm() -> Node {
     let mut node = Node::ready("a");
     node.feed(listing(vec![node::removed(10, "g2")], 10, false));
     let member =
@@ -52,7 +52,7 @@
 
 /// The entry VM loses the path to the engine while a request arrives, and the other entry VM reaches the
 /// engine. Returns the relayed attempt.
-fn lose_way(node: &mut Node) -> (Id, Attempt) {
+fn lose_path(node: &mut Node) -> (Id, Attempt) {
     let (id, attempt) = node.sent(plain("/ack/1"));
     assert_eq!(attempt.relay, None);
     node.ended(id, attempt.number, End::Unsent);
@@ -70,9 +70,9 @@
 }
 
 #[test]
-fn unknown_and_leaving() {
+fn unknown_or_leaving_engine() {
     let mut node = Node::ready("a");
-    assert_eq!(pass(&mut node), Ok(()));
+    assert_eq!(relay_request(&mut node), Ok(()));
     let other_start = Incarnation(Some(7));
     let denied =
         boragecove_fleet::relay_request(&mut node.state, node.now, &g1(), other_start, Some(&BUILD.into()));
@@ -97,44 +97,44 @@
     }
     let leaving = Entry { leaving: true, ..entry("g1", GATEWAY, "zone-a", &[]) };
     node.feed(listing(vec![row(9, leaving)], 9, false));
-    assert_eq!(pass(&mut node), Err(Denial::Unknown));
+    assert_eq!(relay_request(&mut node), Err(Denial::Unknown));
 }
 
 #[test]
-fn not_reached_here() {
+fn unreachable_from_relay() {
     let mut node = Node::ready("a");
     probed(&mut node, Port::Silent);
-    assert_eq!(pass(&mut node), Err(Denial::Unreached));
+    assert_eq!(relay_request(&mut node), Err(Denial::Unreached));
     probed(&mut node, Port::Open);
-    assert_eq!(pass(&mut node), Ok(()));
+    assert_eq!(relay_request(&mut node), Ok(()));
 }
 
 /// An entry VM that uses a relay for an engine does not relay to it: there is only one hop.
 #[test]
 fn one_hop() {
-    let mut node = knows_another();
-    lose_way(&mut node);
-    assert_eq!(pass(&mut node), Err(Denial::Unreached));
+    let mut node = with_second_entry_vm();
+    lose_path(&mut node);
+    assert_eq!(relay_request(&mut node), Err(Denial::Unreached));
 }
 
 #[test]
 fn too_many() {
     let mut node = Node::ready("a");
-    for _ in 0..MOST {
-        assert_eq!(pass(&mut node), Ok(()));
+    for _ in 0..RELAYING_MAX {
+        assert_eq!(relay_request(&mut node), Ok(()));
     }
-    assert_eq!(pass(&mut node), Err(Denial::Full));
+    assert_eq!(relay_request(&mut node), Err(Denial::Full));
     node.feed(Event::RelayEnded);
-    assert_eq!(pass(&mut node), Ok(()));
+    assert_eq!(relay_request(&mut node), Ok(()));
 }
 
 /// A stopping process accepts no more requests to relay, and exits when the last one has ended.
 #[test]
-fn stop_waits() {
+fn stop_waits_for_relayed() {
     let mut node = Node::ready("a");
-    assert_eq!(pass(&mut node), Ok(()));
+    assert_eq!(relay_request(&mut node), Ok(()));
     node.feed(Event::Stop);
-    assert_eq!(pass(&mut node), Err(Denial::Unready));
+    assert_eq!(relay_request(&mut node), Err(Denial::Unready));
     let exits = |effects: &[Effect]| effects.iter().any(|effect| matches!(effect, Effect::Exit));
     assert!(!exits(&node.advance(Duration::from_secs(3))), "one request is still being relayed");
     assert!(exits(node.feed(Event::RelayEnded)));
@@ -142,22 +142,22 @@
 
 /// After a suspension nothing is relayed until the state has been refreshed.
 #[test]
-fn after_a_standstill() {
-    let mut node = knows_another();
+fn after_suspension() {
+    let mut node = with_second_entry_vm();
     node.feed(node::listed(node.now, Vec::new(), 10, false));
-    assert_eq!(pass(&mut node), Ok(()));
+    assert_eq!(relay_request(&mut node), Ok(()));
     node.now = node.now + Duration::from_secs(3);
-    assert_eq!(pass(&mut node), Err(Denial::Unready), "a message may be read before the wake-up");
+    assert_eq!(relay_request(&mut node), Err(Denial::Unready), "a message may be read before the wake-up");
     node.feed(Event::Wake);
-    assert_eq!(pass(&mut node), Err(Denial::Unready), "the state has not been refreshed");
+    assert_eq!(relay_request(&mut node), Err(Denial::Unready), "the state has not been refreshed");
 }
 
 /// Data that arrives through a relay does not show that the engine can be reached directly; accepting
 /// connections for a second does.
 #[test]
-fn way_back() {
-    let mut node = knows_another();
-    let (id, attempt) = lose_way(&mut node);
+fn return_to_direct_path() {
+    let mut node = with_second_entry_vm();
+    let (id, attempt) = lose_path(&mut node);
     assert_eq!(attempt.relay, Some(other()));
     node.ended(id, attempt.number, End::Done);
     assert_eq!(node.sent(plain("/ack/1")).1.relay, Some(other()));
@@ -171,8 +171,8 @@
 /// A relay that fails to pass on a request is dropped, and the request waits for another path.
 #[test]
 fn relay_is_lost() {
-    let mut node = knows_another();
-    let (id, attempt) = lose_way(&mut node);
+    let mut node = with_second_entry_vm();
+    let (id, attempt) = lose_path(&mut node);
     let step = node.ended(id, attempt.number, End::Unsent);
     assert!(!matches!(step, Some(Step::Send(_) | Step::Refuse(_))), "{step:?}");
     probed(&mut node, Port::Open);
@@ -182,9 +182,9 @@
 
 /// A relayed engine is not reported to other entry VMs as suspected.
 #[test]
-fn told_to_nobody() {
-    let mut node = knows_another();
-    lose_way(&mut node);
+fn not_reported_as_suspected() {
+    let mut node = with_second_entry_vm();
+    lose_path(&mut node);
     let effects = node.advance(Duration::from_secs(1));
     let frames: Vec<_> = effects
         .iter()
@@ -198,10 +198,10 @@
 /// An entry VM that is asked about an engine's port also probes another engine as a control, and makes no
 /// statement about an engine that is relayed.
 #[test]
-fn vouches_for_nothing() {
-    let mut node = knows_another();
-    let look = boragecove_fleet::reachability_check(&node.state, node.now, &g1()).expect("a known engine");
-    assert!(look.control.is_some_and(|control| control != look.address));
-    lose_way(&mut node);
+fn no_statement_about_relayed_engine() {
+    let mut node = with_second_entry_vm();
+    let check = boragecove_fleet::reachability_check(&node.state, node.now, &g1()).expect("a known engine");
+    assert!(check.control.is_some_and(|control| control != check.address));
+    lose_path(&mut node);
     assert_eq!(boragecove_fleet::reachability_check(&node.state, node.now, &g1()), None);
 }
--- a/fleet/tests/workspace_limits.rs
+++ b/fleet/tests/workspace_limits.rs
@@ -75,20 +75,20 @@
     World::new(vms, config(1, |_| 1.0), &engines(), settings, seed)
 }
 
-/// Lets time pass while each workspace sends the part `asked` of its limit to random entry VMs.
-fn run(world: &mut World, time: Duration, asked: impl Fn(usize) -> f64) {
-    run_sized(world, time, asked, 0.0);
+/// Lets time pass while each workspace sends the part `demand` of its limit to random entry VMs.
+fn run(world: &mut World, time: Duration, demand: impl Fn(usize) -> f64) {
+    run_sized(world, time, demand, 0.0);
 }
 
 /// Like `run`, with the part `large` of the requests being large.
-fn run_sized(world: &mut World, time: Duration, asked: impl Fn(usize) -> f64, large: f64) {
+fn run_sized(world: &mut World, time: Duration, demand: impl Fn(usize) -> f64, large: f64) {
     let end = world.now + time;
     let mut due: Vec<f64> = vec![0.0; WORKSPACES];
     while world.now < end {
         let before = world.now;
         world.tick();
         for (at, due) in due.iter_mut().enumerate() {
-            *due += per_s(at) * asked(at) * world.now.since(before).as_secs_f64();
+            *due += per_s(at) * demand(at) * world.now.since(before).as_secs_f64();
             while *due > 0.0 {
                 let cost = COSTS.start + world.rng.f64() * (COSTS.end - COSTS.start);
                 let cost = if world.rng.f64() < large { cost * LARGE } else { cost };
@@ -143,29 +143,30 @@
 /// workspace. Requests are not compared one by one: one that is admitted on credit takes the place of
 /// another.
 fn below_limit(outcomes: &[Completion]) -> (f64, Vec<f64>) {
-    let mut owed = [0.0; WORKSPACES];
+    let mut expected = [0.0; WORKSPACES];
     let mut sent = [0.0; WORKSPACES];
     for at in 0..WORKSPACES {
         let (mut level, mut last) = (per_s(at), None);
         for done in outcomes.iter().filter(|done| done.workspace == name(at)) {
-            let passed = last.replace(done.at).map_or(Duration::ZERO, |last| done.at.since(last));
-            level = (level + per_s(at) * passed.as_secs_f64()).min(per_s(at));
+            let elapsed = last.replace(done.at).map_or(Duration::ZERO, |last| done.at.since(last));
+            level = (level + per_s(at) * elapsed.as_secs_f64()).min(per_s(at));
             if done.cost <= level {
                 level -= done.cost;
-                owed[at] += done.cost;
+                expected[at] += done.cost;
             }
             if done.refused.is_none() {
                 sent[at] += done.cost;
             }
         }
     }
-    let shares: Vec<f64> = sent.iter().zip(&owed).map(|(sent, owed)| (sent / owed).min(1.0)).collect();
-    let met: f64 = shares.iter().zip(&owed).map(|(share, owed)| share * owed).sum();
-    (met / owed.iter().sum::<f64>(), shares)
+    let shares: Vec<f64> =
+        sent.iter().zip(&expected).map(|(sent, expected)| (sent / expected).min(1.0)).collect();
+    let met: f64 = shares.iter().zip(&expected).map(|(share, expected)| share * expected).sum();
+    (met / expected.iter().sum::<f64>(), shares)
 }
 
 /// Part of the requests that were admitted.
-fn let_in<'a>(outcomes: impl Iterator<Item = &'a Completion>) -> f64 {
+fn admitted_part<'a>(outcomes: impl Iterator<Item = &'a Completion>) -> f64 {
     let (mut all, mut sent) = (0_u32, 0_u32);
     for done in outcomes {
         all += 1;
@@ -174,7 +175,7 @@
     f64::from(sent) / f64::from(all.max(1))
 }
 
-fn started(vms: usize, seed: u64) -> World {
+fn warmed_up(vms: usize, seed: u64) -> World {
     let mut world = world(vms, seed);
     world.advance(Duration::from_secs(6));
     world
@@ -184,7 +185,7 @@
 /// entry VMs.
 #[test]
 fn below_the_limit() {
-    let mut world = started(62, 1);
+    let mut world = warmed_up(62, 1);
     run(&mut world, Duration::from_secs(12), |_| USUAL);
     let (share, by_workspace) = below_limit(&world.outcomes);
     assert!(share >= 0.99, "{share}");
@@ -197,7 +198,7 @@
 /// be admitted at once is refused at once, without a retry-after.
 #[test]
 fn large_requests() {
-    let mut world = started(62, 10);
+    let mut world = warmed_up(62, 10);
     for (cost, refused) in [(4_000, None), (4_500, Some(Code::OverQuota))] {
         world.advance(Duration::from_secs(6));
         let arrival = Arrival { key: Some(digest(0)), tokens: Some(cost), ..plain("/ack/1") };
@@ -212,8 +213,8 @@
 
 /// A draw with invalid amounts yields no credit beyond what the bucket holds.
 #[test]
-fn hostile_questions() {
-    let mut world = started(3, 11);
+fn invalid_draws() {
+    let mut world = warmed_up(3, 11);
     world.advance(Duration::from_secs(6));
     let mut given = 0.0;
     for at in 0..world.len() {
@@ -231,67 +232,67 @@
 
 /// One workspace sends eight times its usual demand: it gets its limit, and the others lose nothing.
 #[test]
-fn hot_workspace() {
-    let mut world = started(62, 2);
+fn overloaded_workspace() {
+    let mut world = warmed_up(62, 2);
     run(&mut world, Duration::from_secs(3), |_| USUAL);
     let (begin, from) = (world.outcomes.len(), world.now);
-    let hot = WORKSPACES - 2;
-    run(&mut world, Duration::from_secs(10), |at| if at == hot { 8.0 * USUAL } else { USUAL });
+    let overloaded = WORKSPACES - 2;
+    run(&mut world, Duration::from_secs(10), |at| if at == overloaded { 8.0 * USUAL } else { USUAL });
     let during = &world.outcomes[begin..];
-    let others = let_in(during.iter().filter(|done| done.workspace != name(hot)));
+    let others = admitted_part(during.iter().filter(|done| done.workspace != name(overloaded)));
     assert!(others >= 0.99, "{others}");
-    let sent = during.iter().filter(|done| done.workspace == name(hot) && done.refused.is_none());
+    let sent = during.iter().filter(|done| done.workspace == name(overloaded) && done.refused.is_none());
     let per_second = sent.map(|done| done.cost).sum::<f64>() / world.now.since(from).as_secs_f64();
     // Each window holds the burst once more.
-    let allowed = per_s(hot) * (1.0 + 1.0 / WINDOW.as_secs_f64());
+    let allowed = per_s(overloaded) * (1.0 + 1.0 / WINDOW.as_secs_f64());
     assert!(per_second >= 0.95 * allowed, "{per_second} of {allowed}");
     let (excess, workspace) = worst_excess(&world.outcomes, &[(Time(0), config(1, |_| 1.0))]);
     assert!(excess <= 0.0, "{workspace}: {excess}");
     let unlimited: Vec<Completion> =
         world.outcomes.iter().map(|done| Completion { refused: None, ..done.clone() }).collect();
     let (excess, found) = worst_excess(&unlimited, &[(Time(0), config(1, |_| 1.0))]);
-    assert!(excess > 0.0 && found == name(hot), "the check must find an excess if nothing is refused");
+    assert!(excess > 0.0 && found == name(overloaded), "the check must find an excess if nothing is refused");
     let refused = during.iter().filter_map(|done| done.refused);
     assert!(refused.into_iter().all(|code| code == Code::OverQuota));
 }
 
 /// The hub is lost: shares stay valid.
 #[test]
-fn leader_lost() {
-    let mut world = started(62, 3);
+fn hub_lost() {
+    let mut world = warmed_up(62, 3);
     run(&mut world, Duration::from_secs(3), |_| USUAL);
-    let leader = world.leader().expect("a hub");
+    let hub = world.leader().expect("a hub");
     let begin = world.outcomes.len();
-    world.kill(leader);
+    world.kill(hub);
     run(&mut world, Duration::from_secs(8), |_| USUAL);
-    let share = let_in(world.outcomes[begin..].iter());
+    let share = admitted_part(world.outcomes[begin..].iter());
     assert!(share >= 0.99, "{share}");
 }
 
 /// The same with 300 entry VMs, whose frames are 1.5 s apart and which find the next hub later.
 #[test]
-fn leader_lost_among_many() {
-    let mut world = started(300, 3);
+fn hub_lost_among_many() {
+    let mut world = warmed_up(300, 3);
     run(&mut world, Duration::from_secs(2), |_| USUAL);
-    let leader = world.leader().expect("a hub");
+    let hub = world.leader().expect("a hub");
     let begin = world.outcomes.len();
-    world.kill(leader);
+    world.kill(hub);
     run(&mut world, Duration::from_secs(12), |_| USUAL);
-    let share = let_in(world.outcomes[begin..].iter());
+    let share = admitted_part(world.outcomes[begin..].iter());
     assert!(share >= 0.99, "{share}");
 }
 
 /// A zone that is cut off keeps using the shares it holds.
 #[test]
 fn zone_cut_off() {
-    let mut world = started(62, 4);
+    let mut world = warmed_up(62, 4);
     run(&mut world, Duration::from_secs(3), |_| USUAL);
     let begin = world.outcomes.len();
     world.cut(1, true);
     run(&mut world, Duration::from_secs(5), |_| USUAL);
     let during = &world.outcomes[begin..];
-    let cut = let_in(during.iter().filter(|done| done.vm % ZONES.len() == 1));
-    let others = let_in(during.iter().filter(|done| done.vm % ZONES.len() != 1));
+    let cut = admitted_part(during.iter().filter(|done| done.vm % ZONES.len() == 1));
+    let others = admitted_part(during.iter().filter(|done| done.vm % ZONES.len() != 1));
     assert!(cut >= 0.95, "{cut}");
     assert!(others >= 0.99, "{others}");
 }
@@ -309,13 +310,13 @@
     world.advance(Duration::from_secs(4));
     let begin = world.outcomes.len();
     run(world, Duration::from_secs(4), |_| USUAL);
-    let_in(world.outcomes[begin..].iter())
+    admitted_part(world.outcomes[begin..].iter())
 }
 
 /// All entry VMs are killed at once and restart after a second: nobody waits for shares of ended processes.
 #[test]
 fn all_restarted() {
-    let mut world = started(62, 5);
+    let mut world = warmed_up(62, 5);
     run(&mut world, Duration::from_secs(3), |_| USUAL);
     let share = restart_all(&mut world, None);
     assert!(share >= 0.95, "{share}");
@@ -325,7 +326,7 @@
 /// nobody waits for its report. Guards against a fault in which all keys were refused for ten seconds.
 #[test]
 fn all_restarted_but_one() {
-    let mut world = started(62, 8);
+    let mut world = warmed_up(62, 8);
     run(&mut world, Duration::from_secs(3), |_| USUAL);
     world.kill(17);
     run(&mut world, Duration::from_secs(5), |_| USUAL);
@@ -336,13 +337,13 @@
 /// A raised limit reaches callers within a second; a lowered one takes effect after a window.
 #[test]
 fn limits_changed() {
-    let mut world = started(62, 6);
+    let mut world = warmed_up(62, 6);
     run(&mut world, Duration::from_secs(3), |_| USUAL);
     world.configure(config(2, |_| 4.0));
     run(&mut world, Duration::from_secs(1), |_| 4.0 * USUAL);
     let begin = world.outcomes.len();
     run(&mut world, Duration::from_secs(4), |_| 4.0 * USUAL);
-    let share = let_in(world.outcomes[begin..].iter());
+    let share = admitted_part(world.outcomes[begin..].iter());
     assert!(share >= 0.99, "{share}");
     let lowered = world.now;
     world.configure(config(3, |_| 0.5));
@@ -357,25 +358,25 @@
 }
 
 /// Begins a fault of one kind.
-fn disturb(world: &mut World, kind: u8, at: usize) {
+fn inject_fault(world: &mut World, kind: u8, at: usize) {
     match kind {
         0 => world.kill(at),
         1 => world.suspend(at, true),
         2 => world.cut(at % ZONES.len(), true),
         3 => world.set_store_access(at, false),
         4 => {
-            if let Some(leader) = world.leader() {
-                world.kill(leader);
+            if let Some(hub) = world.leader() {
+                world.kill(hub);
             }
         }
         5 => {
-            if let Some(leader) = world.leader() {
-                world.suspend(leader, true);
+            if let Some(hub) = world.leader() {
+                world.suspend(hub, true);
             }
         }
         6 => {
-            if let Some(leader) = world.leader() {
-                world.set_store_access(leader, false);
+            if let Some(hub) = world.leader() {
+                world.set_store_access(hub, false);
             }
         }
         _ => world.restart(at),
@@ -384,7 +385,7 @@
 
 /// Plays a random sequence of faults. Returns the most that any workspace used beyond the bound; negative
 /// if none exceeded it.
-fn play(u: &mut Unstructured<'_>) -> arbitrary::Result<(f64, Name)> {
+fn play_random_faults(u: &mut Unstructured<'_>) -> arbitrary::Result<(f64, Name)> {
     let mut world = world(13, u.arbitrary()?);
     world.advance(Duration::from_secs(6));
     if u.ratio(1, 2)? {
@@ -394,10 +395,10 @@
         world.answers_lost = 0.3;
     }
     let large = if u.ratio(1, 2)? { 0.05 } else { 0.0 };
-    let hot: u32 = u.arbitrary()?;
-    let asked = |at: usize| if hot >> at & 1 == 1 { 8.0 * USUAL } else { USUAL };
+    let overloaded: u32 = u.arbitrary()?;
+    let demand = |at: usize| if overloaded >> at & 1 == 1 { 8.0 * USUAL } else { USUAL };
     let mut limits = vec![(Time(0), config(1, |_| 1.0))];
-    run_sized(&mut world, Duration::from_secs(2), asked, large);
+    run_sized(&mut world, Duration::from_secs(2), demand, large);
     for _ in 0..u.int_in_range(1..=5)? {
         let at = u.int_in_range(0..=world.len() - 1)?;
         match u.int_in_range(0..=11)? {
@@ -410,21 +411,21 @@
             }
             // The hub's zone keeps using its shares while the others demand what it had been given.
             10 => {
-                if let Some(leader) = world.leader() {
-                    world.cut(leader % ZONES.len(), true);
+                if let Some(hub) = world.leader() {
+                    world.cut(hub % ZONES.len(), true);
                 }
             }
             11 => world.restore_store(Duration::from_millis(u.int_in_range(0..=6_000)?)),
-            kind => disturb(&mut world, kind, at),
+            kind => inject_fault(&mut world, kind, at),
         }
         let ms = u.int_in_range(200..=4_000)?;
-        run_sized(&mut world, Duration::from_millis(ms), asked, large);
+        run_sized(&mut world, Duration::from_millis(ms), demand, large);
         if u.ratio(1, 3)? {
             world.heal();
         }
     }
     world.heal();
-    run_sized(&mut world, Duration::from_secs(3), asked, large);
+    run_sized(&mut world, Duration::from_secs(3), demand, large);
     Ok(worst_excess(&world.outcomes, &limits))
 }
 
@@ -432,9 +433,9 @@
 /// workspace get more than the platform's bound, while some demand eight times their usual and some
 /// requests are larger than a window may hold.
 #[test]
-fn sum_holds() {
+fn bound_holds_at_random() {
     arbtest(|u| {
-        let (excess, workspace) = play(u)?;
+        let (excess, workspace) = play_random_faults(u)?;
         assert!(excess <= 0.0, "{workspace}: {excess} over the bound");
         Ok(())
     })
@@ -444,7 +445,7 @@
 /// The hub's zone is cut off while all workspaces demand eight times their usual. The zone keeps using its
 /// shares, and the next hub must not give them to others. Returns the most that any workspace used beyond
 /// the bound.
-fn cut_with_the_leader(forgetful: bool) -> f64 {
+fn cut_with_hub(forgetful: bool) -> f64 {
     let mut world = world(13, 9);
     world.forgets_shares = forgetful;
     world.advance(Duration::from_secs(6));
@@ -456,40 +457,40 @@
 }
 
 #[test]
-fn leaders_zone_cut_off() {
-    let excess = cut_with_the_leader(false);
+fn hub_zone_cut_off() {
+    let excess = cut_with_hub(false);
     assert!(excess <= 0.0, "{excess} over the bound");
 }
 
 /// Proves that the check works: if the store loses the record of holders, it must find an excess.
 #[test]
-fn check_bites() {
-    let excess = cut_with_the_leader(true);
+fn check_finds_excess() {
+    let excess = cut_with_hub(true);
     assert!(excess > 0.0, "{excess}");
 }
 
 /// Entry VMs are added and get shares. Then they are cut off, the hub restarts, and the store is restored
 /// from a copy that names none of them as holders. Returns the most that any workspace used beyond the
 /// bound.
-fn holders_lost_by_the_store(blind: bool) -> f64 {
+fn holders_lost_by_restore(blind: bool) -> f64 {
     let mut world = world(3, 9);
     world.hides_era = blind;
     run(&mut world, Duration::from_secs(6), |_| USUAL);
     (0..10).for_each(|_| world.add());
     run(&mut world, Duration::from_secs(7), |_| 8.0 * USUAL);
-    let leader = world.leader().expect("a hub");
+    let hub = world.leader().expect("a hub");
     (3..world.len()).for_each(|at| world.isolate(at, true));
     world.restore_store(Duration::from_secs(8));
-    world.restart(leader);
+    world.restart(hub);
     run(&mut world, Duration::from_secs(12), |_| 8.0 * USUAL);
     worst_excess(&world.outcomes, &[(Time(0), config(1, |_| 1.0))]).0
 }
 
 /// Guards against shares that are given out twice because the row that named their holders is lost.
 #[test]
-fn copy_gives_no_share_twice() {
-    let excess = holders_lost_by_the_store(false);
+fn restored_store_gives_no_share_twice() {
+    let excess = holders_lost_by_restore(false);
     assert!(excess <= 0.0, "{excess} over the bound");
-    let excess = holders_lost_by_the_store(true);
+    let excess = holders_lost_by_restore(true);
     assert!(excess > 0.0, "the check must find an excess if the era is ignored: {excess}");
 }
--- a/fleet/tests/world/brittle.rs
+++ b/fleet/tests/world/brittle.rs
@@ -19,35 +19,35 @@
 #[derive(Debug, Default)]
 pub struct Brittle {
     /// Rejections per second that it tolerates.
-    most: f64,
-    /// Number of requests that it runs at once (`slots`) and that may queue (`room`).
+    rejections_per_s: f64,
+    /// Number of requests that it runs at once (`slots`) and that may queue (`queue_max`).
     slots: usize,
-    room: usize,
+    queue_max: usize,
     /// When each accepted request will end.
     ends: VecDeque<Time>,
     rejections: VecDeque<Time>,
     down_until: Option<Time>,
-    falls: usize,
+    crashes: usize,
 }
 
 impl World {
-    /// Makes an engine brittle: it tolerates `most` rejections per second and queues up to `room` requests.
-    pub fn make_brittle(&mut self, engine: &str, most: f64, slots: usize, room: usize) {
-        let brittle = Brittle { most, slots, room, ..Brittle::default() };
+    /// Makes an engine brittle: it tolerates `rejections_per_s` rejections per second and queues up to `queue_max` requests.
+    pub fn make_brittle(&mut self, engine: &str, rejections_per_s: f64, slots: usize, queue_max: usize) {
+        let brittle = Brittle { rejections_per_s, slots, queue_max, ..Brittle::default() };
         self.backends.as_mut().expect("engines").brittle.insert(engine.into(), brittle);
     }
 
     /// Changes the queue length of an engine without reporting it.
-    pub fn shrink(&mut self, engine: &str, room: usize) {
+    pub fn set_queue_max(&mut self, engine: &str, queue_max: usize) {
         let backends = self.backends.as_mut().expect("engines");
-        backends.brittle.get_mut(engine).expect("a brittle engine").room = room;
+        backends.brittle.get_mut(engine).expect("a brittle engine").queue_max = queue_max;
     }
 
     /// Number of crashes of brittle engines.
-    pub fn falls(&self) -> usize {
+    pub fn crashes(&self) -> usize {
         self.backends
             .as_ref()
-            .map_or(0, |backends| backends.brittle.values().map(|engine| engine.falls).sum())
+            .map_or(0, |backends| backends.brittle.values().map(|engine| engine.crashes).sum())
     }
 
     /// Whether a brittle engine rejects a request or is down; the failure is then posted to the sender.
@@ -65,11 +65,11 @@
         while engine.ends.front().is_some_and(|end| *end <= now) {
             engine.ends.pop_front();
         }
-        if engine.ends.len() < engine.slots + engine.room {
+        if engine.ends.len() < engine.slots + engine.queue_max {
             let run = Duration::from_millis(RUN_MS);
             // A queued request begins when the first of those before it has ended.
-            let place = engine.ends.len().checked_sub(engine.slots);
-            let begins = place.and_then(|at| engine.ends.get(at)).copied().unwrap_or(now);
+            let queue_position = engine.ends.len().checked_sub(engine.slots);
+            let begins = queue_position.and_then(|at| engine.ends.get(at)).copied().unwrap_or(now);
             engine.ends.push_back(begins + run);
             return false;
         }
@@ -77,8 +77,8 @@
         while engine.rejections.front().is_some_and(|at| now.since(*at) >= SECOND) {
             engine.rejections.pop_front();
         }
-        if engine.rejections.len() as f64 > engine.most {
-            engine.falls += 1;
+        if engine.rejections.len() as f64 > engine.rejections_per_s {
+            engine.crashes += 1;
             engine.down_until = Some(now + DOWN);
             engine.rejections.clear();
             engine.ends.clear();
@@ -91,6 +91,9 @@
 
     /// The rejection limit that an engine reports.
     pub(super) fn brittleness(&self, engine: &str) -> Option<f64> {
-        self.backends.as_ref().and_then(|backends| backends.brittle.get(engine)).map(|engine| engine.most)
+        self.backends
+            .as_ref()
+            .and_then(|backends| backends.brittle.get(engine))
+            .map(|engine| engine.rejections_per_s)
     }
 }
--- a/fleet/tests/world/mod.rs
+++ b/fleet/tests/world/mod.rs
@@ -12,7 +12,7 @@
 #[path = "../store/mod.rs"]
 mod store;
 pub mod streams;
-mod ways;
+mod transport;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/fleet/tests/world/repeats.rs
+++ b/fleet/tests/world/repeats.rs
@@ -23,7 +23,7 @@
     /// Requests that have arrived at an engine.
     arrived: BTreeSet<(usize, Id)>,
     /// When requests arrived again.
-    again: Vec<Time>,
+    retried: Vec<Time>,
 }
 
 /// Retries made and allowed in a window.
@@ -51,9 +51,9 @@
 
     /// Records a request that reaches an engine. Returns whether the engine rejects it; `drawn` is a random
     /// number below 1.
-    fn arrives(&mut self, now: Time, vm: usize, request: Id, drawn: f64) -> bool {
+    fn record_arrival(&mut self, now: Time, vm: usize, request: Id, drawn: f64) -> bool {
         if !self.arrived.insert((vm, request)) {
-            self.again.push(now);
+            self.retried.push(now);
         }
         drawn < self.shed
     }
@@ -69,12 +69,12 @@
         let ends = [end, end - length / 2, end - length];
         let requests = ends.map(|end| within(&self.asked, end)).into_iter().max().unwrap_or_default();
         let allowed = settings.repeat_ratio.mul_add(requests as f64, settings.repeat_slack);
-        Window { end, repeats: within(&self.again, end), allowed }
+        Window { end, repeats: within(&self.retried, end), allowed }
     }
 
     /// The window with the largest part of allowed retries used.
     pub fn worst(&self, settings: &Settings) -> Window {
-        let windows = self.again.iter().map(|end| self.window(*end, settings));
+        let windows = self.retried.iter().map(|end| self.window(*end, settings));
         windows.max_by(|one, other| one.part().total_cmp(&other.part())).unwrap_or_default()
     }
 
@@ -90,7 +90,7 @@
     pub(super) fn sheds(&mut self, vm: usize, request: Id, attempt: &Attempt) -> bool {
         let (now, drawn) = (self.now, self.rng.f64());
         let backends = self.backends.as_mut().expect("engines");
-        if !backends.repeats.arrives(now, vm, request, drawn) {
+        if !backends.repeats.record_arrival(now, vm, request, drawn) {
             return false;
         }
         let end = End::Refused(Cause::Busy);
