--- a/fleet/benches/quota.rs
+++ b/fleet/benches/quota.rs
@@ -45,7 +45,7 @@
 
 fn access(workspaces: u32) -> Access {
     let limit = Limit { per_s: 1e12, burst: 1e12, unit: Unit::Tokens { default_tokens: 200.0 } };
-    let declared = |number| {
+    let configured = |number| {
         Arc::new(Workspace {
             name: workspace(number),
             priority: None,
@@ -54,7 +54,7 @@
         })
     };
     let key = |number| Arc::new(Key { digest: digest(number), workspace: workspace(number) });
-    Access { workspaces: (0..workspaces).map(declared).collect(), keys: (0..workspaces).map(key).collect() }
+    Access { workspaces: (0..workspaces).map(configured).collect(), keys: (0..workspaces).map(key).collect() }
 }
 
 fn config(access: Option<Access>) -> Config {
@@ -97,30 +97,30 @@
     }
 }
 
-struct Leader {
+struct Hub {
     state: State,
     now: Time,
 }
 
-impl Leader {
+impl Hub {
     /// The hub, which holds shares of all limits itself until it hears from others.
     fn new(access: Option<Access>) -> Self {
         let address = SocketAddr::from(([10, 0, 0, 1], 7_000));
         let me = Identity { vm: "front-leader".into(), zone: "zone-0".into(), address };
-        let mut leader = Self { state: State::new(me, Settings::default(), 7, START), now: START };
-        leader.feed(Event::Configured(Arc::new(config(access))));
-        leader.feed(Event::EnginesRead(Listing {
+        let mut hub = Self { state: State::new(me, Settings::default(), 7, START), now: START };
+        hub.feed(Event::Configured(Arc::new(config(access))));
+        hub.feed(Event::EnginesRead(Listing {
             as_of: None,
             rows: (0..3).map(engine).collect(),
             version: 9.into(),
             whole: true,
         }));
-        leader.pass(10);
-        leader.feed(Event::Lease(Answer { store_ms: Some(0), era: Some(0), outcome: Outcome::Read(None) }));
-        leader.feed(Event::Lease(Answer { store_ms: Some(5), era: Some(0), outcome: Outcome::Written(1) }));
-        leader.pass(400);
-        leader.renewed();
-        leader
+        hub.pass(10);
+        hub.feed(Event::Lease(Answer { store_ms: Some(0), era: Some(0), outcome: Outcome::Read(None) }));
+        hub.feed(Event::Lease(Answer { store_ms: Some(5), era: Some(0), outcome: Outcome::Written(1) }));
+        hub.pass(400);
+        hub.complete_renewal();
+        hub
     }
 
     fn feed(&mut self, event: Event) {
@@ -133,7 +133,7 @@
     }
 
     /// Completes a renewal of the lease and everything that follows from it.
-    fn renewed(&mut self) {
+    fn complete_renewal(&mut self) {
         self.feed(Event::Lease(Answer { store_ms: Some(400), era: Some(0), outcome: Outcome::Written(2) }));
         self.pass(200);
     }
@@ -164,20 +164,20 @@
 /// A request that arrives, is sent and ends: without keys, and with a key and a limit.
 #[divan::bench(args = [false, true])]
 fn request(bencher: Bencher<'_, '_>, keyed: bool) {
-    let mut leader = Leader::new(keyed.then(|| access(16)));
+    let mut hub = Hub::new(keyed.then(|| access(16)));
     let key = keyed.then(|| digest(3));
     let mut id = 0;
     bencher.bench_local(|| {
         id += 1;
-        leader.request(id, key);
+        hub.request(id, key);
     });
-    assert!(leader.state.refusals().is_empty(), "{:?}", leader.state.refusals());
+    assert!(hub.state.refusals().is_empty(), "{:?}", hub.state.refusals());
 }
 
 /// The answer to a frame of an entry VM that holds shares.
 #[divan::bench(args = SIZES, sample_count = 50, sample_size = 1)]
 fn frame(bencher: Bencher<'_, '_>, (vms, workspaces, zones): (usize, u32, usize)) {
-    let mut leader = Leader::new(Some(access(workspaces)));
+    let mut hub = Hub::new(Some(access(workspaces)));
     let frame = |vm: usize, number: u64| Frame {
         number,
         vm: format!("front-{vm}").into(),
@@ -189,13 +189,13 @@
         ..Frame::default()
     };
     for vm in 0..vms {
-        leader.feed(Event::FrameReceived(Box::new(frame(vm, 1))));
+        hub.feed(Event::FrameReceived(Box::new(frame(vm, 1))));
     }
-    leader.pass(400);
-    leader.renewed();
+    hub.pass(400);
+    hub.complete_renewal();
     let mut number = 1;
     bencher.bench_local(|| {
         number += 1;
-        boragecove_fleet::reply_to_frame(&mut leader.state, leader.now, &frame(number as usize % vms, number))
+        boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(number as usize % vms, number))
     });
 }
--- a/fleet/tests/links/mod.rs
+++ b/fleet/tests/links/mod.rs
@@ -86,7 +86,7 @@
 
 impl Vm {
     /// Bytes per second that its link carries now.
-    fn carries(&self) -> f64 {
+    fn current_rate(&self) -> f64 {
         if self.suspended { 0.0 } else { self.rate }
     }
 }
@@ -138,7 +138,7 @@
     pub fn apply(&mut self, at: usize, event: Event) -> Vec<Effect> {
         let effects = boragecove_fleet::apply(&mut self.vms[at].state, self.now, event);
         for effect in &effects {
-            self.carry(at, effect.clone());
+            self.perform(at, effect.clone());
         }
         effects
     }
@@ -246,7 +246,7 @@
         }
         self.transfers = kept;
         for (late, transfer) in over {
-            if late { self.given_up(&transfer) } else { self.arrived(transfer) }
+            if late { self.timed_out(&transfer) } else { self.deliver(transfer) }
         }
     }
 
@@ -259,8 +259,8 @@
             receiving[transfer.to] += 1;
         }
         for transfer in self.transfers.iter_mut().filter(|transfer| transfer.begins <= now) {
-            let up = self.vms[transfer.from].carries() / f64::from(sending[transfer.from]);
-            let down = self.vms[transfer.to].carries() / f64::from(receiving[transfer.to]);
+            let up = self.vms[transfer.from].current_rate() / f64::from(sending[transfer.from]);
+            let down = self.vms[transfer.to].current_rate() / f64::from(receiving[transfer.to]);
             if up.min(down) > 0.0 {
                 transfer.bytes -= up.min(down) * TICK.as_secs_f64();
                 transfer.moved = now;
@@ -278,7 +278,7 @@
         (0..self.vms.len()).find(|vm| of(*vm)).expect("address of an entry VM")
     }
 
-    fn arrived(&mut self, transfer: Transfer) {
+    fn deliver(&mut self, transfer: Transfer) {
         let Transfer { from, to, limit, load, .. } = transfer;
         match load {
             Load::Frame(frame) => {
@@ -291,7 +291,7 @@
         }
     }
 
-    fn given_up(&mut self, transfer: &Transfer) {
+    fn timed_out(&mut self, transfer: &Transfer) {
         match &transfer.load {
             Load::Frame(_) => self.feed(transfer.from, Event::Replied(None)),
             Load::Reply(_) => self.feed(transfer.to, Event::Replied(None)),
@@ -299,7 +299,7 @@
         }
     }
 
-    fn carry(&mut self, at: usize, effect: Effect) {
+    fn perform(&mut self, at: usize, effect: Effect) {
         match effect {
             Effect::Frame { address, frame } => {
                 let to = self.at(address);
