--- a/fleet/src/choose.rs
+++ b/fleet/src/choose.rs
@@ -283,7 +283,7 @@
 fn takes_call(engine: &Engine, now: Time, query: Query<'_>, run_ms: f64, drawn: f64) -> bool {
     let answer_ms = queue_ms(engine, engine.own_load, run_ms) + run_ms;
     let late = is_full(engine, engine.own_load) && answer_ms > ms(query.target);
-    !late && engine.share.admits(now, drawn)
+    !late && engine.throttle.admits(now, drawn)
 }
 
 fn ms(time: Duration) -> f64 {
@@ -306,7 +306,7 @@
         cost += settings.zone_ms;
     }
     if settings.is_enabled(Mechanism::RecentFailures) {
-        cost += engine.health.faults(now, settings) * settings.fault_ms;
+        cost += engine.health.recent_failures(now, settings) * settings.fault_ms;
     }
     cost
 }
--- a/fleet/src/engine.rs
+++ b/fleet/src/engine.rs
@@ -16,7 +16,7 @@
 pub use health::Health;
 
 /// Fraction of an engine's slots in use above which a new request may have to wait for one. It is below 1 because loads are known with a delay.
-const CROWDED: f64 = 0.7;
+const CROWDED_FRACTION: f64 = 0.7;
 
 /// An engine's entry in the store, which it writes itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -206,7 +206,7 @@
     /// The schedule of prompts for it. It is exact at the entry VM that owns the schedule, and an estimate elsewhere.
     pub schedule: Schedule,
     /// Its share of the requests of a service that does not run models.
-    pub share: Throttle,
+    pub throttle: Throttle,
     /// Its health as observed by this process.
     pub health: Health,
     /// The network path to it.
@@ -232,7 +232,7 @@
             cold: None,
             own_load: Load::default(),
             others_load: Load::default(),
-            share: Throttle::default(),
+            throttle: Throttle::default(),
             schedule: Schedule::default(),
             health: Health::default(),
             path: Path::default(),
@@ -260,7 +260,7 @@
     /// Whether so many requests are in flight there that a new one may have to wait for a slot.
     #[must_use]
     pub fn is_crowded(&self) -> bool {
-        f64::from(self.load().open) > CROWDED * f64::from(self.entry.slots)
+        f64::from(self.load().open) > CROWDED_FRACTION * f64::from(self.entry.slots)
     }
 
     /// Whether it is leaving or gone: according to its row, to its own announcement, or because another engine responds at its address.
--- a/fleet/src/engine/health.rs
+++ b/fleet/src/engine/health.rs
@@ -7,7 +7,7 @@
 use crate::settings::Settings;
 
 /// How long a healthy engine may send nothing and accept no connections.
-const SILENT_MAX: Duration = Duration::from_millis(1_500);
+const SILENCE_MAX: Duration = Duration::from_millis(1_500);
 
 /// The health of an engine as observed by this process.
 #[derive(Clone, Debug, Default)]
@@ -17,14 +17,14 @@
     /// Since when it has been suspected without any response from it.
     pub(crate) suspected_since: Option<Time>,
     /// Whether its port refused the last connection attempt: its process has ended, or a device on the path rejects connections to it.
-    pub(crate) refuses: bool,
+    pub(crate) connection_refused: bool,
     /// Until when it wants no requests from this process, as it stated in a rejection.
     pub paused_until: Option<Time>,
     /// Duration of the last suspicion; it doubles each time.
     pub suspicion: Duration,
     /// Number of recent failures, which decays exponentially.
-    faults: f64,
-    faults_at: Time,
+    failures: f64,
+    failures_at: Time,
     /// When it last responded.
     pub last_heard: Time,
     /// When this process last sent a request to it.
@@ -43,7 +43,7 @@
         self.last_heard = now;
         self.suspect_until = None;
         self.suspected_since = None;
-        self.refuses = false;
+        self.connection_refused = false;
         self.suspicion = Duration::ZERO;
     }
 
@@ -58,7 +58,7 @@
     /// Whether its silence may be temporary, so that it can still resume with its models and requests in place.
     #[must_use]
     pub fn may_resume(&self, now: Time) -> bool {
-        !self.refuses && self.suspected_since.is_some_and(|since| now.since(since) < SILENT_MAX)
+        !self.connection_refused && self.suspected_since.is_some_and(|since| now.since(since) < SILENCE_MAX)
     }
 
     /// Whether it is suspected at `now`.
@@ -75,14 +75,14 @@
 
     /// Records the failure of a request that had been sent to it.
     pub fn record_failure(&mut self, now: Time, settings: &Settings) {
-        self.faults = self.faults(now, settings) + 1.0;
-        self.faults_at = now;
+        self.failures = self.recent_failures(now, settings) + 1.0;
+        self.failures_at = now;
     }
 
     /// Number of recent failures, decayed to `now`.
     #[must_use]
-    pub fn faults(&self, now: Time, settings: &Settings) -> f64 {
-        let halvings = now.since(self.faults_at).as_secs_f64() / settings.fault_half_life.as_secs_f64();
-        self.faults * (-halvings).exp2()
+    pub fn recent_failures(&self, now: Time, settings: &Settings) -> f64 {
+        let halvings = now.since(self.failures_at).as_secs_f64() / settings.fault_half_life.as_secs_f64();
+        self.failures * (-halvings).exp2()
     }
 }
--- a/fleet/src/outcome.rs
+++ b/fleet/src/outcome.rs
@@ -202,8 +202,8 @@
     let queued = engine.load().open + 1 >= engine.entry.slots;
     let waited = if queued { took.saturating_sub(run) } else { Duration::ZERO };
     match end {
-        End::Done => engine.share.answered(now, waited, target.saturating_sub(run)),
-        End::Refused(Cause::Busy) => engine.share.rejected(now),
+        End::Done => engine.throttle.answered(now, waited, target.saturating_sub(run)),
+        End::Refused(Cause::Busy) => engine.throttle.rejected(now),
         End::Failed | End::Unsent | End::Withheld | End::Lost | End::Broken | End::Refused(_) => {}
     }
 }
--- a/fleet/src/suspicion.rs
+++ b/fleet/src/suspicion.rs
@@ -124,7 +124,7 @@
     crash::probed(state, now, engine, reach, out);
     if reach != Port::Open {
         if let Some(known) = state.engines.get_mut(engine) {
-            known.health.refuses = reach == Port::Closed;
+            known.health.connection_refused = reach == Port::Closed;
         }
         unreachable(state, now, engine, out);
         return;
