--- a/fleet/src/frame/answered.rs
+++ b/fleet/src/frame/answered.rs
@@ -116,7 +116,7 @@
     {
         learn(state, reply.residency_version, residencies);
     }
-    freshness::replied(state, now, sent, out);
+    freshness::hub_replied(state, now, sent, out);
     follow(state, now, out);
     let waited = state.waiting.len();
     flow::rescan_waiting(state, now, out);
@@ -177,7 +177,7 @@
     tables::receive_rows(state, now, rows, Source::Reply, out);
     departure::drop_pending(state, out);
     if let Some(as_of) = as_of.filter(|_| state.hub.fresh && reply.era == state.era.number()) {
-        tables::confirm_returned(state, now, as_of, out);
+        tables::confirm_resurrected(state, now, as_of, out);
     }
     true
 }
--- a/fleet/src/freshness.rs
+++ b/fleet/src/freshness.rs
@@ -21,7 +21,7 @@
 use crate::timer::Timer;
 
 /// How long to wait for the hub before the store is queried too: a round trip to the hub takes some milliseconds.
-const LEADER_LIMIT: Duration = Duration::from_millis(100);
+const HUB_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// The age of this process's view of the engines' table.
 #[derive(Debug, Default)]
@@ -29,13 +29,13 @@
     /// All writes that the store accepted up to this time are known here; none before the first confirmation.
     at: Option<Time>,
     /// Since when a refresh is awaited; none if the view is recent enough to route by.
-    doubt: Option<Time>,
+    refreshing_since: Option<Time>,
     /// Requests held back until the refresh has ended.
     held: Vec<Id>,
     /// Number of stalls of the process.
-    standstills: u64,
+    stalls: u64,
     /// When it last resumed after a stall.
-    awake_since: Time,
+    resumed_at: Time,
 }
 
 /// A confirmation that the view of the engines' table is complete up to some time.
@@ -57,17 +57,17 @@
 
     /// Number of stalls of the process.
     pub(crate) const fn stalls(&self) -> u64 {
-        self.standstills
+        self.stalls
     }
 
     /// When the process last resumed after a stall. Messages that arrived during the stall may not have been read yet.
     pub(crate) const fn resumed_at(&self) -> Time {
-        self.awake_since
+        self.resumed_at
     }
 
     /// Whether requests are held back until a refresh has ended.
     pub(crate) const fn awaits_refresh(&self) -> bool {
-        self.doubt.is_some()
+        self.refreshing_since.is_some()
     }
 
     /// Holds a request back until the refresh has ended.
@@ -77,17 +77,17 @@
 }
 
 /// Takes over a confirmation, and ends a pending refresh if it is recent enough.
-pub(crate) fn renew(state: &mut State, now: Time, word: Confirmation, out: &mut Vec<Effect>) {
-    let Confirmation { asked, age, source } = word;
+pub(crate) fn renew(state: &mut State, now: Time, confirmation: Confirmation, out: &mut Vec<Effect>) {
+    let Confirmation { asked, age, source } = confirmation;
     let before = state.freshness.at;
     state.freshness.at = before.max(Some(asked - age));
     if state.freshness.at > before {
-        let settling = pin::settling_time(state);
-        state.history.confirm(asked - age, before, settling);
+        let settling_time = pin::settling_time(state);
+        state.history.confirm(asked - age, before, settling_time);
     }
-    let newer = state.freshness.doubt.is_some_and(|since| asked >= since);
+    let newer = state.freshness.refreshing_since.is_some_and(|since| asked >= since);
     if newer && age <= state.settings.departure_bound.relayed_age_max() {
-        go_on(state, now, source, out);
+        end_refresh(state, now, source, out);
     }
 }
 
@@ -108,71 +108,71 @@
     if late < bound.stall_threshold() {
         return;
     }
-    state.freshness.standstills += 1;
-    state.freshness.awake_since = now;
+    state.freshness.stalls += 1;
+    state.freshness.resumed_at = now;
     let age = state.freshness.age(now);
     out.push(Effect::Record(Record::StoodStill {
         for_ms: ms(late),
         listed_age_ms: age.map(ms),
-        led: leads_itself(state),
+        led: acts_as_hub(state),
     }));
     if !is_old(state, now) {
         return;
     }
-    state.freshness.doubt = Some(now);
+    state.freshness.refreshing_since = Some(now);
     state.timers.set(now + bound.poll_interval_max(), Timer::RefreshTimeout(now));
     flow::cancel_all_reservations(state, now, out);
-    if leads_itself(state) {
-        ask_store(state, out);
+    if acts_as_hub(state) {
+        query_store(state, out);
     } else {
         frame::send(state, now, out);
-        state.timers.set(now + LEADER_LIMIT, Timer::Refresh(now));
+        state.timers.set(now + HUB_TIMEOUT, Timer::Refresh(now));
     }
 }
 
 /// Whether no other process is known to be the hub.
-fn leads_itself(state: &State) -> bool {
+fn acts_as_hub(state: &State) -> bool {
     state.lease.hub().is_none_or(|row| row.holder == state.me.vm)
 }
 
-fn ask_store(state: &State, out: &mut Vec<Effect>) {
+fn query_store(state: &State, out: &mut Vec<Effect>) {
     let (after, limit) = (state.engines_revision, state.settings.departure_bound.poll_interval_max());
     out.push(Effect::Refresh { after, limit });
 }
 
 /// Handles the hub's reply to a frame sent at `sent`. If it was sent before the stall, its reply does not cover the time since, so that
 /// another frame is sent.
-pub(crate) fn replied(state: &mut State, now: Time, sent: Option<Time>, out: &mut Vec<Effect>) {
-    let doubt = state.freshness.doubt;
-    if doubt.is_some_and(|since| sent.is_none_or(|sent| sent < since)) {
+pub(crate) fn hub_replied(state: &mut State, now: Time, sent: Option<Time>, out: &mut Vec<Effect>) {
+    let refreshing_since = state.freshness.refreshing_since;
+    if refreshing_since.is_some_and(|since| sent.is_none_or(|sent| sent < since)) {
         frame::send(state, now, out);
     }
 }
 
 /// Queries the store because the hub has not answered in time after the stall at `since`.
 pub(crate) fn refresh(state: &State, since: Time, out: &mut Vec<Effect>) {
-    if state.freshness.doubt == Some(since) {
-        ask_store(state, out);
+    if state.freshness.refreshing_since == Some(since) {
+        query_store(state, out);
     }
 }
 
 /// Ends a pending refresh without success: the store returned nothing newer.
 pub(crate) fn refresh_failed(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.freshness.awaits_refresh() {
-        go_on(state, now, "nobody", out);
+        end_refresh(state, now, "nobody", out);
     }
 }
 
 /// Ends a refresh that has been pending since `since` for as long as callers may be kept waiting.
 pub(crate) fn give_up(state: &mut State, now: Time, since: Time, out: &mut Vec<Effect>) {
-    if state.freshness.doubt == Some(since) {
-        go_on(state, now, "nobody", out);
+    if state.freshness.refreshing_since == Some(since) {
+        end_refresh(state, now, "nobody", out);
     }
 }
 
 /// Ends the pending refresh and releases the held requests.
-fn go_on(state: &mut State, now: Time, source: &'static str, out: &mut Vec<Effect>) {
-    let Some(since) = state.freshness.doubt.take() else {
+fn end_refresh(state: &mut State, now: Time, source: &'static str, out: &mut Vec<Effect>) {
+    let Some(since) = state.freshness.refreshing_since.take() else {
         return;
     };
     let held = std::mem::take(&mut state.freshness.held);
--- a/fleet/src/reduce.rs
+++ b/fleet/src/reduce.rs
@@ -188,7 +188,7 @@
         Timer::LoadWait(request) => flow::wait_expired(state, now, request, out),
         Timer::Silence(request, attempt) => outcome::check_silence(state, now, request, attempt, out),
         Timer::Probe(engine) => suspicion::suspicion_expired(state, now, &engine, out),
-        Timer::EntryExpiry(engine) => tables::lapsed(state, now, &engine, out),
+        Timer::EntryExpiry(engine) => tables::entry_expired(state, now, &engine, out),
         Timer::EvacuationExpiry => evacuation::expire_missing(state, now, out),
         Timer::QuotaRetry(request) => quota::retry_draw(state, now, request, out),
         Timer::RescheduleWaiting(engine) => rate_limit::recall(state, now, &engine, out),
--- a/fleet/src/tables.rs
+++ b/fleet/src/tables.rs
@@ -24,7 +24,7 @@
 use crate::revision::Revision;
 use crate::rollout;
 use crate::state::{Gap, State};
-pub(crate) use row::lapsed;
+pub(crate) use row::entry_expired;
 use row::take;
 
 /// Takes over a version of the configuration, unless it is lower than the current one.
@@ -68,12 +68,12 @@
 }
 
 /// Records whether the store can be reached.
-pub(crate) fn set_store_reachable(state: &mut State, now: Time, up: bool, out: &mut Vec<Effect>) {
-    if up != state.store_up {
-        state.store_up = up;
-        out.push(Effect::Record(Record::Store { state: if up { "found" } else { "lost" } }));
+pub(crate) fn set_store_reachable(state: &mut State, now: Time, reachable: bool, out: &mut Vec<Effect>) {
+    if reachable != state.store_up {
+        state.store_up = reachable;
+        out.push(Effect::Record(Record::Store { state: if reachable { "found" } else { "lost" } }));
     }
-    if up {
+    if reachable {
         state.table_read_at = Some(now);
     } else {
         state.store_failing_since = Some(now);
@@ -94,7 +94,7 @@
 pub(crate) fn config_read(state: &mut State, now: Time, read: &Outcome, out: &mut Vec<Effect>) {
     let Outcome { version, config, asked } = *read;
     era::observe(state, now, version.era, out);
-    if outdated(state, "config", version.era, out) {
+    if reject_outdated(state, "config", version.era, out) {
         return;
     }
     // A restored copy of the store may have an older configuration than the current one until the operator writes that again.
@@ -108,7 +108,7 @@
 }
 
 /// Whether an answer of the store is from before its last restore. Such answers are counted and logged.
-fn outdated(state: &mut State, what: &'static str, era: u64, out: &mut Vec<Effect>) -> bool {
+fn reject_outdated(state: &mut State, what: &'static str, era: u64, out: &mut Vec<Effect>) -> bool {
     if !era::is_outdated(state, era) {
         return false;
     }
@@ -122,39 +122,39 @@
     state: &mut State,
     now: Time,
     listing: Listing,
-    road: Source,
+    source: Source,
     out: &mut Vec<Effect>,
 ) {
     era::observe(state, now, listing.version.era, out);
-    if outdated(state, "engines", listing.version.era, out) {
+    if reject_outdated(state, "engines", listing.version.era, out) {
         return;
     }
     let before = state.engines_revision;
     let mut changed = 0;
     if listing.whole {
-        changed += missing(state, now, &listing, road, out);
-        note_whole(state, listing.version);
+        changed += remove_missing(state, now, &listing, source, out);
+        record_complete_read(state, listing.version);
     }
-    let passed_over = passed_over(state, &listing);
+    let skipped_rows = skipped_rows(state, &listing);
     let as_of = listing.as_of.unwrap_or_default();
     for row in listing.rows {
-        changed += usize::from(take(state, now, as_of, row, road, out));
+        changed += usize::from(take(state, now, as_of, row, source, out));
     }
     departure::notify(state, now, out);
-    if let Some(record) = passed_over {
+    if let Some(record) = skipped_rows {
         out.push(Effect::Record(record));
     }
     state.engines_revision = state.engines_revision.max(listing.version);
     state.era.set_first_listed(listing.version.version);
     if let Some(as_of) = listing.as_of {
-        if road == Source::Table {
-            let word = Confirmation { asked: as_of, age: Duration::ZERO, source: "store" };
-            freshness::renew(state, now, word, out);
+        if source == Source::Table {
+            let confirmation = Confirmation { asked: as_of, age: Duration::ZERO, source: "store" };
+            freshness::renew(state, now, confirmation, out);
         }
-        confirm_returned(state, now, as_of, out);
+        confirm_resurrected(state, now, as_of, out);
     }
     if before.is_known() && before.era < listing.version.era {
-        reread(state, now, out);
+        log_first_listing(state, now, out);
     }
     if changed > 0 {
         out.push(Effect::Record(Record::Listed {
@@ -175,19 +175,19 @@
     state: &mut State,
     now: Time,
     rows: Vec<Row>,
-    road: Source,
+    source: Source,
     out: &mut Vec<Effect>,
 ) {
     for row in rows {
         era::observe(state, now, row.version.era, out);
         if !era::is_outdated(state, row.version.era) {
-            take(state, now, Time::default(), row, road, out);
+            take(state, now, Time::default(), row, source, out);
         }
     }
 }
 
 /// Records a complete read of the table. Removals between it and the revision known before may be unknown here.
-fn note_whole(state: &mut State, version: Revision) {
+fn record_complete_read(state: &mut State, version: Revision) {
     if !state.engines_revision.is_known() {
         state.tombstones_since = version;
         return;
@@ -199,7 +199,7 @@
 }
 
 /// Logs the first listing of the engines' table in a new era.
-fn reread(state: &State, now: Time, out: &mut Vec<Effect>) {
+fn log_first_listing(state: &State, now: Time, out: &mut Vec<Effect>) {
     out.push(Effect::Record(Record::Reread {
         era: state.engines_revision.era,
         version: state.engines_revision.version,
@@ -210,27 +210,33 @@
 }
 
 /// Removes engines that a complete listing does not contain. Returns how many of them had counted as present.
-fn missing(state: &mut State, now: Time, listing: &Listing, road: Source, out: &mut Vec<Effect>) -> usize {
+fn remove_missing(
+    state: &mut State,
+    now: Time,
+    listing: &Listing,
+    source: Source,
+    out: &mut Vec<Effect>,
+) -> usize {
     let named: FxHashSet<&Name> = listing.rows.iter().map(|row| &row.id).collect();
     let known = state.engines.values().filter(|engine| engine.version <= listing.version);
     let known = known.map(|engine| &engine.entry.id);
     // The others may have received entries that a restored copy of the store had.
-    let returned = state.resurrected.keys().filter(|id| !state.engines.contains_key(*id));
-    let gone = known.chain(returned).filter(|id| !named.contains(id));
+    let resurrected = state.resurrected.keys().filter(|id| !state.engines.contains_key(*id));
+    let gone = known.chain(resurrected).filter(|id| !named.contains(id));
     let gone: Vec<Name> = gone.cloned().collect();
     // A restored copy of the store lacks the engines that registered after it was made.
-    let lapses = state.era.rewrite_time_left(now, &state.settings);
+    let grace_left = state.era.rewrite_time_left(now, &state.settings);
     let mut changed = 0;
     for id in gone {
-        let row = Row { id, version: listing.version, entry: None, grace_left: lapses };
-        changed += usize::from(take(state, now, now, row, road, out));
+        let row = Row { id, version: listing.version, entry: None, grace_left };
+        changed += usize::from(take(state, now, now, row, source, out));
     }
     changed
 }
 
 /// Counts the rows that are older than those already known, and returns a log record for them if there are any.
-fn passed_over(state: &mut State, listing: &Listing) -> Option<Record> {
-    let older = |row: &Row| known(state, &row.id).filter(|known| *known > row.version);
+fn skipped_rows(state: &mut State, listing: &Listing) -> Option<Record> {
+    let older = |row: &Row| newest_revision(state, &row.id).filter(|known| *known > row.version);
     let mut passed = listing.rows.iter().filter_map(|row| older(row).map(|known| (row, known)));
     let (row, known) = passed.next()?;
     let rows = 1 + passed.count();
@@ -247,14 +253,14 @@
 }
 
 /// Returns the store's revision of the newest known row of an engine.
-fn known(state: &State, id: &Name) -> Option<Revision> {
+fn newest_revision(state: &State, id: &Name) -> Option<Revision> {
     let listed = state.engines.get(id).map(|engine| engine.version);
     listed.max(state.tombstones.get(id).map(|removed| removed.version))
 }
 
 /// Accepts the entries that were in doubt after a restore, once the view of the table is complete up to a time by which the store would have
 /// removed the entries of engines that are gone.
-pub(crate) fn confirm_returned(state: &mut State, now: Time, as_of: Time, out: &mut Vec<Effect>) {
+pub(crate) fn confirm_resurrected(state: &mut State, now: Time, as_of: Time, out: &mut Vec<Effect>) {
     if state.resurrected.is_empty() || state.era.may_list_removed(as_of, &state.settings) {
         return;
     }
