--- a/fleet/src/access.rs
+++ b/fleet/src/access.rs
@@ -14,7 +14,7 @@
 
 /// `Retry-After` for a caller whose key cannot be checked for lack of a proof ([`crate::proof`]): another entry VM may have a proof, and this
 /// one may get one within a few calls to the store.
-const UNPROVEN_COME_BACK: Duration = Duration::from_millis(500);
+const UNPROVEN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Returns the workspace that a request belongs to. There is none if the deployment uses no keys, or if the route is public and the key is
 /// missing or unknown.
@@ -71,5 +71,5 @@
 
 /// The refusal of a key while there is no proof that keys are still valid.
 const fn unproven() -> Refusal {
-    Refusal { code: Code::KeyUnproven, retry_after: Some(UNPROVEN_COME_BACK) }
+    Refusal { code: Code::KeyUnproven, retry_after: Some(UNPROVEN_RETRY_AFTER) }
 }
--- a/fleet/src/cursor.rs
+++ b/fleet/src/cursor.rs
@@ -8,9 +8,9 @@
     /// Number of local changes.
     changes: u64,
     /// The last local change that the hub has.
-    told: u64,
+    reported: u64,
     /// The last of the hub's changes that this process has.
-    known: Position,
+    hub_position: Position,
 }
 
 impl Cursor {
@@ -27,33 +27,33 @@
 
     /// Whether the hub lacks a change.
     pub(crate) const fn is_unreported(&self, number: u64) -> bool {
-        number > self.told
+        number > self.reported
     }
 
     /// Handles a reply by the hub of this term to a frame that reported the changes up to `changes`. Returns whether this is another hub than
     /// before, which has none of the changes yet.
     pub(crate) fn hub_replied(&mut self, term: u64, changes: u64) -> bool {
-        if term == self.known.term {
-            self.told = self.told.max(changes);
+        if term == self.hub_position.term {
+            self.reported = self.reported.max(changes);
             return false;
         }
-        self.known = Position { term, version: 0 };
-        self.told = 0;
+        self.hub_position = Position { term, version: 0 };
+        self.reported = 0;
         true
     }
 
     /// The last of the hub's changes that this process has.
     pub(crate) const fn hub_position(&self) -> Position {
-        self.known
+        self.hub_position
     }
 
-    /// As the hub of this term, returns the last of its changes that an entry VM with the view `known` has.
-    pub(crate) const fn acknowledged(term: u64, known: Position) -> u64 {
-        if known.term == term { known.version } else { 0 }
+    /// As the hub of this term, returns the last of its changes that an entry VM at `position` has.
+    pub(crate) const fn acknowledged(term: u64, position: Position) -> u64 {
+        if position.term == term { position.version } else { 0 }
     }
 
     /// Records that this process has all of the hub's changes up to this one.
     pub(crate) const fn set_hub_version(&mut self, version: u64) {
-        self.known.version = version;
+        self.hub_position.version = version;
     }
 }
--- a/fleet/src/departure.rs
+++ b/fleet/src/departure.rs
@@ -16,7 +16,7 @@
 use crate::state::State;
 
 /// Maximum number of remembered announcements; beyond it the oldest is dropped.
-const WORDS_MAX: usize = 1_000;
+const ANNOUNCEMENTS_MAX: usize = 1_000;
 
 /// How this process learned that an engine is leaving or gone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -72,14 +72,14 @@
 
 /// An announcement by one start of an engine that it is leaving.
 #[derive(Clone, Copy, Debug)]
-struct Word {
+struct Announcement {
     incarnation: Incarnation,
     /// When this process received it.
     at: Time,
-    /// Its number among the changes of the announcements kept here.
+    /// Its number among the changes of the announcements stored here.
     number: u64,
     /// Whether this process has to report it to the hub.
-    own: bool,
+    report: bool,
 }
 
 /// The part of the hub's reply to a frame that concerns announcements of engines.
@@ -97,11 +97,11 @@
 
 /// Departures found since the last notification to the others.
 #[derive(Debug, Default)]
-struct News {
+struct Pending {
     /// Engines that are leaving or gone according to their rows.
     rows: Vec<Name>,
     /// Announcements by engines themselves.
-    words: Vec<Start>,
+    announcements: Vec<Start>,
 }
 
 /// The engines' own announcements that they are leaving, which are known independently of their rows, and which of them the other entry VMs
@@ -110,12 +110,12 @@
 /// An older row, or a row that expires and is written again, does not revoke an announcement.
 #[derive(Debug, Default)]
 pub(crate) struct Departures {
-    words: BTreeMap<Name, Word>,
+    announcements: BTreeMap<Name, Announcement>,
     /// Numbers the changes of the announcements.
-    exchange: Cursor,
+    cursor: Cursor,
     /// The number of the last change that was broadcast without a hub.
-    spread: u64,
-    news: News,
+    broadcast: u64,
+    pending: Pending,
     /// Number of departures learned here, by source.
     pub(crate) learned: BTreeMap<Source, u64>,
     /// Number of departures of which others were notified, by audience.
@@ -125,59 +125,66 @@
 impl Departures {
     /// Whether this start of an engine has announced that it is leaving.
     pub(crate) fn is_leaving(&self, engine: &Name, incarnation: Incarnation) -> bool {
-        self.words.get(engine).is_some_and(|word| word.incarnation == incarnation)
+        self.announcements.get(engine).is_some_and(|announcement| announcement.incarnation == incarnation)
     }
 
-    /// Stores the announcement of an engine's start. `own`: whether it has to be reported to the hub.
-    fn insert(&mut self, engine: Name, incarnation: Incarnation, own: bool, now: Time) {
-        if self.words.len() >= WORDS_MAX {
-            let earliest = self.words.iter().min_by_key(|(_, word)| word.at);
+    /// Stores the announcement of an engine's start. `report`: whether it has to be reported to the hub.
+    fn insert(&mut self, engine: Name, incarnation: Incarnation, report: bool, now: Time) {
+        if self.announcements.len() >= ANNOUNCEMENTS_MAX {
+            let earliest = self.announcements.iter().min_by_key(|(_, announcement)| announcement.at);
             if let Some(earliest) = earliest.map(|(engine, _)| engine.clone()) {
-                self.words.remove(&earliest);
+                self.announcements.remove(&earliest);
             }
         }
-        let number = self.exchange.next();
-        self.words.insert(engine, Word { incarnation, at: now, number, own });
+        let number = self.cursor.next();
+        self.announcements.insert(engine, Announcement { incarnation, at: now, number, report });
     }
 
     /// Handles the removal of an engine. Without a start time in the announcement, a later start under the same id could not be told apart
     /// from the one that left, so that its announcement is dropped.
     pub(crate) fn engine_removed(&mut self, engine: &Name) {
-        if self.words.get(engine).is_some_and(|word| word.incarnation.0.is_none()) {
-            self.words.remove(engine);
+        if self.announcements.get(engine).is_some_and(|announcement| announcement.incarnation.0.is_none()) {
+            self.announcements.remove(engine);
         }
     }
 
     /// Notes that an engine's row shows it as leaving or gone, which the previous row did not.
     pub(crate) fn row_departed(&mut self, engine: &Name) {
-        self.news.rows.push(engine.clone());
+        self.pending.rows.push(engine.clone());
     }
 
     /// Announcements that the hub lacks, and the number of the last change.
     pub(crate) fn unreported(&self) -> (Vec<Start>, u64) {
-        let untold = |word: &Word| word.own && self.exchange.is_unreported(word.number);
-        (self.words_that(untold), self.exchange.last_change())
+        let unreported = |one: &Announcement| one.report && self.cursor.is_unreported(one.number);
+        (self.announcements_where(unreported), self.cursor.last_change())
     }
 
     /// Whether the hub lacks any announcement.
     pub(crate) fn has_unreported(&self) -> bool {
-        self.words.values().any(|word| word.own && self.exchange.is_unreported(word.number))
+        self.announcements
+            .values()
+            .any(|announcement| announcement.report && self.cursor.is_unreported(announcement.number))
     }
 
     /// The last of the hub's changes that this process has.
     pub(crate) const fn hub_position(&self) -> Position {
-        self.exchange.hub_position()
+        self.cursor.hub_position()
     }
 
-    /// As the hub of this term, returns the announcements that an entry VM with the view `known` lacks, and the number of the last change.
-    pub(crate) fn changed_since(&self, term: u64, known: Position) -> (Vec<Start>, u64) {
-        let since = Cursor::acknowledged(term, known);
-        (self.words_that(|word| word.number > since), self.exchange.last_change())
+    /// As the hub of this term, returns the announcements that an entry VM at `position` lacks, and the number of the last change.
+    pub(crate) fn changed_since(&self, term: u64, position: Position) -> (Vec<Start>, u64) {
+        let since = Cursor::acknowledged(term, position);
+        (self.announcements_where(|announcement| announcement.number > since), self.cursor.last_change())
     }
 
-    fn words_that(&self, wanted: impl Fn(&Word) -> bool) -> Vec<Start> {
-        let wanted = self.words.iter().filter(|(_, word)| wanted(word));
-        wanted.map(|(engine, word)| Start { engine: engine.clone(), incarnation: word.incarnation }).collect()
+    fn announcements_where(&self, wanted: impl Fn(&Announcement) -> bool) -> Vec<Start> {
+        let wanted = self.announcements.iter().filter(|(_, announcement)| wanted(announcement));
+        wanted
+            .map(|(engine, announcement)| Start {
+                engine: engine.clone(),
+                incarnation: announcement.incarnation,
+            })
+            .collect()
     }
 }
 
@@ -195,9 +202,18 @@
 
 /// Handles an engine's announcement that it is leaving: it gets no more work. An engine that is not listed now may reappear with the same
 /// start, so that its announcement is stored as well.
-pub(crate) fn mark_leaving(state: &mut State, now: Time, from: &Start, road: Source, out: &mut Vec<Effect>) {
-    let later =
-        state.departures.words.get(&from.engine).is_some_and(|word| word.incarnation >= from.incarnation);
+pub(crate) fn mark_leaving(
+    state: &mut State,
+    now: Time,
+    from: &Start,
+    source: Source,
+    out: &mut Vec<Effect>,
+) {
+    let later = state
+        .departures
+        .announcements
+        .get(&from.engine)
+        .is_some_and(|announcement| announcement.incarnation >= from.incarnation);
     let listed = state.engines.get(&from.engine).map(|known| &known.entry);
     // An announcement of an earlier start no longer applies.
     if later || listed.is_some_and(|listed| listed.incarnation > from.incarnation) {
@@ -207,10 +223,10 @@
         return;
     }
     // If its row shows it as leaving too, the others learn of it from that row.
-    let is_news = listed.is_none_or(|listed| !listed.leaving || listed.incarnation != from.incarnation);
-    state.departures.insert(from.engine.clone(), from.incarnation, is_news && road == Source::Answer, now);
-    if is_news {
-        state.departures.news.words.push(from.clone());
+    let is_new = listed.is_none_or(|listed| !listed.leaving || listed.incarnation != from.incarnation);
+    state.departures.insert(from.engine.clone(), from.incarnation, is_new && source == Source::Answer, now);
+    if is_new {
+        state.departures.pending.announcements.push(from.clone());
     }
     let known = state.engines.get_mut(&from.engine);
     // The row of this start has not been read yet.
@@ -223,42 +239,49 @@
     if !before {
         let (engine, service) = (from.engine.clone(), known.entry.service.clone());
         out.push(Effect::Record(Record::Engine { engine, service, state: "says_leaving", version }));
-        record_learned(state, &from.engine, road, version, out);
+        record_learned(state, &from.engine, source, version, out);
     }
     flow::cancel_reservations(state, now, &from.engine, out);
 }
 
 /// Takes over announcements from another entry VM.
-pub(crate) fn receive(state: &mut State, now: Time, words: &[Start], road: Source, out: &mut Vec<Effect>) {
-    for word in words {
-        mark_leaving(state, now, word, road, out);
+pub(crate) fn receive(
+    state: &mut State,
+    now: Time,
+    announcements: &[Start],
+    source: Source,
+    out: &mut Vec<Effect>,
+) {
+    for announcement in announcements {
+        mark_leaving(state, now, announcement, source, out);
     }
 }
 
 /// Handles the hub's reply to a frame.
 pub(crate) fn hub_replied(state: &mut State, now: Time, answer: &Answer, out: &mut Vec<Effect>) {
     let State { departures, engines, .. } = state;
-    if departures.exchange.hub_replied(answer.term, answer.reported_up_to) {
+    if departures.cursor.hub_replied(answer.term, answer.reported_up_to) {
         // The new hub may lack what was reported to its predecessor.
-        for (engine, word) in &mut departures.words {
-            word.own |= engines.contains_key(engine);
+        for (engine, announcement) in &mut departures.announcements {
+            announcement.report |= engines.contains_key(engine);
         }
     }
     receive(state, now, &answer.departing, Source::Reply, out);
     drop_pending(state, out);
-    state.departures.exchange.set_hub_version(answer.version);
+    state.departures.cursor.set_hub_version(answer.version);
 }
 
 /// Sends the departures found since the last notification: the hub notifies all entry VMs, a process that reads the table on behalf of its
 /// availability zone notifies that zone, and any other process reports them to the hub.
 pub(crate) fn notify(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let News { rows, words } = std::mem::take(&mut state.departures.news);
-    if rows.is_empty() && words.is_empty() {
+    let Pending { rows, announcements } = std::mem::take(&mut state.departures.pending);
+    if rows.is_empty() && announcements.is_empty() {
         return;
     }
-    let engines: Vec<Name> = rows.iter().chain(words.iter().map(|word| &word.engine)).cloned().collect();
+    let engines: Vec<Name> =
+        rows.iter().chain(announcements.iter().map(|announcement| &announcement.engine)).cloned().collect();
     let departures = rows.iter().filter_map(|id| state.row_of(now, id)).collect();
-    let message = Message { departure_rows: departures, departing: words, ..Message::default() };
+    let message = Message { departure_rows: departures, departing: announcements, ..Message::default() };
     let audience = push::notify(state, now, &message, out);
     record_notified(state, audience, &engines, out);
     frame::report_reading(state, now, out);
@@ -266,35 +289,36 @@
 
 /// Drops the departures found since the last notification: their sender has notified the others as well.
 pub(crate) fn drop_pending(state: &mut State, out: &mut Vec<Effect>) {
-    let News { rows, words } = std::mem::take(&mut state.departures.news);
-    let engines: Vec<Name> = rows.into_iter().chain(words.into_iter().map(|word| word.engine)).collect();
+    let Pending { rows, announcements } = std::mem::take(&mut state.departures.pending);
+    let engines: Vec<Name> =
+        rows.into_iter().chain(announcements.into_iter().map(|announcement| announcement.engine)).collect();
     record_notified(state, Audience::Nobody, &engines, out);
 }
 
 /// Broadcasts announcements that engines made to this process at once, because no hub answers that could pass them on.
 pub(crate) fn notify_without_hub(state: &mut State, out: &mut Vec<Effect>) {
-    let Departures { exchange, spread, .. } = &state.departures;
-    let wanted = |word: &Word| word.own && exchange.is_unreported(word.number) && word.number > *spread;
-    let departed = state.departures.words_that(wanted);
-    if departed.is_empty() {
+    let Departures { cursor, broadcast, .. } = &state.departures;
+    let new = |one: &Announcement| one.report && cursor.is_unreported(one.number) && one.number > *broadcast;
+    let departing = state.departures.announcements_where(new);
+    if departing.is_empty() {
         return;
     }
-    state.departures.spread = state.departures.exchange.last_change();
-    let engines: Vec<Name> = departed.iter().map(|word| word.engine.clone()).collect();
-    push::broadcast(state, &Message { departing: departed, ..Message::default() }, out);
+    state.departures.broadcast = state.departures.cursor.last_change();
+    let engines: Vec<Name> = departing.iter().map(|announcement| announcement.engine.clone()).collect();
+    push::broadcast(state, &Message { departing, ..Message::default() }, out);
     record_notified(state, Audience::All, &engines, out);
 }
 
-/// Counts and logs a departure. `config_version` is that of the engine's row, also if the row does not show it.
+/// Counts and logs a departure. `version` is that of the engine's row, also if the row does not show it.
 pub(crate) fn record_learned(
     state: &mut State,
     engine: &Name,
-    road: Source,
+    source: Source,
     version: u64,
     out: &mut Vec<Effect>,
 ) {
-    *state.departures.learned.entry(road).or_default() += 1;
-    out.push(Effect::Record(Record::Departure { engine: engine.clone(), road: road.label(), version }));
+    *state.departures.learned.entry(source).or_default() += 1;
+    out.push(Effect::Record(Record::Departure { engine: engine.clone(), road: source.label(), version }));
 }
 
 /// Counts and logs a notification of departures.
--- a/fleet/src/era.rs
+++ b/fleet/src/era.rs
@@ -29,7 +29,7 @@
     /// Whether the store or another entry VM has answered at all, with an era or without one.
     is_known: bool,
     /// When this process learned that the era had begun long ago; none if that is not known.
-    known_old: Option<Time>,
+    marked_old_at: Option<Time>,
     /// The version of the first listing of the engines' table in this era.
     first_listed: Option<u64>,
 }
@@ -48,13 +48,13 @@
 
     /// Whether by `at` all writes that the restored copy lacked had been repeated.
     pub(crate) fn is_settled(&self, at: Time, settings: &Settings) -> bool {
-        self.number == 0 || self.known_old.is_some() || at >= self.since + settings.restore_rewrite_time
+        self.number == 0 || self.marked_old_at.is_some() || at >= self.since + settings.restore_rewrite_time
     }
 
     /// How much longer an entry that the restored copy lacks may still be written again; none once that time is over.
     pub(crate) fn rewrite_time_left(&self, now: Time, settings: &Settings) -> Option<Duration> {
         let until = self.since + settings.restore_rewrite_time;
-        (self.number > 0 && self.known_old.is_none() && now < until).then(|| until.since(now))
+        (self.number > 0 && self.marked_old_at.is_none() && now < until).then(|| until.since(now))
     }
 
     /// Whether a reading of the store as of `at` may list an engine that is gone because the restored copy still has its entry. The store
@@ -63,9 +63,9 @@
         let missed = settings.engine_heartbeat.mul_f64(HEARTBEATS_MISSED);
         let until = self.since + missed;
         // An era that was marked as old began at least `restore_rewrite_time` before that.
-        let until_by_others =
-            self.known_old.map(|old| old + missed.saturating_sub(settings.restore_rewrite_time));
-        let until = until_by_others.map_or(until, |by_others| until.min(by_others));
+        let until_if_old =
+            self.marked_old_at.map(|old| old + missed.saturating_sub(settings.restore_rewrite_time));
+        let until = until_if_old.map_or(until, |if_old| until.min(if_old));
         self.number > 0 && at < until
     }
 
@@ -81,7 +81,7 @@
 
     /// Marks the era as having begun long ago, as reported by a process that saw its beginning.
     pub(crate) fn mark_old(&mut self, now: Time) {
-        self.known_old.get_or_insert(now);
+        self.marked_old_at.get_or_insert(now);
     }
 }
 
@@ -92,9 +92,9 @@
     if era <= before.number {
         return;
     }
-    state.era = Era { number: era, since: now, is_known: true, known_old: None, first_listed: None };
+    state.era = Era { number: era, since: now, is_known: true, marked_old_at: None, first_listed: None };
     if before.is_known {
-        risen(state, now, before, out);
+        restored(state, now, before, out);
     }
     lease::era_advanced(state, now, out);
 }
@@ -105,7 +105,7 @@
 }
 
 /// Handles the store's restore from an older copy while this process was running.
-fn risen(state: &mut State, now: Time, before: Era, out: &mut Vec<Effect>) {
+fn restored(state: &mut State, now: Time, before: Era, out: &mut Vec<Effect>) {
     departure::keep_leaving(state, now);
     // Entries that expired meanwhile, or that the copy lacks, are written again soon.
     state.store_failing_since = Some(now);
--- a/fleet/src/evacuation.rs
+++ b/fleet/src/evacuation.rs
@@ -46,17 +46,17 @@
 
 /// The state of one zone.
 #[derive(Clone, Copy, Debug, Default)]
-struct Standing {
+struct ZoneState {
     revision: Revision,
     evacuated: bool,
     /// Until when a row that a restored copy of the store lacks may still be written again; it counts until then.
-    lacking_until: Option<Time>,
+    missing_until: Option<Time>,
 }
 
 /// The evacuation state of all availability zones.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
-    by_zone: BTreeMap<Name, Standing>,
+    by_zone: BTreeMap<Name, ZoneState>,
     /// The hub's digest, as of its last reply.
     hub: u64,
 }
@@ -64,22 +64,22 @@
 impl Evacuations {
     /// Whether a zone is evacuated.
     pub(crate) fn is_evacuated(&self, zone: &Name) -> bool {
-        self.by_zone.get(zone).is_some_and(|standing| standing.evacuated)
+        self.by_zone.get(zone).is_some_and(|zone_state| zone_state.evacuated)
     }
 
     /// The evacuated zones.
     pub(crate) fn zones(&self) -> impl Iterator<Item = &Name> {
-        self.by_zone.iter().filter(|(_, standing)| standing.evacuated).map(|(zone, _)| zone)
+        self.by_zone.iter().filter(|(_, zone_state)| zone_state.evacuated).map(|(zone, _)| zone)
     }
 
     /// The state of all zones that have or had a row.
     pub(crate) fn all(&self) -> Vec<Status> {
-        let word = |(zone, standing): (&Name, &Standing)| Status {
+        let status = |(zone, zone_state): (&Name, &ZoneState)| Status {
             zone: zone.clone(),
-            revision: standing.revision,
-            evacuated: standing.evacuated,
+            revision: zone_state.revision,
+            evacuated: zone_state.evacuated,
         };
-        self.by_zone.iter().map(word).collect()
+        self.by_zone.iter().map(status).collect()
     }
 
     /// A hash of the state of all zones; 0 if there are none.
@@ -119,70 +119,70 @@
     if era::is_outdated(state, listing.version.era) {
         return;
     }
-    let mut words = listing.zones;
+    let mut statuses = listing.zones;
     if listing.whole {
-        words.extend(lacking(state, now, listing.version, &words));
+        statuses.extend(missing_zones(state, now, listing.version, &statuses));
     }
-    receive(state, now, &words, out);
+    receive(state, now, &statuses, out);
 }
 
 /// Returns the zones that a complete read no longer lists. If that read is the first of a new era, a restored copy of the store may lack
 /// their rows, which may be written again: such zones stay evacuated for the time being.
-fn lacking(state: &mut State, now: Time, version: Revision, words: &[Status]) -> Vec<Status> {
-    let rewrites = state.era.rewrite_time_left(now, &state.settings);
-    let mut over = Vec::new();
-    for (zone, standing) in &mut state.evacuations.by_zone {
-        let named = words.iter().any(|word| word.zone == *zone);
-        if named || !standing.evacuated || standing.revision >= version {
+fn missing_zones(state: &mut State, now: Time, version: Revision, statuses: &[Status]) -> Vec<Status> {
+    let time_left = state.era.rewrite_time_left(now, &state.settings);
+    let mut ended = Vec::new();
+    for (zone, zone_state) in &mut state.evacuations.by_zone {
+        let named = statuses.iter().any(|status| status.zone == *zone);
+        if named || !zone_state.evacuated || zone_state.revision >= version {
             continue;
         }
-        match rewrites.filter(|_| standing.revision.era < version.era) {
-            Some(rewrites) => {
-                standing.lacking_until = Some(now + rewrites);
-                state.timers.set(now + rewrites, Timer::EvacuationExpiry);
+        match time_left.filter(|_| zone_state.revision.era < version.era) {
+            Some(time_left) => {
+                zone_state.missing_until = Some(now + time_left);
+                state.timers.set(now + time_left, Timer::EvacuationExpiry);
             }
-            None => over.push(Status { zone: zone.clone(), revision: version, evacuated: false }),
+            None => ended.push(Status { zone: zone.clone(), revision: version, evacuated: false }),
         }
     }
-    over
+    ended
 }
 
 /// Ends evacuations whose rows a restored copy of the store lacked and that were not written again in time.
 pub(crate) fn expire_missing(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let era = state.era.number();
-    let lapsed = |standing: &Standing| standing.lacking_until.is_some_and(|until| until <= now);
-    let lapsed = state.evacuations.by_zone.iter().filter(|(_, standing)| lapsed(standing));
-    let over = |(zone, _): (&Name, &Standing)| Status {
+    let expired = |zone_state: &ZoneState| zone_state.missing_until.is_some_and(|until| until <= now);
+    let expired = state.evacuations.by_zone.iter().filter(|(_, zone_state)| expired(zone_state));
+    let ended = |(zone, _): (&Name, &ZoneState)| Status {
         zone: zone.clone(),
         revision: Revision::new(era, 0),
         evacuated: false,
     };
-    let words: Vec<Status> = lapsed.map(over).collect();
-    receive(state, now, &words, out);
+    let statuses: Vec<Status> = expired.map(ended).collect();
+    receive(state, now, &statuses, out);
 }
 
 /// Takes over zone states from any source and notifies the others of those that are new.
-pub(crate) fn receive(state: &mut State, now: Time, words: &[Status], out: &mut Vec<Effect>) {
-    let mut news = Vec::new();
-    for word in words {
-        if take(state, now, word, out) {
-            news.push(word.clone());
+pub(crate) fn receive(state: &mut State, now: Time, statuses: &[Status], out: &mut Vec<Effect>) {
+    let mut new = Vec::new();
+    for status in statuses {
+        if take(state, now, status, out) {
+            new.push(status.clone());
         }
     }
-    if !news.is_empty() {
-        push::notify_evacuations(state, now, news, out);
+    if !new.is_empty() {
+        push::notify_evacuations(state, now, new, out);
     }
 }
 
 /// Takes over the state of a zone. Returns whether it is newer than the one known before.
-fn take(state: &mut State, now: Time, word: &Status, out: &mut Vec<Effect>) -> bool {
-    let Status { zone, revision, evacuated } = word;
-    let standing = state.evacuations.by_zone.entry(zone.clone()).or_default();
-    if standing.revision >= *revision {
+fn take(state: &mut State, now: Time, status: &Status, out: &mut Vec<Effect>) -> bool {
+    let Status { zone, revision, evacuated } = status;
+    let zone_state = state.evacuations.by_zone.entry(zone.clone()).or_default();
+    if zone_state.revision >= *revision {
         return false;
     }
-    let before = *standing;
-    *standing = Standing { revision: *revision, evacuated: *evacuated, lacking_until: None };
+    let before = *zone_state;
+    *zone_state = ZoneState { revision: *revision, evacuated: *evacuated, missing_until: None };
     if before.evacuated != *evacuated {
         out.push(Effect::Record(Record::Evacuation {
             zone: zone.clone(),
@@ -194,7 +194,7 @@
     true
 }
 
-/// Withdraws the work of a zone's engines, or sends them work again, at first at the limited rate that applies after a start.
+/// Cancels the reservations at a zone's engines, or sends them work again, at first at the limited rate that applies after a start.
 fn apply(state: &mut State, now: Time, zone: &Name, evacuated: bool, out: &mut Vec<Effect>) {
     let engines = state.engines.values_mut().filter(|engine| engine.entry.zone == *zone);
     let mut changed = Vec::new();
--- a/fleet/src/proof.rs
+++ b/fleet/src/proof.rs
@@ -18,14 +18,14 @@
 const MARGIN: Duration = Duration::from_millis(300);
 /// Fraction of the bound after which this process reads the store itself, even if the hub claims to. This leaves time for several calls
 /// before keys are refused.
-const DOUBTFUL: f64 = 0.8;
+const EXPIRING_FRACTION: f64 = 0.8;
 
 /// The latest time at which the current configuration was known to be the newest.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Proof {
     at: Option<Time>,
     /// Whether its expiry was logged.
-    lost: bool,
+    expired: bool,
 }
 
 impl Proof {
@@ -38,7 +38,7 @@
 
 /// Number of long polls of the store that fit into the lifetime of a proof. Some answers may be lost or late, and passing the proof on in
 /// frames takes time too.
-const ANSWERS: u32 = 12;
+const POLLS_PER_PROOF: u32 = 12;
 
 /// Until when keys may be accepted; none if no proof is required.
 pub(crate) fn valid_until(state: &State) -> Option<Time> {
@@ -53,14 +53,14 @@
 
 /// Whether the proof is so old that this process has to read the store itself.
 pub(crate) fn is_expiring(state: &State, now: Time) -> bool {
-    let bound = state.settings.revocation.map(|bound| bound.mul_f64(DOUBTFUL));
+    let bound = state.settings.revocation.map(|bound| bound.mul_f64(EXPIRING_FRACTION));
     bound.is_some_and(|bound| state.proof.age(now).is_none_or(|age| age >= bound))
 }
 
 /// How long the store may hold back its answer to a long poll for changes of the configuration. An answer proves nothing about the time
 /// after the poll was sent, so that long waits would use up the proof.
 pub(crate) fn poll_timeout(settings: &Settings, longest: Duration) -> Duration {
-    settings.revocation.map_or(longest, |bound| longest.min(bound / ANSWERS))
+    settings.revocation.map_or(longest, |bound| longest.min(bound / POLLS_PER_PROOF))
 }
 
 /// Records that the current configuration was the newest at time `at`.
@@ -71,13 +71,13 @@
 
 /// Logs whether the proof has expired or become valid again since the last call.
 pub(crate) fn log_change(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let lost = !is_valid(state, now);
-    if std::mem::replace(&mut state.proof.lost, lost) == lost {
+    let expired = !is_valid(state, now);
+    if std::mem::replace(&mut state.proof.expired, expired) == expired {
         return;
     }
     let version = state.config.as_ref().map_or(0, |config| config.version);
     out.push(Effect::Record(Record::Proof {
-        state: if lost { "lost" } else { "found" },
+        state: if expired { "lost" } else { "found" },
         version,
         age_ms: state.proof.age(now).map(ms),
     }));
--- a/fleet/src/push.rs
+++ b/fleet/src/push.rs
@@ -68,13 +68,13 @@
 /// zone. Returns the audience.
 pub(crate) fn notify(state: &State, now: Time, message: &Message, out: &mut Vec<Effect>) -> Audience {
     if state.lease.held_term(now).is_some() {
-        spread(state, message, frame::reachable_members(state), out);
+        send_by_zone(state, message, frame::reachable_members(state), out);
         return Audience::All;
     }
     if frame::pushes_to_zone(state, now) {
-        let near = state.members.list().iter().filter(|member| member.zone == state.me.zone);
-        let others = near.filter(|member| member.vm != state.me.vm);
-        spread(state, message, others.cloned(), out);
+        let in_zone = state.members.list().iter().filter(|member| member.zone == state.me.zone);
+        let others = in_zone.filter(|member| member.vm != state.me.vm);
+        send_by_zone(state, message, others.cloned(), out);
         return Audience::Zone;
     }
     Audience::Nobody
@@ -85,7 +85,7 @@
 pub(crate) fn announce_hub(state: &State, out: &mut Vec<Effect>) {
     let hub = state.lease.hub().cloned();
     let message = Message { hub, evacuations: state.evacuations.all(), ..Message::default() };
-    spread(state, &message, frame::reachable_members(state), out);
+    send_by_zone(state, &message, frame::reachable_members(state), out);
 }
 
 /// Pushes new findings about requests that crash engines to all known entry VMs. This needs no hub.
@@ -96,7 +96,7 @@
 /// Pushes a message to all known entry VMs, whether or not there is a hub.
 pub(crate) fn broadcast(state: &State, message: &Message, out: &mut Vec<Effect>) {
     let others = state.members.list().iter().filter(|member| member.vm != state.me.vm);
-    spread(state, message, others.cloned(), out);
+    send_by_zone(state, message, others.cloned(), out);
 }
 
 /// Pushes changes of the evacuation state of availability zones.
@@ -111,7 +111,7 @@
 }
 
 /// Sends a message along one tree for each availability zone.
-fn spread(
+fn send_by_zone(
     state: &State,
     message: &Message,
     members: impl IntoIterator<Item = Member>,
@@ -121,8 +121,8 @@
     for member in members {
         by_zone.entry(member.zone).or_default().push(member.address);
     }
-    for onward in by_zone.into_values() {
-        forward(state, &Message { forward_to: onward, ..message.clone() }, out);
+    for forward_to in by_zone.into_values() {
+        forward(state, &Message { forward_to, ..message.clone() }, out);
     }
 }
 
@@ -133,8 +133,8 @@
     for parts in (1..=fan_out).rev() {
         let (part, rest) = left.split_at(left.len().div_ceil(parts));
         left = rest;
-        if let Some((first, onward)) = part.split_first() {
-            let message = Message { forward_to: onward.to_vec(), ..message.clone() };
+        if let Some((first, forward_to)) = part.split_first() {
+            let message = Message { forward_to: forward_to.to_vec(), ..message.clone() };
             out.push(Effect::Push(Push { address: *first, message: Box::new(message), is_retry: false }));
         }
     }
@@ -167,9 +167,9 @@
 /// Handles a push that was not delivered. The rest of its part is pushed to directly. The recipient itself is tried once more, because only
 /// the connection may have been lost and its next frame may be seconds away.
 pub(crate) fn delivery_failed(state: &State, push: Push, out: &mut Vec<Effect>) {
-    let Push { address, mut message, is_retry: again } = push;
+    let Push { address, mut message, is_retry } = push;
     forward(state, &message, out);
-    if again {
+    if is_retry {
         return;
     }
     message.forward_to.clear();
--- a/fleet/src/regions.rs
+++ b/fleet/src/regions.rs
@@ -47,7 +47,7 @@
     /// Returns a permit for an engine in `region` if that region is allowed. An unknown region is allowed only if all are.
     #[must_use]
     pub fn permit(&self, region: Option<&Name>) -> Option<Permit> {
-        let allowed = |homes: &BTreeSet<Name>| region.is_some_and(|region| homes.contains(region));
+        let allowed = |regions: &BTreeSet<Name>| region.is_some_and(|region| regions.contains(region));
         self.0.as_ref().is_none_or(allowed).then_some(Permit(()))
     }
 }
@@ -66,9 +66,9 @@
 }
 
 /// Returns a permit to send a request to an engine, if the engine is in one of the allowed regions.
-pub(crate) fn permit(state: &State, homes: &Regions, engine: &Engine) -> Option<Permit> {
-    if !homes.is_restricted() {
-        return homes.permit(None);
+pub(crate) fn permit(state: &State, regions: &Regions, engine: &Engine) -> Option<Permit> {
+    if !regions.is_restricted() {
+        return regions.permit(None);
     }
-    homes.permit(state.settings.regions.get(&engine.entry.zone))
+    regions.permit(state.settings.regions.get(&engine.entry.zone))
 }
--- a/fleet/src/update.rs
+++ b/fleet/src/update.rs
@@ -67,12 +67,12 @@
     #[error("cannot pack or unpack the update: {0}")]
     Pack(#[from] pack::Error),
     /// The update applies to another version than the current one.
-    #[error("the update applies to version {base}, but the current version is {have}")]
+    #[error("the update applies to version {base}, but the current version is {current}")]
     Base {
         /// The version that the update applies to.
         base: u64,
         /// The current version; 0 for none.
-        have: u64,
+        current: u64,
     },
 }
 
@@ -81,7 +81,7 @@
     #[must_use]
     pub fn between(before: Option<&Config>, after: &Config) -> Self {
         // A delta identifies items by name, so that names have to be unique; otherwise the full configuration is sent.
-        let before = before.filter(|before| named_once(before) && named_once(after));
+        let before = before.filter(|before| has_unique_names(before) && has_unique_names(after));
         let (routes, services) =
             before.map_or((&[][..], &[][..]), |config| (&config.routes, &config.services));
         Self {
@@ -103,9 +103,9 @@
     ///
     /// If it applies to another version than that of `before`.
     pub fn apply(self, before: Option<&Config>) -> Result<Config, Error> {
-        let have = before.map_or(0, |config| config.version);
-        if self.base != 0 && self.base != have {
-            return Err(Error::Base { base: self.base, have });
+        let current = before.map_or(0, |config| config.version);
+        if self.base != 0 && self.base != current {
+            return Err(Error::Base { base: self.base, current });
         }
         let before = before.filter(|_| self.base != 0);
         let (routes, services) =
@@ -162,7 +162,7 @@
     }
 }
 
-fn named_once(config: &Config) -> bool {
+fn has_unique_names(config: &Config) -> bool {
     let mut routes = FxHashSet::default();
     let mut services = FxHashSet::default();
     let mut workspaces = FxHashSet::default();
@@ -181,15 +181,15 @@
     after: &[Arc<T>],
     name: fn(&T) -> &K,
 ) -> Changes<K, T> {
-    let known: FxHashMap<&K, &Arc<T>> = before.iter().map(|thing| (name(thing), thing)).collect();
-    let left: FxHashSet<&K> = after.iter().map(|thing| name(thing)).collect();
-    let same = |thing: &&Arc<T>| known.get(name(thing)).is_some_and(|known| *known == *thing);
+    let known: FxHashMap<&K, &Arc<T>> = before.iter().map(|item| (name(item), item)).collect();
+    let after_names: FxHashSet<&K> = after.iter().map(|item| name(item)).collect();
+    let same = |item: &&Arc<T>| known.get(name(item)).is_some_and(|known| *known == *item);
     Changes {
-        put: after.iter().filter(|thing| !same(thing)).cloned().collect(),
+        put: after.iter().filter(|item| !same(item)).cloned().collect(),
         removed: before
             .iter()
-            .map(|thing| name(thing))
-            .filter(|name| !left.contains(name))
+            .map(|item| name(item))
+            .filter(|name| !after_names.contains(name))
             .cloned()
             .collect(),
     }
@@ -200,11 +200,11 @@
         return changes.put;
     }
     let removed: FxHashSet<&K> = changes.removed.iter().collect();
-    let mut put: FxHashMap<&K, &Arc<T>> = changes.put.iter().map(|thing| (name(thing), thing)).collect();
-    let kept = before.iter().filter(|thing| !removed.contains(name(thing)));
+    let mut put: FxHashMap<&K, &Arc<T>> = changes.put.iter().map(|item| (name(item), item)).collect();
+    let kept = before.iter().filter(|item| !removed.contains(name(item)));
     let mut merged: Vec<Arc<T>> =
-        kept.map(|thing| Arc::clone(put.remove(name(thing)).unwrap_or(thing))).collect();
-    merged.extend(changes.put.iter().filter(|thing| put.contains_key(name(thing))).cloned());
+        kept.map(|item| Arc::clone(put.remove(name(item)).unwrap_or(item))).collect();
+    merged.extend(changes.put.iter().filter(|item| put.contains_key(name(item))).cloned());
     merged
 }
 
--- a/fleet/tests/update_bytes.rs
+++ b/fleet/tests/update_bytes.rs
@@ -11,9 +11,9 @@
 use node::GATEWAY;
 
 fn route(number: u32, attempts: u32) -> Arc<Route> {
-    let drawn = u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let name = format!("r-{:07x}", drawn >> 36);
-    let prefix = format!("/{:08x}/", (drawn >> 8) as u32);
+    let random = u64::from(number).wrapping_mul(0x9E37_79B9_7F4A_7C15);
+    let name = format!("r-{:07x}", random >> 36);
+    let prefix = format!("/{:08x}/", (random >> 8) as u32);
     Arc::new(node::route(&name, &prefix, Kind::Idempotent, GATEWAY, attempts))
 }
 
@@ -22,7 +22,7 @@
 }
 
 /// A configuration with a random subset of sixty routes, each in one of two variants.
-fn drawn(version: u64, data: &mut Unstructured<'_>) -> Result<Config> {
+fn random(version: u64, data: &mut Unstructured<'_>) -> Result<Config> {
     let mut routes = Vec::new();
     for number in 0..60 {
         if data.arbitrary()? {
@@ -37,15 +37,15 @@
     config
 }
 
-fn through(update: &Update) -> Update {
+fn round_trip(update: &Update) -> Update {
     update.pack().and_then(|packed| packed.unpack()).expect("packs and unpacks")
 }
 
 #[test]
 fn any_two_versions() {
     arbtest::arbtest(|data| {
-        let (before, after) = (drawn(3, data)?, drawn(5, data)?);
-        let update = through(&Update::between(Some(&before), &after));
+        let (before, after) = (random(3, data)?, random(5, data)?);
+        let update = round_trip(&Update::between(Some(&before), &after));
         assert_eq!((update.base, update.version), (3, 5));
         assert_eq!(sorted(update.apply(Some(&before)).expect("its base")), sorted(after));
         Ok(())
@@ -55,7 +55,7 @@
 #[test]
 fn from_nothing() {
     let after = config(5, (0..20).map(|number| route(number, 1)));
-    let update = through(&Update::between(None, &after));
+    let update = round_trip(&Update::between(None, &after));
     assert_eq!(update.base, 0);
     let old = config(3, (0..7).map(|number| route(number, 2)));
     assert_eq!(
@@ -68,12 +68,12 @@
 
 /// With duplicate names no delta can be computed, so that the update contains the full configuration.
 #[test]
-fn names_that_repeat() {
-    let twice = config(3, [route(1, 1), route(1, 2)]);
+fn duplicate_names() {
+    let duplicated = config(3, [route(1, 1), route(1, 2)]);
     let after = config(5, [route(1, 2), route(1, 1), route(2, 1)]);
-    let update = Update::between(Some(&twice), &after);
+    let update = Update::between(Some(&duplicated), &after);
     assert_eq!(update.base, 0);
-    assert_eq!(update.apply(Some(&twice)).expect("any base"), after);
+    assert_eq!(update.apply(Some(&duplicated)).expect("any base"), after);
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let (before, after) = (config(3, [route(1, 1)]), config(5, [route(1, 2)]));
     let update = Update::between(Some(&before), &after);
     let other = config(4, [route(1, 1)]);
-    assert!(matches!(update.apply(Some(&other)), Err(Error::Base { base: 3, have: 4 })));
+    assert!(matches!(update.apply(Some(&other)), Err(Error::Base { base: 3, current: 4 })));
 }
 
 #[test]
