--- a/fleet/tests/caller_keys.rs
+++ b/fleet/tests/caller_keys.rs
@@ -32,7 +32,7 @@
     Arc::new(Workspace { name: name.into(), priority, limit: None, ..Workspace::default() })
 }
 
-fn held(number: u8, workspace: &str) -> Arc<Key> {
+fn key_of(number: u8, workspace: &str) -> Arc<Key> {
     Arc::new(Key { digest: key(number), workspace: workspace.into() })
 }
 
@@ -40,11 +40,11 @@
 fn access() -> Access {
     Access {
         workspaces: vec![workspace("wards", Some(4)), workspace("homes", None)],
-        keys: vec![held(1, "wards"), held(2, "homes"), held(3, "homes")],
+        keys: vec![key_of(1, "wards"), key_of(2, "homes"), key_of(3, "homes")],
     }
 }
 
-fn guarded(version: u64, access: Access) -> Config {
+fn with_access(version: u64, access: Access) -> Config {
     Config { access: Some(access), ..config(version) }
 }
 
@@ -72,7 +72,7 @@
 
 fn proven_with(settings: Settings) -> Node {
     let mut node = Node::with_settings("a", settings);
-    node.feed(Event::Configured(Arc::new(guarded(1, access()))));
+    node.feed(Event::Configured(Arc::new(with_access(1, access()))));
     let rows = vec![
         row(3, entry("g1", node::GATEWAY, "zone-a", &[])),
         row(4, entry("g2", node::GATEWAY, "zone-b", &[])),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn workspace_named() {
+fn workspace_of_key() {
     let mut node = proven();
     let (_, attempt) = node.sent(keyed("/ack/1", 1));
     assert_eq!(attempt.workspace.as_deref(), Some("wards"));
@@ -107,17 +107,17 @@
 #[test]
 fn empty_lists() {
     let mut node = proven();
-    node.feed(Event::Configured(Arc::new(guarded(2, Access::default()))));
+    node.feed(Event::Configured(Arc::new(with_access(2, Access::default()))));
     assert_eq!(node.refused(keyed("/ack/1", 1)).code, Code::Unauthenticated);
-    let unguarded = Access { workspaces: vec![workspace("wards", None)], keys: Vec::new() };
-    node.feed(Event::Configured(Arc::new(guarded(3, unguarded))));
+    let without_keys = Access { workspaces: vec![workspace("wards", None)], keys: Vec::new() };
+    node.feed(Event::Configured(Arc::new(with_access(3, without_keys))));
     assert_eq!(node.refused(keyed("/ack/1", 1)).code, Code::Unauthenticated);
 }
 
 #[test]
 fn public_routes() {
     let mut node = proven();
-    let mut config = guarded(2, access());
+    let mut config = with_access(2, access());
     let mut open = node::route("open", "/open/", Kind::Once, node::GATEWAY, 1);
     open.public = true;
     config.routes.push(Arc::new(open));
@@ -137,8 +137,8 @@
 fn moved_and_withdrawn() {
     let mut node = proven();
     let mut after = access();
-    after.keys = vec![held(1, "homes"), held(3, "homes"), held(5, "wards")];
-    node.feed(Event::Configured(Arc::new(guarded(2, after))));
+    after.keys = vec![key_of(1, "homes"), key_of(3, "homes"), key_of(5, "wards")];
+    node.feed(Event::Configured(Arc::new(with_access(2, after))));
     assert_eq!(node.sent(keyed("/ack/1", 1)).1.workspace.as_deref(), Some("homes"), "moved");
     assert_eq!(node.sent(keyed("/ack/1", 5)).1.workspace.as_deref(), Some("wards"), "added");
     assert_eq!(node.refused(keyed("/ack/1", 2)).code, Code::Unauthenticated, "withdrawn");
@@ -148,8 +148,8 @@
 fn workspace_dropped() {
     let mut node = proven();
     let (id, attempt) = node.sent(keyed("/list/1", 1));
-    let left = Access { workspaces: vec![workspace("homes", None)], keys: vec![held(2, "homes")] };
-    node.feed(Event::Configured(Arc::new(guarded(2, left))));
+    let left = Access { workspaces: vec![workspace("homes", None)], keys: vec![key_of(2, "homes")] };
+    node.feed(Event::Configured(Arc::new(with_access(2, left))));
     // A request in flight ends normally, but it is not sent again.
     let Some(Step::Refuse(refusal)) = node.ended(id, attempt.number, End::Unsent) else {
         panic!("sent again with a withdrawn key");
@@ -179,14 +179,14 @@
 
 /// Requests that arrive while a machine is suspended are read as soon as it resumes, when its proof has expired.
 #[test]
-fn suspended_looks_again() {
+fn suspended_checks_again() {
     let mut node = proven();
     node.now = node.now + Duration::from_secs(20);
     assert_eq!(node.refused(keyed("/ack/1", 1)).code, Code::KeyUnproven);
 }
 
 #[test]
-fn repeats_are_proven() {
+fn retries_need_a_proof() {
     let mut node = proven();
     node.now = node.now + millis(4_600);
     let (id, attempt) = node.sent(patient("/list/1", 1));
@@ -222,7 +222,7 @@
 
 /// A proof counts from the time of the query to the store, however late the answer arrives.
 #[test]
-fn counts_from_the_question() {
+fn counts_from_the_query() {
     let mut node = proven();
     let asked = node.now + millis(100);
     node.now = node.now + millis(4_000);
@@ -241,7 +241,7 @@
 /// An entry VM that has the configuration but no proof, and the frame that it sends to the hub.
 fn follower() -> (Node, Frame) {
     let mut node = Node::with_settings("b", settings());
-    node.feed(Event::Configured(Arc::new(guarded(1, access()))));
+    node.feed(Event::Configured(Arc::new(with_access(1, access()))));
     node.feed(listing(vec![row(3, entry("g1", node::GATEWAY, "zone-a", &[]))], 4, true));
     node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
@@ -250,14 +250,14 @@
 }
 
 /// A reply of the hub that lists another entry VM in this zone, which owns all schedules here.
-fn owned_by_another() -> Reply {
+fn reply_with_other_owner() -> Reply {
     let other = Member { vm: "b".into(), zone: "zone-a".into(), address: address(7_002), weak: false };
     Reply { members: Some(vec![other]), nodes: 2, ..Reply::default() }
 }
 
 /// A proof received from the hub has the age stated by the hub plus the time since the frame was sent.
 #[test]
-fn told_by_the_hub() {
+fn proof_from_the_hub() {
     let mut hub = proven();
     let (mut node, frame) = follower();
     assert_eq!(node.refused(keyed("/ack/1", 1)).code, Code::KeyUnproven);
@@ -278,9 +278,9 @@
 
 /// An entry VM whose configuration is older than the hub's gets no proof from the hub's reply.
 #[test]
-fn older_is_not_proved() {
+fn no_proof_for_older_version() {
     let mut hub = proven();
-    hub.feed(Event::Configured(Arc::new(guarded(7, access()))));
+    hub.feed(Event::Configured(Arc::new(with_access(7, access()))));
     let (mut node, frame) = follower();
     let mut reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame);
     reply.config = None;
@@ -290,12 +290,12 @@
 
 /// While a prompt waits for its slot in the schedule of its engine, its key is withdrawn or the proof expires.
 #[test]
-fn proven_after_the_schedule() {
+fn checked_after_reservation() {
     for (withdrawn, code) in [(true, Code::Unauthenticated), (false, Code::KeyUnproven)] {
         let mut node = proven();
         let rows = vec![row(5, entry("w1", node::WRITER, "zone-a", &["m0"]))];
         node.feed(listing(rows, 5, false));
-        node.feed(Event::Replied(Some(Box::new(owned_by_another()))));
+        node.feed(Event::Replied(Some(Box::new(reply_with_other_owner()))));
         node.now = node.now + millis(4_650);
         let now = node.now;
         declared(&mut node, now - millis(4_650));
@@ -308,7 +308,7 @@
         node.now = node.now + millis(60);
         if withdrawn {
             declared(&mut node, now);
-            node.feed(Event::Configured(Arc::new(guarded(2, Access::default()))));
+            node.feed(Event::Configured(Arc::new(with_access(2, Access::default()))));
         }
         node.feed(Event::Granted { request: id, grant: Some(Grant::After(Duration::ZERO)) });
         let Some(Step::Refuse(refusal)) = node.step(id) else {
@@ -344,14 +344,14 @@
 
 /// While a request waits, its key moves to another workspace, or keys become required: it was admitted for another workspace and is refused.
 #[test]
-fn let_in_as_anothers() {
+fn admitted_for_other_workspace() {
     let mut moved = access();
-    moved.keys = vec![held(1, "homes")];
+    moved.keys = vec![key_of(1, "homes")];
     for before in [Some(access()), None] {
         let mut node = proven();
         node.feed(Event::Configured(Arc::new(Config { access: before, ..config(2) })));
         let (id, attempt) = node.sent(keyed("/list/1", 1));
-        node.feed(Event::Configured(Arc::new(guarded(3, moved.clone()))));
+        node.feed(Event::Configured(Arc::new(with_access(3, moved.clone()))));
         let Some(Step::Refuse(refusal)) = node.ended(id, attempt.number, End::Unsent) else {
             panic!("{:?}", node.effects);
         };
@@ -362,9 +362,9 @@
 
 /// On a public route a request continues without its workspace when the proof has expired.
 #[test]
-fn public_goes_on() {
+fn public_route_continues() {
     let mut node = proven();
-    let mut config = guarded(2, access());
+    let mut config = with_access(2, access());
     let mut open = node::route("open", "/open/", Kind::Idempotent, node::GATEWAY, 2);
     open.public = true;
     config.routes.push(Arc::new(open));
@@ -403,7 +403,7 @@
 
 /// If keys require a proof, long polls of the store are limited to a fraction of the time that a proof lasts.
 #[test]
-fn store_answers_in_time() {
+fn poll_is_limited() {
     let mut node = proven();
     let effects = node.advance(Duration::from_secs(2));
     let wait = effects.iter().find_map(|effect| match effect {
@@ -425,7 +425,7 @@
         };
         Access { workspaces, keys: (u32::from(withdrawn)..5_000).map(key).collect() }
     };
-    let (before, after) = (guarded(1, many(false)), guarded(2, many(true)));
+    let (before, after) = (with_access(1, many(false)), with_access(2, many(true)));
     let update = Update::between(Some(&before), &after).pack().expect("packs");
     assert!(update.bytes.len() < 200, "{} bytes", update.bytes.len());
     let applied = update.unpack().and_then(|update| update.apply(Some(&before))).expect("applies");
@@ -436,8 +436,8 @@
 
 /// The debug output of a configuration or a request contains nothing that helps to guess a key.
 #[test]
-fn keys_hide_themselves() {
-    let shown = format!("{:?} {:?}", guarded(1, access()), keyed("/ack/1", 0xAB));
+fn debug_output_hides_keys() {
+    let shown = format!("{:?} {:?}", with_access(1, access()), keyed("/ack/1", 0xAB));
     assert!(shown.contains("Digest(..)"));
     assert!(!shown.contains("171") && !shown.to_lowercase().contains("abab"), "{shown}");
 }
--- a/fleet/tests/cold_engines.rs
+++ b/fleet/tests/cold_engines.rs
@@ -16,7 +16,7 @@
 use node::{WRITER, entry, row, short_stream};
 use world::{Backends, World, ZONES};
 
-const START: Warmup = Warmup { duration: Duration::from_secs(3), per_s: 12.0 };
+const WARMUP: Warmup = Warmup { duration: Duration::from_secs(3), per_s: 12.0 };
 const OVERAGE: f64 = 1.5;
 const SLACK: f64 = 5.0;
 /// Time between an engine's heartbeats.
@@ -60,28 +60,28 @@
 }
 
 /// Makes an engine cold, which its entry shows from its next heartbeat on.
-fn turn_cold(world: &mut World, at: usize, per_s: f64) -> (Time, Time) {
+fn make_cold(world: &mut World, at: usize, per_s: f64) -> (Time, Time) {
     let from = world.now;
     let wait = Duration::from_millis(world.rng.u64(0..HEARTBEAT.as_millis() as u64));
     run(world, wait, per_s);
-    world.register(Entry { cold_left: START.duration.saturating_sub(wait), ..writer(at) });
-    (from, from + START.duration)
+    world.register(Entry { cold_left: WARMUP.duration.saturating_sub(wait), ..writer(at) });
+    (from, from + WARMUP.duration)
 }
 
 /// Returns by how many requests a cold engine exceeded its limit in the worst second.
 fn excess(world: &World, at: usize, (from, until): (Time, Time)) -> f64 {
     let most = world.most_in_a_second(&format!("w{at}"), from, until);
-    most as f64 - (OVERAGE * START.per_s + SLACK)
+    most as f64 - (OVERAGE * WARMUP.per_s + SLACK)
 }
 
 /// Three engines share a burst, and one of them becomes cold.
 #[test]
-fn turns_cold() {
+fn becomes_cold() {
     for seed in 0..4 {
-        let mut world = world(9, 3, Some(START), seed);
+        let mut world = world(9, 3, Some(WARMUP), seed);
         run(&mut world, Duration::from_secs(2), 300.0);
-        let cold = turn_cold(&mut world, 1, 300.0);
-        run(&mut world, START.duration, 300.0);
+        let cold = make_cold(&mut world, 1, 300.0);
+        run(&mut world, WARMUP.duration, 300.0);
         let excess = excess(&world, 1, cold);
         assert!(excess <= 0.0, "seed {seed}: {excess} requests above the limit");
     }
@@ -89,23 +89,23 @@
 
 /// The evacuation of a zone is revoked, and its engines may be cold without having reported it.
 #[test]
-fn zone_taken_back() {
-    let mut world = world(9, 3, Some(START), 5);
+fn evacuation_revoked() {
+    let mut world = world(9, 3, Some(WARMUP), 5);
     run(&mut world, Duration::from_secs(1), 300.0);
     world.evacuate(1, true);
     run(&mut world, Duration::from_secs(4), 300.0);
     world.evacuate(1, false);
     let from = world.now;
-    run(&mut world, START.duration, 300.0);
-    let excess = excess(&world, 1, (from, from + START.duration));
+    run(&mut world, WARMUP.duration, 300.0);
+    let excess = excess(&world, 1, (from, from + WARMUP.duration));
     assert!(excess <= 0.0, "{excess} requests above the limit");
 }
 
 /// An engine that is no longer cold gets work like the others.
 #[test]
 fn warm_again() {
-    let mut world = world(6, 3, Some(START), 6);
-    turn_cold(&mut world, 0, 40.0);
+    let mut world = world(6, 3, Some(WARMUP), 6);
+    make_cold(&mut world, 0, 40.0);
     run(&mut world, Duration::from_secs(6), 40.0);
     let since = world.now;
     run(&mut world, Duration::from_secs(4), 40.0);
@@ -116,14 +116,14 @@
 /// The hub restarts just when an engine becomes cold. Guards against a fault found by a random scenario: until it was the hub again, it reported
 /// to all that there are no entry VMs, so that each scheduled requests as if it were the only one.
 #[test]
-fn leader_starts_anew() {
+fn hub_restarts() {
     for seed in 0..8 {
-        let mut world = world(12, 3, Some(START), seed);
+        let mut world = world(12, 3, Some(WARMUP), seed);
         run(&mut world, Duration::from_secs(1), 200.0);
-        let leader = world.leader().expect("a hub");
-        world.restart(leader);
-        let cold = turn_cold(&mut world, 1, 200.0);
-        run(&mut world, START.duration, 200.0);
+        let hub = world.leader().expect("a hub");
+        world.restart(hub);
+        let cold = make_cold(&mut world, 1, 200.0);
+        run(&mut world, WARMUP.duration, 200.0);
         let excess = excess(&world, 1, cold);
         assert!(excess <= 0.0, "seed {seed}: {excess} requests above the limit");
     }
@@ -144,8 +144,8 @@
             _ => world.heal(),
         }
         let at = u.int_in_range(0..=2)?;
-        let cold = turn_cold(&mut world, at, load);
-        run(&mut world, START.duration, load);
+        let cold = make_cold(&mut world, at, load);
+        run(&mut world, WARMUP.duration, load);
         worst = worst.max(excess(&world, at, cold));
     }
     Ok(worst)
@@ -155,7 +155,7 @@
 #[test]
 fn rate_holds() {
     arbtest(|u| {
-        let excess = play(u, Some(START))?;
+        let excess = play(u, Some(WARMUP))?;
         assert!(excess <= 0.0, "{excess} requests above the limit");
         Ok(())
     })
@@ -164,9 +164,9 @@
 
 /// Checks the test itself: it has to find violations if the configuration has no limit for cold engines.
 #[test]
-fn check_bites() {
+fn detects_missing_limit() {
     let mut world = world(9, 3, None, 1);
-    let cold = turn_cold(&mut world, 0, 300.0);
-    run(&mut world, START.duration, 300.0);
+    let cold = make_cold(&mut world, 0, 300.0);
+    run(&mut world, WARMUP.duration, 300.0);
     assert!(excess(&world, 0, cold) > 0.0);
 }
--- a/fleet/tests/config_push.rs
+++ b/fleet/tests/config_push.rs
@@ -56,7 +56,7 @@
 }
 
 /// Number of entry VMs that pushes reach if all are delivered.
-fn reached(pushes: &[(SocketAddr, Message)]) -> usize {
+fn recipients(pushes: &[(SocketAddr, Message)]) -> usize {
     pushes.iter().map(|(_, message)| 1 + message.forward_to.len()).sum()
 }
 
@@ -75,8 +75,8 @@
     node.state.config().map(|config| config.version)
 }
 
-fn push(node: &mut Node, update: Packed, onward: Vec<SocketAddr>) -> Vec<(SocketAddr, Message)> {
-    let message = Box::new(Message { update: Some(update), forward_to: onward, ..Message::default() });
+fn push(node: &mut Node, update: Packed, forward_to: Vec<SocketAddr>) -> Vec<(SocketAddr, Message)> {
+    let message = Box::new(Message { update: Some(update), forward_to, ..Message::default() });
     pushes(node.feed(Event::Pushed(message)))
 }
 
@@ -85,46 +85,43 @@
     let mut hub = hub(30);
     let pushes = pushes(hub.feed(Event::Configured(Arc::new(with_route(2, 2)))));
     assert!((2..=8).contains(&pushes.len()), "{} copies", pushes.len());
-    assert_eq!(reached(&pushes), 30);
+    assert_eq!(recipients(&pushes), 30);
     let base = pushes[0].1.update.as_ref().map(|update| update.base);
     assert_eq!(base, Some(1), "a delta, not the full configuration");
 }
 
 #[test]
-fn others_push_nothing_of_their_own() {
+fn others_do_not_push() {
     let mut node = Node::ready("a");
     node.feed(Event::FrameReceived(Box::new(frame(1, 1))));
     assert_eq!(pushes(node.feed(Event::Configured(Arc::new(with_route(2, 2))))), []);
 }
 
 #[test]
-fn part_is_passed_on() {
+fn part_is_forwarded() {
     let mut node = Node::with_settings("a", Settings { weak: true, ..Settings::default() });
     node.feed(Event::Configured(Arc::new(config(1))));
-    let onward: Vec<SocketAddr> = (0..9).map(|vm| address(7_100 + vm)).collect();
-    let pushes = push(&mut node, packed(&config(1), &with_route(2, 2)), onward);
+    let forward_to: Vec<SocketAddr> = (0..9).map(|vm| address(7_100 + vm)).collect();
+    let pushes = push(&mut node, packed(&config(1), &with_route(2, 2)), forward_to);
     assert_eq!(version(&node), Some(2));
     assert_eq!(pushes.len(), 2, "a small link sends two copies at once");
-    assert_eq!(reached(&pushes), 9);
+    assert_eq!(recipients(&pushes), 9);
 }
 
 /// If the first entry VM of a part does not take a push, the rest of the part is pushed to directly, and the first one is retried once.
 #[test]
-fn part_goes_on_without_its_head() {
+fn part_is_served_without_its_first() {
     let mut node = Node::ready("a");
-    let onward: Vec<SocketAddr> = (0..9).map(|vm| address(7_100 + vm)).collect();
-    let message = Message {
-        update: Some(packed(&config(1), &with_route(2, 2))),
-        forward_to: onward,
-        ..Message::default()
-    };
+    let forward_to: Vec<SocketAddr> = (0..9).map(|vm| address(7_100 + vm)).collect();
+    let message =
+        Message { update: Some(packed(&config(1), &with_route(2, 2))), forward_to, ..Message::default() };
     let head = address(7_000);
     let missed = Push { address: head, message: Box::new(message), is_retry: false };
     let (again, rest): (Vec<_>, Vec<_>) =
         pushes(node.feed(Event::PushFailed(missed.clone()))).into_iter().partition(|(to, _)| *to == head);
-    assert_eq!((reached(&rest), reached(&again)), (9, 1));
-    let twice = Push { is_retry: true, ..missed };
-    let rest = pushes(node.feed(Event::PushFailed(twice)));
+    assert_eq!((recipients(&rest), recipients(&again)), (9, 1));
+    let retried = Push { is_retry: true, ..missed };
+    let rest = pushes(node.feed(Event::PushFailed(retried)));
     assert!(rest.iter().all(|(to, _)| *to != head), "there is only one retry");
 }
 
@@ -139,7 +136,7 @@
 }
 
 #[test]
-fn never_back() {
+fn never_to_lower_version() {
     let mut node = Node::ready("a");
     push(&mut node, packed(&config(1), &with_route(3, 2)), Vec::new());
     push(&mut node, packed(&config(1), &with_route(2, 4)), Vec::new());
@@ -148,19 +145,19 @@
 }
 
 #[test]
-fn unreadable_update_is_told() {
+fn unreadable_update_is_logged() {
     let mut node = Node::ready("a");
     let update = Packed { base: 1, version: 2, bytes: vec![1, 2, 3].into() };
     push(&mut node, update, Vec::new());
     assert_eq!(version(&node), Some(1));
-    let told = |effect: &Effect| matches!(effect, Effect::Record(Record::Unusable { .. }));
-    assert!(node.effects.iter().any(told));
+    let logged = |effect: &Effect| matches!(effect, Effect::Record(Record::Unusable { .. }));
+    assert!(node.effects.iter().any(logged));
 }
 
 /// An entry VM that missed a push is pushed to once more, and then gets the update in the reply to its frame, because it can evidently reach the
 /// hub.
 #[test]
-fn missed_ones_are_made_up_for() {
+fn lost_push_is_made_up_for() {
     let mut hub = hub(3);
     hub.feed(Event::Configured(large(2)));
     let mut again = Vec::new();
@@ -172,8 +169,8 @@
         for vm in [0, 2] {
             hub.feed(Event::FrameReceived(Box::new(frame(vm, 2))));
         }
-        let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &lacking);
-        if told.config.is_some() {
+        let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &lacking);
+        if reply.config.is_some() {
             assert_eq!(again.len(), 1, "one more push, to that entry VM only");
             return;
         }
@@ -183,16 +180,16 @@
 
 /// The reply to a frame stays small whatever the size of the configuration, because it also has to deliver departures of engines in time.
 #[test]
-fn answers_stay_small() {
+fn replies_stay_small() {
     let mut hub = hub(1);
     hub.feed(Event::Configured(large(2)));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(0, 1));
-    assert_eq!(told.config, None);
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(0, 1));
+    assert_eq!(reply.config, None);
 }
 
 /// A starting entry VM gets the full configuration.
 #[test]
-fn starting_one_gets_all() {
+fn starting_entry_vm_gets_all() {
     let mut hub = hub(1);
     hub.feed(Event::Configured(large(2)));
     hub.advance(millis(300));
@@ -206,7 +203,7 @@
 
 /// Versions in quick succession are combined into a few pushes.
 #[test]
-fn storms_go_together() {
+fn quick_versions_are_combined() {
     let mut hub = hub(9);
     let mut rounds = 0;
     for version in 2..42 {
@@ -233,8 +230,8 @@
         members,
         ..Reply::default()
     }))));
-    let looks = |effect: &Effect| matches!(effect, Effect::Lease(Call::Read));
-    while !node.advance(millis(50)).iter().any(looks) {}
+    let reads = |effect: &Effect| matches!(effect, Effect::Lease(Call::Read));
+    while !node.advance(millis(50)).iter().any(reads) {}
     node.lease(70_000, Outcome::Read(Some(hub_row())));
     node.lease(70_005, Outcome::Written(10));
     assert!(node.state.lease().held_term(node.now).is_some());
@@ -250,24 +247,26 @@
     assert!(hub.advance(millis(500)).iter().any(renews));
 }
 
-fn told(effects: &[Effect]) -> Vec<(Option<Row>, usize)> {
-    let told = |effect: &Effect| match effect {
+fn announcements(effects: &[Effect]) -> Vec<(Option<Row>, usize)> {
+    let announcement = |effect: &Effect| match effect {
         Effect::Push(Push { message, .. }) if message.update.is_none() => {
             Some((message.hub.clone(), 1 + message.forward_to.len()))
         }
         _ => None,
     };
-    effects.iter().filter_map(told).collect()
+    effects.iter().filter_map(announcement).collect()
 }
 
 /// A new hub announces itself. With hundreds of entry VMs it takes seconds to notice the silence of the previous hub, which delays configuration
 /// changes.
 #[test]
-fn new_hub_says_so() {
+fn new_hub_announces_itself() {
     let hub = new_hub(40);
-    let told = told(&hub.effects);
-    assert_eq!(told.iter().map(|(_, reached)| reached).sum::<usize>(), 40);
-    assert!(told.iter().all(|(row, _)| row.as_ref().is_some_and(|row| *row.holder == *"a" && row.term == 4)));
+    let pushed = announcements(&hub.effects);
+    assert_eq!(pushed.iter().map(|(_, recipients)| recipients).sum::<usize>(), 40);
+    assert!(
+        pushed.iter().all(|(row, _)| row.as_ref().is_some_and(|row| *row.holder == *"a" && row.term == 4))
+    );
 }
 
 /// A new hub that has not received any frames yet pushes to the entry VMs that the previous hub listed.
@@ -275,7 +274,7 @@
 fn new_hub_pushes_to_all() {
     let mut hub = new_hub(40);
     let pushes = pushes(hub.feed(Event::Configured(Arc::new(with_route(2, 2)))));
-    assert_eq!(reached(&pushes), 40);
+    assert_eq!(recipients(&pushes), 40);
     assert!(pushes.iter().all(|(_, message)| message.update.as_ref().is_some_and(|update| update.base == 1)));
 }
 
@@ -284,29 +283,29 @@
 fn new_hub_counts_all() {
     let mut hub = new_hub(40);
     hub.advance(millis(500));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(3, 1));
-    assert_eq!(told.nodes, 41);
-    assert_eq!(told.members.map(|members| members.len()), Some(41));
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(3, 1));
+    assert_eq!(reply.nodes, 41);
+    assert_eq!(reply.members.map(|members| members.len()), Some(41));
     hub.advance(millis(4_000));
-    let told = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(3, 1));
-    assert_eq!(told.nodes, 1, "entry VMs that stay silent are dropped");
+    let reply = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &frame(3, 1));
+    assert_eq!(reply.nodes, 1, "entry VMs that stay silent are dropped");
 }
 
 #[test]
-fn hub_that_says_so_is_asked() {
+fn announced_hub_gets_frames() {
     let mut node = Node::ready("b");
     node.advance(millis(10));
     node.lease(0, Outcome::Read(Some(hub_row())));
     let row = Row { holder: "c".into(), address: address(7_300), term: 9, ..hub_row().row };
     let message = Message { hub: Some(row), forward_to: vec![address(7_400)], ..Message::default() };
     let mut effects = node.feed(Event::Pushed(Box::new(message))).to_vec();
-    assert_eq!(told(&effects).len(), 1, "the push is forwarded");
+    assert_eq!(announcements(&effects).len(), 1, "the push is forwarded");
     effects.extend(node.advance(millis(200)));
-    let asked = |effects: &[Effect]| {
+    let sends_frame = |effects: &[Effect]| {
         let to = |effect: &Effect| matches!(effect, Effect::Frame { address, .. } if address.port() == 7_300);
         effects.iter().any(to)
     };
-    assert!(asked(&effects));
+    assert!(sends_frame(&effects));
 }
 
 /// A late announcement of a previous hub is ignored.
@@ -339,5 +338,5 @@
     let mut hub = hub(299);
     hold(&mut hub, millis(3_600));
     let pushes = pushes(hub.feed(Event::Configured(Arc::new(with_route(2, 2)))));
-    assert_eq!(reached(&pushes), 299);
+    assert_eq!(recipients(&pushes), 299);
 }
--- a/fleet/tests/departures_spread.rs
+++ b/fleet/tests/departures_spread.rs
@@ -19,7 +19,7 @@
 /// engine come on top.
 const BOUND: Duration = Duration::from_millis(500);
 /// Time limit of a test that waits for a departure to be known.
-const PATIENCE: Duration = Duration::from_secs(6);
+const WAIT_MAX: Duration = Duration::from_secs(6);
 
 fn writer(id: &str) -> Entry {
     entry(id, WRITER, "zone-a", &["m0"])
@@ -41,20 +41,20 @@
 }
 
 /// Number of running entry VMs that would send requests to an engine.
-fn believers(links: &Links, engine: &str) -> usize {
-    let believes = |at: &usize| {
+fn count_senders(links: &Links, engine: &str) -> usize {
+    let would_send = |at: &usize| {
         links.runs(*at)
             && links.state(*at).engines().any(|known| *known.entry.id == *engine && known.takes_work())
     };
-    (0..links.len()).filter(believes).count()
+    (0..links.len()).filter(would_send).count()
 }
 
 /// Lets the hub read a row. Returns how long it takes until no entry VM would send requests to its engine.
 fn known_after(links: &mut Links, row: Row) -> Option<Duration> {
     let (begin, version, engine) = (links.now, row.version, row.id.clone());
     links.feed(0, listing(vec![row], version, false));
-    while believers(links, &engine) > 0 {
-        if links.now.since(begin) >= PATIENCE {
+    while count_senders(links, &engine) > 0 {
+        if links.now.since(begin) >= WAIT_MAX {
             return None;
         }
         links.pass(millis(2));
@@ -87,7 +87,7 @@
 
 /// A reader of the store pushes the row to the hub and its own zone only, just before the hub reads the row itself.
 #[test]
-fn reader_told_the_hub() {
+fn reader_notified_hub() {
     let mut links = deployment(294);
     let row = row(9, leaving("w1"));
     links.feed(0, pushed(row.clone()));
@@ -98,16 +98,16 @@
 /// The hub received the row by a push and has not read the table up to it. An entry VM that missed the hub's push because it was suspended
 /// learns of it after it resumes.
 #[test]
-fn beyond_the_last_reading() {
+fn pushed_beyond_last_read() {
     let mut links = deployment(20);
     let late = links.len() - 1;
     links.suspend(late, true);
     links.feed(0, pushed(row(9, leaving("w1"))));
     links.pass(Duration::from_secs(3));
-    assert_eq!(believers(&links, "w1"), 0, "no running entry VM uses it");
+    assert_eq!(count_senders(&links, "w1"), 0, "no running entry VM uses it");
     links.suspend(late, false);
     links.pass(Duration::from_secs(2));
-    assert_eq!(believers(&links, "w1"), 0);
+    assert_eq!(count_senders(&links, "w1"), 0);
 }
 
 /// Some entry VMs that have to forward the push are suspended: the others still learn of it, if later, and so do the suspended ones after they
@@ -120,12 +120,12 @@
     assert!(took.is_some_and(|took| took <= 3 * BOUND), "{took:?}");
     (6..links.len()).for_each(|at| links.suspend(at, false));
     links.pass(Duration::from_secs(3));
-    assert_eq!(believers(&links, "w1"), 0);
+    assert_eq!(count_senders(&links, "w1"), 0);
 }
 
 /// A push that arrives after the engine has registered again has no effect.
 #[test]
-fn late_word() {
+fn late_push() {
     let mut links = deployment(3);
     let mut messages = Vec::new();
     for effect in links.apply(0, listing(vec![row(9, leaving("w1"))], 9, false)) {
@@ -137,8 +137,13 @@
     links.pass(millis(300));
     links.feed(0, listing(vec![row(12, writer("w1"))], 12, false));
     links.pass(Duration::from_secs(1));
-    let (before, sent): (usize, Time) = (believers(&links, "w1"), links.now);
+    let (before, sent): (usize, Time) = (count_senders(&links, "w1"), links.now);
     links.feed(4, Event::Pushed(messages.remove(0)));
     links.pass(millis(200));
-    assert_eq!((before, believers(&links, "w1")), (links.len(), links.len()), "{:?}", links.now.since(sent));
+    assert_eq!(
+        (before, count_senders(&links, "w1")),
+        (links.len(), links.len()),
+        "{:?}",
+        links.now.since(sent)
+    );
 }
--- a/fleet/tests/engine_restarts.rs
+++ b/fleet/tests/engine_restarts.rs
@@ -35,38 +35,38 @@
 
 /// The hub's data on the models of an engine's earlier start is not applied to the new start.
 #[test]
-fn earlier_holdings_are_void() {
+fn residency_of_earlier_start_is_ignored() {
     let mut node = Node::ready("a");
     node.feed(listing(vec![row(9, started("w1", 100, &["m0", "m1"]))], 9, false));
     let residency = Residency::from_held(&started("w1", 100, &["m0", "m3"]).held);
-    let told = |incarnation| Reply {
+    let reply = |incarnation| Reply {
         leads: true,
         residency_version: Position { term: 3, version: 8 },
         residencies: vec![Resident { engine: "w1".into(), incarnation, residency: residency.clone() }],
         ..Reply::default()
     };
-    node.feed(Event::Replied(Some(Box::new(told(Incarnation(Some(100)))))));
+    node.feed(Event::Replied(Some(Box::new(reply(Incarnation(Some(100)))))));
     assert_eq!(engine_of(&mut node, "m3").as_deref(), Some("w1"));
     node.feed(listing(vec![row(12, started("w1", 700, &[]))], 12, false));
     let restarted =
         |effect: &Effect| matches!(effect, Effect::Record(Record::Engine { state: "restarted", .. }));
     assert!(node.effects.iter().any(restarted), "{:?}", node.effects);
     assert_eq!(engine_of(&mut node, "m3"), None);
-    node.feed(Event::Replied(Some(Box::new(told(Incarnation(Some(100)))))));
+    node.feed(Event::Replied(Some(Box::new(reply(Incarnation(Some(100)))))));
     assert_eq!(engine_of(&mut node, "m3"), None, "the hub does not know of the new start yet");
-    node.feed(Event::Replied(Some(Box::new(told(Incarnation(Some(700)))))));
+    node.feed(Event::Replied(Some(Box::new(reply(Incarnation(Some(700)))))));
     assert_eq!(engine_of(&mut node, "m3").as_deref(), Some("w1"));
 }
 
 /// Guards against losing what the hub reports about an engine, or a start of it, whose row has not arrived yet: the hub reports it again only
 /// when it changes.
 #[test]
-fn told_before_its_row() {
+fn residency_before_row_is_kept() {
     for id in ["w1", "w9"] {
         let mut node = Node::ready("a");
         node.feed(listing(vec![row(9, started("w1", 100, &["m0"]))], 9, false));
         let residency = Residency::from_held(&started(id, 700, &["m3"]).held);
-        let told = |number, at| Reply {
+        let reply = |number, at| Reply {
             leads: true,
             residency_version: Position { term: 3, version: number },
             residencies: vec![Resident {
@@ -76,11 +76,11 @@
             }],
             ..Reply::default()
         };
-        node.feed(Event::Replied(Some(Box::new(told(8, 700)))));
+        node.feed(Event::Replied(Some(Box::new(reply(8, 700)))));
         node.feed(listing(vec![row(12, started(id, 700, &[]))], 12, false));
         assert_eq!(engine_of(&mut node, "m3").as_deref(), Some(id));
         // Data on a start that has ended by the time of the row is dropped.
-        node.feed(Event::Replied(Some(Box::new(told(9, 800)))));
+        node.feed(Event::Replied(Some(Box::new(reply(9, 800)))));
         node.feed(listing(vec![row(13, started(id, 900, &[]))], 13, false));
         assert_eq!(engine_of(&mut node, "m3"), None);
     }
@@ -98,7 +98,7 @@
 
 /// A restart ends the suspicion of an engine.
 #[test]
-fn trusted_anew() {
+fn restart_ends_suspicion() {
     let mut node = Node::ready("a");
     node.feed(listing(vec![row(9, started("w1", 100, &["m1"]))], 9, false));
     node.feed(Event::Probed { engine: "w1".into(), reach: Port::Silent });
@@ -189,7 +189,7 @@
 
 /// The answer to an order for the earlier start is not attributed to the new one.
 #[test]
-fn earlier_answer_is_void() {
+fn answer_for_earlier_start_is_ignored() {
     let mut node = Node::ready("a");
     node.feed(listing(vec![row(9, started("w1", 100, &["m0", "m1"]))], 9, false));
     node.lead();
@@ -213,7 +213,7 @@
 /// An unanswered order may still reach the engine's next start and be accepted once the sequence numbers match. Until that is ruled out, no
 /// order is sent that would leave no room for it.
 #[test]
-fn late_load_keeps_its_room() {
+fn room_is_kept_for_late_load() {
     let mut node = Node::bare("a");
     let mut config = node::config(1);
     let mut pool = node::pool();
--- a/fleet/tests/evacuated_zones.rs
+++ b/fleet/tests/evacuated_zones.rs
@@ -23,31 +23,31 @@
 /// Required limit on the time from the operator's write until no request is sent to the zone any more.
 const BOUND: Duration = Duration::from_secs(5);
 
-fn word(zone: &str, version: impl Into<Revision>, evacuated: bool) -> Status {
+fn status(zone: &str, version: impl Into<Revision>, evacuated: bool) -> Status {
     Status { zone: zone.into(), revision: version.into(), evacuated }
 }
 
-fn read(words: Vec<Status>, version: impl Into<Revision>, whole: bool) -> Event {
-    Event::Evacuations(Listing { zones: words, version: version.into(), whole })
+fn read(zones: Vec<Status>, version: impl Into<Revision>, whole: bool) -> Event {
+    Event::Evacuations(Listing { zones, version: version.into(), whole })
 }
 
 #[test]
 fn nothing_sent() {
     let mut node = Node::ready("a");
-    node.feed(read(vec![word("zone-a", 9, true)], 9, false));
+    node.feed(read(vec![status("zone-a", 9, true)], 9, false));
     for _ in 0..10 {
         let (id, attempt) = node.sent(plain("/ack/1"));
         assert_eq!(*attempt.engine, *"g2");
         node.ended(id, attempt.number, End::Done);
     }
-    node.feed(read(vec![word("zone-a", 10, false)], 10, false));
+    node.feed(read(vec![status("zone-a", 10, false)], 10, false));
     let engines: Vec<_> = (0..20).map(|_| node.sent(plain("/ack/1")).1.engine).collect();
     assert!(engines.iter().any(|engine| **engine == *"g1"), "the zone gets work again");
 }
 
 /// A request that is scheduled for an engine there but not sent yet is withdrawn.
 #[test]
-fn waiting_is_withdrawn() {
+fn scheduled_request_is_withdrawn() {
     let mut node = Node::ready("a");
     let mut later = None;
     for _ in 0..40 {
@@ -60,7 +60,7 @@
         }
     }
     let id = later.expect("a request scheduled for later");
-    let effects = node.feed(read(vec![word("zone-a", 9, true)], 9, false)).to_vec();
+    let effects = node.feed(read(vec![status("zone-a", 9, true)], 9, false)).to_vec();
     let steps: Vec<&Step> = effects
         .iter()
         .filter_map(|effect| match effect {
@@ -73,27 +73,27 @@
 
 /// An older revision has no effect, whether it comes from a delta or a complete read.
 #[test]
-fn older_news() {
+fn older_revision_is_ignored() {
     let mut node = Node::ready("a");
-    node.feed(read(vec![word("zone-a", 9, true)], 9, false));
-    node.feed(read(vec![word("zone-a", 7, false)], 7, false));
+    node.feed(read(vec![status("zone-a", 9, true)], 9, false));
+    node.feed(read(vec![status("zone-a", 7, false)], 7, false));
     assert_eq!(node.state.evacuated().count(), 1);
     node.feed(read(Vec::new(), 12, true));
     assert_eq!(node.state.evacuated().count(), 0, "a complete read does not list it");
-    node.feed(read(vec![word("zone-a", 9, true)], 9, false));
+    node.feed(read(vec![status("zone-a", 9, true)], 9, false));
     assert_eq!(node.state.evacuated().count(), 0);
 }
 
 /// If a restored copy of the store lacks the row, the evacuation stays until the operator has had time to write the row again.
 #[test]
-fn copy_lacks_it() {
+fn missing_in_restored_copy() {
     for rewritten in [false, true] {
         let mut node = Node::ready("a");
-        node.feed(read(vec![word("zone-a", 9, true)], 9, false));
+        node.feed(read(vec![status("zone-a", 9, true)], 9, false));
         node.feed(read(Vec::new(), (1, 8), true));
         assert_eq!(node.state.evacuated().count(), 1);
         if rewritten {
-            node.feed(read(vec![word("zone-a", (1, 9), true)], (1, 9), false));
+            node.feed(read(vec![status("zone-a", (1, 9), true)], (1, 9), false));
         }
         node.advance(Duration::from_secs(3));
         assert_eq!(node.state.evacuated().count(), usize::from(rewritten));
@@ -102,14 +102,14 @@
 
 /// An entry VM other than the hub reads the row: the hub learns of it from the next frame, and the others from the reply to their next frame.
 #[test]
-fn told_both_ways() {
+fn spreads_by_frames() {
     let (mut hub, mut asker, mut third) = (Node::ready("hub"), Node::ready("a"), Node::ready("b"));
     hub.lead();
     for node in [&mut asker, &mut third] {
         node.lease(5, boragecove_fleet::lease::Outcome::Read(Some(hub_row())));
         exchange(&mut hub, node);
     }
-    asker.feed(read(vec![word("zone-b", 9, true)], 9, false));
+    asker.feed(read(vec![status("zone-b", 9, true)], 9, false));
     exchange(&mut hub, &mut asker);
     assert_eq!(hub.state.evacuated().count(), 1);
     exchange(&mut hub, &mut third);
@@ -126,9 +126,9 @@
         let mut links = Links::new(&rates, &Arc::new(config(1)));
         links.pass(Duration::from_secs(4));
         let (begin, before) = (links.now, links.pushes());
-        links.feed(0, read(vec![word("zone-b", 9, true)], 9, false));
-        let knows = |links: &Links| (0..links.len()).all(|at| links.state(at).evacuated().count() == 1);
-        while !knows(&links) && links.now.since(begin) < BOUND {
+        links.feed(0, read(vec![status("zone-b", 9, true)], 9, false));
+        let all_know = |links: &Links| (0..links.len()).all(|at| links.state(at).evacuated().count() == 1);
+        while !all_know(&links) && links.now.since(begin) < BOUND {
             links.pass(millis(2));
         }
         let (took, pushes) = (links.now.since(begin), links.pushes() - before);
@@ -169,16 +169,16 @@
 
 /// The hub is lost just before the operator's write, or the store rejects it, or its zone is cut off.
 #[test]
-fn leader_lost() {
+fn hub_lost() {
     for (seed, kind) in [(1, 0), (2, 1), (3, 2)] {
         let mut world = world(9, seed);
-        let leader = world.leader().expect("a hub");
+        let hub = world.leader().expect("a hub");
         match kind {
-            0 => world.kill(leader),
-            1 => world.set_store_access(leader, false),
-            _ => world.cut(leader % ZONES.len(), true),
+            0 => world.kill(hub),
+            1 => world.set_store_access(hub, false),
+            _ => world.cut(hub % ZONES.len(), true),
         }
-        let zone = (leader + 1) % ZONES.len();
+        let zone = (hub + 1) % ZONES.len();
         world.evacuate(zone, true);
         run(&mut world, Duration::from_secs(9));
         assert_eq!(world.sent_to_evacuated(BOUND), 0, "kind {kind}");
@@ -191,9 +191,9 @@
     }
 }
 
-fn play(u: &mut Unstructured<'_>, deaf: bool) -> arbitrary::Result<usize> {
+fn play(u: &mut Unstructured<'_>, ignores_evacuations: bool) -> arbitrary::Result<usize> {
     let mut world = world(u.int_in_range(4..=13)?, u.arbitrary()?);
-    world.ignores_evacuations = deaf;
+    world.ignores_evacuations = ignores_evacuations;
     for _ in 0..u.int_in_range(2..=6)? {
         let at = u.int_in_range(0..=world.len() - 1)?;
         match u.int_in_range(0..=9)? {
@@ -226,7 +226,7 @@
 
 /// Checks the test itself: it has to find violations if entry VMs ignore evacuations.
 #[test]
-fn check_bites() {
+fn detects_ignored_evacuation() {
     let mut world = world(6, 1);
     world.ignores_evacuations = true;
     world.evacuate(0, true);
@@ -236,7 +236,7 @@
 
 /// The operator evacuates a zone twice and revokes that once: requests sent there afterwards are no violation.
 #[test]
-fn said_twice() {
+fn evacuated_twice() {
     arbtest(|u| {
         assert_eq!(play(u, false)?, 0, "requests reached engines of an evacuated zone");
         Ok(())
--- a/fleet/tests/key_withdrawal.rs
+++ b/fleet/tests/key_withdrawal.rs
@@ -74,14 +74,14 @@
 
 fn disturb(u: &mut Unstructured<'_>, world: &mut World) -> arbitrary::Result<()> {
     let at = u.int_in_range(0..=VMS - 1)?;
-    let leader = world.leader().unwrap_or(at);
+    let hub = world.leader().unwrap_or(at);
     match u.int_in_range(0..=10)? {
         0 => world.kill(at),
-        1 => world.kill(leader),
+        1 => world.kill(hub),
         2 => world.suspend(at, true),
-        3 => world.suspend(leader, true),
+        3 => world.suspend(hub, true),
         4 => world.set_store_access(at, false),
-        5 => world.set_store_access(leader, false),
+        5 => world.set_store_access(hub, false),
         6 => world.restart(at),
         7 => (0..VMS).filter(|vm| vm % 3 != 0).for_each(|vm| world.set_store_access(vm, false)),
         8 => world.cut(at % ZONES.len(), true),
@@ -122,7 +122,7 @@
 }
 
 /// Plays the scenario of a fixed seed.
-fn day(seed: u64, revocation: Option<Duration>) -> Duration {
+fn scenario(seed: u64, revocation: Option<Duration>) -> Duration {
     let mut bytes = vec![0; 4_096];
     fastrand::Rng::with_seed(seed).fill(&mut bytes);
     play(&mut Unstructured::new(&bytes), revocation).expect("bytes enough")
@@ -130,17 +130,17 @@
 
 /// Checks the test itself: it has to find violations if no proof is required. Fixed seeds make this independent of the load of the machine.
 #[test]
-fn check_bites() {
-    let found = (0..200).find(|seed| !day(*seed, None).is_zero());
+fn detects_missing_proof() {
+    let found = (0..200).find(|seed| !scenario(*seed, None).is_zero());
     println!("{found:?}");
     assert!(found.is_some(), "no scenario exceeds the limit without a proof");
 }
 
 /// The store is restored from a copy from before the key was withdrawn, and all entry VMs restart and read that copy. Returns by how much the
 /// limit was exceeded.
-fn withdrawal_lost(blind: bool) -> Duration {
+fn withdrawal_lost(hides_era: bool) -> Duration {
     let mut world = world(8, Some(BOUND));
-    world.hides_era = blind;
+    world.hides_era = hides_era;
     run(&mut world, Duration::from_secs(3));
     let withdrawn = world.now;
     world.declare(config(2, true));
@@ -155,14 +155,14 @@
 
 /// Guards against accepting a withdrawn key because a restored copy of the store still contains it.
 #[test]
-fn copy_brings_no_key_back() {
+fn restored_copy_brings_no_key_back() {
     assert_eq!(withdrawal_lost(false), Duration::ZERO);
     assert!(!withdrawal_lost(true).is_zero(), "the check has to find it if no process sees the era");
 }
 
 /// While all entry VMs are connected, no caller is refused: those rejected by the store keep their proof through the hub.
 #[test]
-fn nobody_in_touch_is_refused() {
+fn no_connected_caller_is_refused() {
     let mut world = world(5, Some(BOUND));
     for at in (0..VMS).filter(|at| Some(*at) != world.leader()).take(6).collect::<Vec<_>>() {
         world.set_store_access(at, false);
@@ -174,7 +174,7 @@
 
 /// The hub is lost: the proof lasts until there is another hub.
 #[test]
-fn leader_lost() {
+fn hub_lost() {
     let mut world = world(6, Some(BOUND));
     world.kill(world.leader().expect("a hub"));
     run(&mut world, Duration::from_secs(9));
@@ -184,7 +184,7 @@
 
 /// A zone that is cut off accepts keys until its proof expires. After that its refusals state that the request has not run.
 #[test]
-fn cut_zone_ages_out() {
+fn proof_expires_in_cut_zone() {
     let mut world = world(7, Some(BOUND));
     world.cut(1, true);
     let cut = world.now;
--- a/fleet/tests/large_changes.rs
+++ b/fleet/tests/large_changes.rs
@@ -23,7 +23,7 @@
 /// Required limit of the strictest deployment on the time from the confirmation of a change until it is in force everywhere.
 const BOUND: Duration = Duration::from_secs(2);
 /// Time limit of a test that waits for a change to be in force.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_MAX: Duration = Duration::from_secs(20);
 
 /// A configuration with this many routes and pseudorandom names.
 fn config(version: u64, routes: u32) -> Arc<Config> {
@@ -47,7 +47,7 @@
     let mut links = Links::new(rates, &config(4, before));
     links.pass(Duration::from_secs(3));
     links.feed(0, Event::Configured(config(7, after)));
-    links.in_force(7, PATIENCE)
+    links.in_force(7, WAIT_MAX)
 }
 
 fn assert_soon(took: Option<Duration>) {
@@ -87,7 +87,7 @@
         links.feed(0, Event::Configured(config(version, 3_850 + version as u32)));
         links.pass(millis(200));
     }
-    assert_soon(links.in_force(24, PATIENCE));
+    assert_soon(links.in_force(24, WAIT_MAX));
 }
 
 /// A ninth of the entry VMs is suspended: the parts of the push tree below them get the version without them, and they get it soon after they
@@ -99,17 +99,17 @@
     let suspended = || (8..90).step_by(9);
     suspended().for_each(|at| links.suspend(at, true));
     links.feed(0, Event::Configured(config(7, 3_850)));
-    assert_soon(links.in_force(7, PATIENCE));
+    assert_soon(links.in_force(7, WAIT_MAX));
     links.pass(Duration::from_secs(10));
     suspended().for_each(|at| links.suspend(at, false));
-    assert_soon(links.in_force(7, PATIENCE));
+    assert_soon(links.in_force(7, WAIT_MAX));
 }
 
 /// A third of the entry VMs restarts at once without any state: each gets the full large configuration.
 #[test]
-fn many_start_anew() {
+fn many_restart() {
     let mut links = Links::new(&deployment(84), &config(4, 7_800));
     links.pass(Duration::from_secs(3));
     (10..40).for_each(|at| links.restart(at));
-    assert_soon(links.in_force(4, PATIENCE));
+    assert_soon(links.in_force(4, WAIT_MAX));
 }
--- a/fleet/tests/request_regions.rs
+++ b/fleet/tests/request_regions.rs
@@ -26,16 +26,16 @@
     Settings { regions: BTreeMap::from(regions), ..Settings::default() }
 }
 
-fn homes(regions: &[&str]) -> Regions {
+fn allowed(regions: &[&str]) -> Regions {
     Regions::new(regions.iter().copied().map(Name::from))
 }
 
 /// A configuration in which one route allows only some regions.
-fn bound(version: u64, route: &str, regions: &[&str]) -> Config {
+fn restricted(version: u64, route: &str, regions: &[&str]) -> Config {
     let mut config = config(version);
     let of = |known: &&mut Arc<Route>| *known.name == *route;
     let route = config.routes.iter_mut().find(of).expect("a route");
-    Arc::make_mut(route).allowed_regions = homes(regions);
+    Arc::make_mut(route).allowed_regions = allowed(regions);
     config
 }
 
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn sent_home() {
-    let mut node = ready(bound(1, "ack", &["south"]));
+fn sent_to_allowed_region() {
+    let mut node = ready(restricted(1, "ack", &["south"]));
     for _ in 0..20 {
         let (id, attempt) = node.sent(plain("/ack/1"));
         assert_eq!(*attempt.engine, *"g2");
@@ -69,8 +69,8 @@
 
 /// A retry stays in the allowed regions, too.
 #[test]
-fn repeats_stay_home() {
-    let mut node = ready(bound(1, "list", &["south"]));
+fn retries_stay_in_allowed_region() {
+    let mut node = ready(restricted(1, "list", &["south"]));
     let (id, attempt) = node.sent(plain("/list/1"));
     let step = node.ended(id, attempt.number, End::Broken);
     assert!(
@@ -81,8 +81,8 @@
 
 /// If route and workspace both restrict the regions, both restrictions apply.
 #[test]
-fn both_bind() {
-    let (north, south) = (homes(&["north"]), homes(&["south"]));
+fn both_restrictions_apply() {
+    let (north, south) = (allowed(&["north"]), allowed(&["south"]));
     let region = Name::from("north");
     assert!(north.permit(Some(&region)).is_some());
     assert!(north.intersect(&south).permit(Some(&region)).is_none());
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn no_home_reachable() {
-    let mut node = ready(bound(1, "ack", &["south"]));
+fn no_engine_in_allowed_region() {
+    let mut node = ready(restricted(1, "ack", &["south"]));
     node.feed(listing(vec![removed(9, "g2")], 9, false));
     let refusal = node.refused(plain("/ack/1"));
     assert_eq!(refusal.code, Code::NoBackend);
@@ -102,12 +102,12 @@
 
 /// A change of the allowed regions applies at once and can be reverted.
 #[test]
-fn homes_change() {
+fn allowed_regions_change() {
     let mut node = ready(config(1));
-    node.feed(Event::Configured(Arc::new(bound(2, "ack", &["north"]))));
+    node.feed(Event::Configured(Arc::new(restricted(2, "ack", &["north"]))));
     let (_, attempt) = node.sent(plain("/ack/1"));
     assert_eq!(*attempt.engine, *"g1");
-    node.feed(Event::Configured(Arc::new(bound(3, "ack", &["south"]))));
+    node.feed(Event::Configured(Arc::new(restricted(3, "ack", &["south"]))));
     let (_, attempt) = node.sent(plain("/ack/1"));
     assert_eq!(*attempt.engine, *"g2");
     node.feed(Event::Configured(Arc::new(config(4))));
@@ -116,18 +116,18 @@
     assert_eq!(*attempt.engine, *"g1");
 }
 
-/// Configures random allowed regions, or none for `deaf`, and returns them.
+/// Configures random allowed regions, or leaves all allowed if `unrestricted`, and returns the regions that were drawn.
 fn step(
     u: &mut Unstructured<'_>,
     node: &mut Node,
     version: &mut u64,
-    deaf: bool,
+    unrestricted: bool,
 ) -> arbitrary::Result<Regions> {
     *version += 1;
     let regions = *u.choose(&[&[][..], &["north"], &["south"], &["north", "south"], &["nowhere"]])?;
     let declared = Regions::new(regions.iter().copied().map(Name::from));
     let mut config = config(*version);
-    if !deaf {
+    if !unrestricted {
         for route in &mut config.routes {
             Arc::make_mut(route).allowed_regions = declared.clone();
         }
@@ -137,7 +137,7 @@
 }
 
 /// Plays one random scenario. Returns whether a request was sent to an engine outside its allowed regions.
-fn strays(u: &mut Unstructured<'_>, deaf: bool) -> arbitrary::Result<bool> {
+fn leaves_allowed_regions(u: &mut Unstructured<'_>, unrestricted: bool) -> arbitrary::Result<bool> {
     let mut node = ready(config(1));
     let zones: BTreeMap<&str, &str> = BTreeMap::from(REGIONS);
     let at = BTreeMap::from([("w1", "zone-a"), ("g1", "zone-a"), ("w2", "zone-b"), ("g2", "zone-b")]);
@@ -145,7 +145,7 @@
     let mut open: Vec<(Id, u32)> = Vec::new();
     for _ in 0..u.int_in_range(5..=40)? {
         match u.int_in_range(0..=6)? {
-            0 => declared = step(u, &mut node, &mut version, deaf)?,
+            0 => declared = step(u, &mut node, &mut version, unrestricted)?,
             1 => {
                 let engine = *u.choose(&["w1", "w2", "g1", "g2"])?;
                 rows += 1;
@@ -195,9 +195,9 @@
 
 /// With any combination of configurations, losses, retries and suspicions, no request leaves its allowed regions.
 #[test]
-fn never_strays() {
+fn never_leaves_allowed_regions() {
     arbtest(|u| {
-        assert!(!strays(u, false)?, "a request was sent outside its allowed regions");
+        assert!(!leaves_allowed_regions(u, false)?, "a request was sent outside its allowed regions");
         Ok(())
     })
     .budget_ms(3_000);
@@ -205,10 +205,10 @@
 
 /// Checks the test itself: it has to find violations if the configuration restricts no regions.
 #[test]
-fn check_bites() {
+fn detects_missing_restriction() {
     let found = std::cell::Cell::new(0);
     arbtest(|u| {
-        found.set(found.get() + u32::from(strays(u, true)?));
+        found.set(found.get() + u32::from(leaves_allowed_regions(u, true)?));
         Ok(())
     })
     .budget_ms(500);
--- a/fleet/tests/restored_store.rs
+++ b/fleet/tests/restored_store.rs
@@ -33,7 +33,7 @@
     entry(id, WRITER, "zone-a", &["m0"])
 }
 
-fn leaves(id: &str) -> Entry {
+fn leaving(id: &str) -> Entry {
     Entry { leaving: true, ..writer(id) }
 }
 
@@ -65,25 +65,25 @@
     node.state.engines().any(|engine| *engine.entry.id == *id && engine.takes_work())
 }
 
-fn known(node: &Node, id: &str) -> bool {
+fn is_listed(node: &Node, id: &str) -> bool {
     node.state.engines().any(|engine| *engine.entry.id == *id)
 }
 
 /// Guards against ignoring a row after a restore: the row that marked an engine as leaving had a lower version than the row known from
 /// before the restore, and was skipped as older.
 #[test]
-fn lower_version_is_news() {
+fn lower_version_in_new_era_is_applied() {
     let mut node = ready("a");
     node.feed(copy(at(2, 80), Some(writer("w1"))));
-    node.feed(listing(vec![row(at(2, 88), leaves("w1"))], at(2, 88), false));
-    assert!(known(&node, "w1") && !serves(&node, "w1"));
+    node.feed(listing(vec![row(at(2, 88), leaving("w1"))], at(2, 88), false));
+    assert!(is_listed(&node, "w1") && !serves(&node, "w1"));
     assert_eq!(node.state.stale_rows_skipped(), 0);
 }
 
 #[test]
 fn leaving_stays_leaving() {
     let mut node = ready("a");
-    node.feed(listing(vec![row(at(1, 104), leaves("w1"))], at(1, 104), false));
+    node.feed(listing(vec![row(at(1, 104), leaving("w1"))], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     assert!(!serves(&node, "w1"), "the copy is from before it was marked as leaving");
     node.feed(listing(vec![row(at(2, 95), writer("w1"))], at(2, 95), false));
@@ -95,7 +95,7 @@
 
 /// The removal of an engine is lost in the restore. The engine may still run for a while, or another one may have its address by now.
 #[test]
-fn removed_is_doubted() {
+fn removed_engine_is_in_doubt() {
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
@@ -103,11 +103,11 @@
     assert!(!serves(&node, "w1"), "three of its heartbeats cannot have been missed yet");
     node.feed(listing(vec![removed(at(2, 99), "w1")], at(2, 99), false));
     node.advance(Duration::from_secs(5));
-    assert!(!known(&node, "w1"));
+    assert!(!is_listed(&node, "w1"));
 }
 
 #[test]
-fn removed_and_sound_is_back() {
+fn removed_but_healthy_engine_is_used_again() {
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
@@ -135,7 +135,7 @@
 
 /// An engine whose entry is newer than the copy writes it again.
 #[test]
-fn lacking_is_waited_for() {
+fn missing_entry_has_grace() {
     let mut node = ready("a");
     node.feed(copy(at(2, 90), None));
     node.advance(millis(1_800));
@@ -146,12 +146,12 @@
     let mut node = ready("b");
     node.feed(copy(at(2, 90), None));
     node.advance(millis(2_100));
-    assert!(!known(&node, "w1"), "an engine whose entry is still missing then counts as gone");
+    assert!(!is_listed(&node, "w1"), "an engine whose entry is still missing then counts as gone");
 }
 
 /// An answer from before the restore is ignored if it arrives after one of the new era.
 #[test]
-fn late_answer_changes_nothing() {
+fn late_answer_is_ignored() {
     let mut node = ready("a");
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     node.feed(listing(vec![removed(at(1, 120), "w1")], at(1, 120), false));
@@ -165,7 +165,7 @@
 /// An engine is removed just after a restore and is in its grace period when the store is restored once more, from a copy made before the
 /// removal.
 #[test]
-fn lapsing_over_a_second_return() {
+fn missing_during_second_restore() {
     let mut node = ready("a");
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     node.advance(millis(300));
@@ -180,16 +180,16 @@
 
 /// A second restore while engines are still repeating the writes lost in the first one.
 #[test]
-fn second_return() {
+fn second_restore() {
     let mut node = ready("a");
-    node.feed(listing(vec![row(at(1, 104), leaves("w1"))], at(1, 104), false));
+    node.feed(listing(vec![row(at(1, 104), leaving("w1"))], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
     node.advance(millis(700));
     node.feed(copy(at(3, 70), Some(writer("w1"))));
     assert!(!serves(&node, "w1"));
     node.feed(listing(vec![row(at(3, 71), writer("w1"))], at(3, 71), false));
     assert!(!serves(&node, "w1"));
-    node.feed(listing(vec![row(at(3, 72), leaves("w2"))], at(3, 72), false));
+    node.feed(listing(vec![row(at(3, 72), leaving("w2"))], at(3, 72), false));
     assert!(!serves(&node, "w2"));
     node.advance(Duration::from_secs(5));
     assert!(serves(&node, "g1") && serves(&node, "g2"), "the other engines were present all along");
@@ -200,39 +200,39 @@
 fn era_is_logged() {
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
-    let told = node.feed(Event::Era(2)).to_vec();
+    let effects = node.feed(Event::Era(2)).to_vec();
     let era = |effect: &Effect| {
         matches!(
             effect,
             Effect::Record(Record::Era { era: 2, before: 1, listed: 104, removed: 1, led: false, .. })
         )
     };
-    assert_eq!(told.iter().filter(|effect| era(effect)).count(), 1);
+    assert_eq!(effects.iter().filter(|effect| era(effect)).count(), 1);
     node.advance(millis(300));
-    let told = node.feed(copy(at(2, 90), Some(writer("w1")))).to_vec();
+    let effects = node.feed(copy(at(2, 90), Some(writer("w1")))).to_vec();
     let reread = |effect: &Effect| {
         matches!(
             effect,
             Effect::Record(Record::Reread { era: 2, version: 90, after_ms: 300, returned: 1, .. })
         )
     };
-    assert_eq!(told.iter().filter(|effect| reread(effect)).count(), 1);
+    assert_eq!(effects.iter().filter(|effect| reread(effect)).count(), 1);
     let again = node.feed(Event::Era(2)).to_vec();
     assert!(!again.iter().any(era), "the era is known already");
 }
 
 /// The first era that a starting entry VM sees does not count as a restore.
 #[test]
-fn first_word_is_no_return() {
+fn first_era_is_no_restore() {
     let mut node = Node::bare("a");
     node.feed(Event::Configured(Arc::new(config(1))));
-    let told = node.feed(copy(at(7, 100), Some(writer("w1")))).to_vec();
-    assert!(!told.iter().any(|effect| matches!(effect, Effect::Record(Record::Era { .. }))));
+    let effects = node.feed(copy(at(7, 100), Some(writer("w1")))).to_vec();
+    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Record(Record::Era { .. }))));
     assert_eq!(node.state.era().number(), 7);
 }
 
 /// A process that holds the lease in the first era and knows four engines.
-fn leader() -> Node {
+fn hub() -> Node {
     let mut hub = ready("hub");
     hub.advance(Duration::from_secs(3));
     hub.lease(2_000, Outcome::Read(None));
@@ -259,29 +259,29 @@
 
 /// The others learn of the restore from the hub, which sends only the differences, because 300 of them ask within a second or two.
 #[test]
-fn hub_tells_what_differs() {
-    let (mut hub, mut asker) = (leader(), asker());
+fn hub_sends_differences() {
+    let (mut hub, mut asker) = (hub(), asker());
     exchange(&mut hub, &mut asker);
     hub.feed(copy(at(2, 90), Some(writer("w1"))));
-    let told = exchange(&mut hub, &mut asker);
-    assert!(told.rows.is_empty() && !told.whole, "{told:?}");
-    assert_eq!((told.era, told.engines_revision), (2, at(2, 90)));
+    let reply = exchange(&mut hub, &mut asker);
+    assert!(reply.rows.is_empty() && !reply.whole, "{reply:?}");
+    assert_eq!((reply.era, reply.engines_revision), (2, at(2, 90)));
     assert_eq!(asker.state.era().number(), 2);
-    hub.feed(listing(vec![row(at(2, 93), leaves("w1"))], at(2, 93), false));
-    let told = exchange(&mut hub, &mut asker);
-    assert_eq!(told.rows.len(), 1, "{told:?}");
+    hub.feed(listing(vec![row(at(2, 93), leaving("w1"))], at(2, 93), false));
+    let reply = exchange(&mut hub, &mut asker);
+    assert_eq!(reply.rows.len(), 1, "{reply:?}");
     assert!(!serves(&asker, "w1"));
 }
 
 /// An entry VM that had read more of the old era than the hub gets the whole table, since differences from the hub's view are not enough.
 #[test]
-fn who_knew_more_is_told_all() {
-    let (mut hub, mut asker) = (leader(), asker());
+fn entry_vm_with_more_gets_all() {
+    let (mut hub, mut asker) = (hub(), asker());
     asker.feed(listing(vec![removed(at(1, 105), "w1")], at(1, 105), false));
     hub.feed(copy(at(2, 90), Some(writer("w1"))));
-    let told = exchange(&mut hub, &mut asker);
-    assert!(told.whole);
-    assert_eq!(told.rows.len(), 4);
+    let reply = exchange(&mut hub, &mut asker);
+    assert!(reply.whole);
+    assert_eq!(reply.rows.len(), 4);
     assert!(!serves(&asker, "w1"), "it knows that w1 was removed after the copy was made");
     assert!(serves(&asker, "w2"));
 }
@@ -300,13 +300,13 @@
 /// Guards against sending requests to a removed engine again. A hub that reaches the store again after an outage but has not read the engines'
 /// table yet does not confirm the entries of a restored copy.
 #[test]
-fn unread_leader_vouches_for_nothing() {
-    let (mut hub, mut asker) = (leader(), asker());
+fn hub_without_reading_confirms_nothing() {
+    let (mut hub, mut asker) = (hub(), asker());
     asker.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     let mut rows = others(at(2, 90));
     rows.push(row(at(2, 90), writer("w1")));
     hub.feed(listed(hub.now, rows, at(2, 90), true));
-    let told = exchange(&mut hub, &mut asker);
+    let reply = exchange(&mut hub, &mut asker);
     asker.advance(Duration::from_secs(6));
     let unread = Reply {
         number: frame_number(&mut asker),
@@ -314,7 +314,7 @@
         store_age: Duration::ZERO,
         engines_age: Some(Duration::from_secs(6)),
         whole: false,
-        ..told.clone()
+        ..reply.clone()
     };
     asker.feed(Event::Replied(Some(Box::new(unread.clone()))));
     assert!(!serves(&asker, "w1"), "the hub's view is from before the store would have removed it");
@@ -325,7 +325,7 @@
 
 /// Guards against the same through pushed rows: the sender may have the row in doubt itself.
 #[test]
-fn passed_on_is_doubted() {
+fn pushed_row_is_in_doubt() {
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(listed(node.now, others(at(2, 90)), at(2, 90), true));
@@ -340,7 +340,7 @@
 /// Guards against sending requests to a removed engine again once the hub reports that all lost writes were repeated: the store removes the
 /// entry of an engine that is gone only later.
 #[test]
-fn settled_era_is_doubted() {
+fn settled_era_keeps_doubt() {
     let mut node = ready("a");
     node.feed(listing(vec![removed(at(1, 104), "w1")], at(1, 104), false));
     node.feed(copy(at(2, 90), Some(writer("w1"))));
@@ -360,11 +360,11 @@
 
 /// An entry VM that has seen the new era reports it to the hub, which sends no more orders under a term of the old one.
 #[test]
-fn frame_tells_the_hub() {
-    let mut hub = leader();
+fn frame_reports_era_to_hub() {
+    let mut hub = hub();
     let before = hub.state.lease().held_term(hub.now);
-    let told = Frame { vm: "b".into(), era: 2, ..Frame::default() };
-    hub.feed(Event::FrameReceived(Box::new(told)));
+    let frame = Frame { vm: "b".into(), era: 2, ..Frame::default() };
+    hub.feed(Event::FrameReceived(Box::new(frame)));
     assert_eq!(lease_calls(&hub.effects), [Call::Read], "it reads the lease of the new era at once");
     assert_eq!(hub.state.lease().ordering_term(hub.now), None);
     assert_eq!(hub.state.lease().held_term(hub.now), before, "no other process can have taken the lease yet");
@@ -372,8 +372,8 @@
 
 /// The process that held the lease when the store was lost continues as the hub under a term of the new era.
 #[test]
-fn holder_goes_on() {
-    let mut hub = leader();
+fn lease_holder_continues() {
+    let mut hub = hub();
     hub.advance(millis(100));
     let asker = Frame { vm: "b".into(), ..Frame::default() };
     let before = boragecove_fleet::reply_to_frame(&mut hub.state, hub.now, &asker);
@@ -441,7 +441,7 @@
 /// A write to the lease row of the previous era that the store accepts after the restore does not give a lease.
 #[test]
 fn late_write_is_no_lease() {
-    let mut hub = leader();
+    let mut hub = hub();
     let renewal = lease_calls(&hub.advance(millis(450)));
     assert!(matches!(&*renewal, [Call::Write { .. }]), "{renewal:?}");
     hub.now = hub.now + millis(200);
@@ -458,7 +458,7 @@
 /// A late answer from the old era does not restore the lease of a process that knows the new one.
 #[test]
 fn late_lease_answer() {
-    let mut hub = leader();
+    let mut hub = hub();
     hub.advance(millis(450));
     hub.feed(Event::Era(2));
     hub.now = hub.now + Duration::from_secs(3);
@@ -507,7 +507,7 @@
 /// A key was withdrawn after the copy was made, and this entry VM does not know it. The copy is the store's newest configuration, but does not
 /// count as a proof until the operator has had time to write again.
 #[test]
-fn copy_proves_nothing() {
+fn copy_is_no_proof() {
     let mut node = proving("a", with_keys(4, false));
     for _ in 0..19 {
         node.advance(millis(100));
@@ -523,7 +523,7 @@
 
 /// A current configuration that is newer than the one in the copy is kept, and proved only once the store has it again.
 #[test]
-fn configuration_stays() {
+fn newer_configuration_is_kept() {
     let mut node = proving("a", with_keys(5, true));
     node.feed(Event::Configured(Arc::new(with_keys(4, false))));
     assert_eq!(node.state.config().map(|config| config.version), Some(5));
@@ -568,7 +568,7 @@
 /// When 300 entry VMs lose their hub while the store is restored, each reads the whole tables at a random time within an interval that grows
 /// with their number. The hub reads at once.
 #[test]
-fn whole_reads_are_spread() {
+fn complete_reads_are_spread() {
     let follow = |effects: &[Effect]| {
         effects.iter().rev().find_map(|effect| match effect {
             Effect::Follow(how) => Some(how.expect("it follows the store")),
@@ -577,21 +577,21 @@
     };
     let mut node = asker();
     node.advance(millis(200));
-    let word = Reply { leads: true, nodes: 300, era: 1, engines_revision: at(1, 100), ..Reply::default() };
-    node.feed(Event::Replied(Some(Box::new(word))));
-    let alone =
+    let reply = Reply { leads: true, nodes: 300, era: 1, engines_revision: at(1, 100), ..Reply::default() };
+    node.feed(Event::Replied(Some(Box::new(reply))));
+    let without_hub =
         follow(&node.advance(Duration::from_secs(9))).expect("it follows the store once the hub is lost");
-    assert_eq!(alone.reload_spread, Duration::from_secs(3));
+    assert_eq!(without_hub.reload_spread, Duration::from_secs(3));
     let mut hub = ready("hub");
     hub.advance(Duration::from_secs(3));
     hub.lease(2_000, Outcome::Read(None));
-    let leads = follow(hub.lease(2_005, Outcome::Written(101))).expect("the hub follows the store");
-    assert_eq!(leads.reload_spread, Duration::ZERO);
+    let as_hub = follow(hub.lease(2_005, Outcome::Written(101))).expect("the hub follows the store");
+    assert_eq!(as_hub.reload_spread, Duration::ZERO);
 }
 
 /// A starting process takes over quarantined requests from a lease row of the previous era, because it has no other source.
 #[test]
-fn copy_keeps_quarantine() {
+fn quarantine_is_read_from_copy() {
     let mut node = Node::bare("b");
     node.advance(millis(10));
     let mut old = hub_row();
--- a/fleet/tests/route_table.rs
+++ b/fleet/tests/route_table.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn never_downwards() {
+fn never_to_lower_version() {
     let mut node = Node::ready("a");
     let mut newer = config(5);
     newer.routes.retain(|route| *route.name != *"ack");
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn timeout_bounds_patience() {
+fn route_timeout_limits_caller_timeout() {
     let mut node = Node::ready("a");
     let mut arrival = plain("/ack/1");
     arrival.caller_timeout = Some(Duration::from_mins(1));
--- a/fleet/tests/store/mod.rs
+++ b/fleet/tests/store/mod.rs
@@ -17,9 +17,9 @@
 use boragecove_fleet::revision::Revision;
 
 /// How long backup copies are kept.
-const KEPT: Duration = Duration::from_secs(8);
+const BACKUP_RETENTION: Duration = Duration::from_secs(8);
 /// Time between two backup copies.
-const COPY_EVERY: Duration = Duration::from_millis(100);
+const BACKUP_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Clone, Debug, Default)]
 struct Content {
@@ -39,7 +39,7 @@
 pub struct Store {
     content: Content,
     era: u64,
-    copies: Vec<(Time, Content)>,
+    backups: Vec<(Time, Content)>,
 }
 
 impl Store {
@@ -153,28 +153,28 @@
     /// Reads the changes of the zones' evacuation state since `known`, or the whole state if `known` is of another era.
     pub fn evacuations(&self, known: Option<Revision>) -> evacuation::Listing {
         let after = known.filter(|known| known.era == self.era && known.version <= self.content.version);
-        let words = self.content.evacuations.iter().filter_map(|(zone, (version, evacuated))| {
+        let zones = self.content.evacuations.iter().filter_map(|(zone, (version, evacuated))| {
             let wanted = after.map_or(*evacuated, |after| *version > after.version);
             let revision = Revision::new(self.era, *version);
             wanted.then(|| Status { zone: zone.clone(), revision, evacuated: *evacuated })
         });
-        evacuation::Listing { zones: words.collect(), version: self.revision(), whole: after.is_none() }
+        evacuation::Listing { zones: zones.collect(), version: self.revision(), whole: after.is_none() }
     }
 
     /// Makes a backup copy if the last one is old enough.
     pub fn keep(&mut self, now: Time) {
-        if self.copies.last().is_none_or(|(at, _)| now.since(*at) >= COPY_EVERY) {
-            self.copies.push((now, self.content.clone()));
-            self.copies.retain(|(at, _)| now.since(*at) <= KEPT);
+        if self.backups.last().is_none_or(|(at, _)| now.since(*at) >= BACKUP_INTERVAL) {
+            self.backups.push((now, self.content.clone()));
+            self.backups.retain(|(at, _)| now.since(*at) <= BACKUP_RETENTION);
         }
     }
 
     /// Restores the store from a copy that is at least `back` old, or from the oldest one.
     pub fn restore(&mut self, now: Time, back: Duration) {
-        let at = self.copies.iter().rposition(|(at, _)| now.since(*at) >= back).unwrap_or_default();
-        if let Some((_, copy)) = self.copies.get(at) {
+        let at = self.backups.iter().rposition(|(at, _)| now.since(*at) >= back).unwrap_or_default();
+        if let Some((_, copy)) = self.backups.get(at) {
             self.content = copy.clone();
-            self.copies.truncate(at + 1);
+            self.backups.truncate(at + 1);
         }
         self.era += 1;
     }
--- a/fleet/tests/store_readers.rs
+++ b/fleet/tests/store_readers.rs
@@ -51,7 +51,7 @@
 
 /// Only the hub reads the store in normal operation.
 #[test]
-fn leader_reads() {
+fn only_hub_reads() {
     let mut world = world(300, 1);
     let calls = calls_per_s(&mut world, Duration::from_secs(5));
     assert!(calls <= 20.0, "{calls} calls per second");
@@ -59,11 +59,11 @@
 
 /// The store rejects the hub for longer than a change may take to be in force.
 #[test]
-fn leader_turned_away() {
+fn hub_rejected() {
     for vms in [300, 600] {
         let mut world = world(vms, 2);
-        let leader = world.leader().expect("a hub");
-        world.set_store_access(leader, false);
+        let hub = world.leader().expect("a hub");
+        world.set_store_access(hub, false);
         world.advance(Duration::from_millis(1_300));
         world.declare(config(2));
         let took = in_force(&mut world, 2, Duration::from_secs(5));
@@ -76,11 +76,11 @@
 
 /// The store rejects a third of the entry VMs, including the hub.
 #[test]
-fn third_turned_away() {
+fn third_rejected() {
     let mut world = world(300, 3);
-    let leader = world.leader().expect("a hub");
-    for at in (0..world.len()).filter(|at| at % 3 == leader % 3 || at % 7 == 0) {
-        world.set_store_access(at, at % 2 == 1 && at != leader);
+    let hub = world.leader().expect("a hub");
+    for at in (0..world.len()).filter(|at| at % 3 == hub % 3 || at % 7 == 0) {
+        world.set_store_access(at, at % 2 == 1 && at != hub);
     }
     world.advance(Duration::from_millis(1_300));
     world.declare(config(2));
@@ -92,11 +92,11 @@
 
 /// The hub is killed: another one takes over soon, and a change is in force everywhere.
 #[test]
-fn leader_killed() {
+fn hub_killed() {
     for vms in [300, 600] {
         let mut world = world(vms, 4);
-        let leader = world.leader().expect("a hub");
-        world.kill(leader);
+        let hub = world.leader().expect("a hub");
+        world.kill(hub);
         let began = world.now;
         world.advance(Duration::from_millis(200));
         world.declare(config(2));
@@ -117,7 +117,7 @@
 
 /// The store rejects all entry VMs: the number of calls stays bounded.
 #[test]
-fn all_turned_away() {
+fn all_rejected() {
     for vms in [300, 600] {
         let mut world = world(vms, 5);
         (0..vms).for_each(|at| world.set_store_access(at, false));
--- a/fleet/tests/world/departures.rs
+++ b/fleet/tests/world/departures.rs
@@ -13,7 +13,7 @@
 use super::World;
 
 /// Time between two checks of all entry VMs.
-const LOOK_EVERY: Duration = Duration::from_millis(20);
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Which messages omit departures, to check that a test detects this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,7 +30,7 @@
 
 /// The first entry VM that received an engine's own announcement.
 #[derive(Clone, Copy, Debug)]
-struct Hearer {
+struct Receiver {
     vm: usize,
     start: u64,
     at: Time,
@@ -40,131 +40,133 @@
 #[derive(Debug)]
 pub struct Departures {
     /// Required limit on how long after the store's write a leaving engine may still get requests.
-    drain: Duration,
+    limit: Duration,
     /// The limit applies to entry VMs that, like the store, have been undisturbed for this long.
-    contact: Duration,
+    undisturbed: Duration,
     /// When the store accepted that an engine is leaving or gone.
-    taken: BTreeMap<String, Time>,
-    heard: BTreeMap<String, Hearer>,
+    accepted: BTreeMap<String, Time>,
+    announced: BTreeMap<String, Receiver>,
     /// Engines that never leave.
-    stay: BTreeSet<String>,
+    present: BTreeSet<String>,
     /// Entry VMs, with the number of their start, that have used an engine.
-    believed: BTreeSet<(usize, u64, String)>,
+    used: BTreeSet<(usize, u64, String)>,
     /// Those of them that have learned that the engine is leaving.
-    knows: BTreeSet<(usize, u64, String)>,
+    informed: BTreeSet<(usize, u64, String)>,
     pub faults: Vec<String>,
 }
 
 impl Departures {
     /// Creates the checks for engines that are all present.
-    pub fn new(engines: impl Iterator<Item = String>, drain: Duration, contact: Duration) -> Self {
+    pub fn new(engines: impl Iterator<Item = String>, limit: Duration, undisturbed: Duration) -> Self {
         Self {
-            drain,
-            contact,
-            taken: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            stay: engines.collect(),
-            believed: BTreeSet::new(),
-            knows: BTreeSet::new(),
+            limit,
+            undisturbed,
+            accepted: BTreeMap::new(),
+            announced: BTreeMap::new(),
+            present: engines.collect(),
+            used: BTreeSet::new(),
+            informed: BTreeSet::new(),
             faults: Vec::new(),
         }
     }
 
     /// Notes that an engine will leave. No time limit applies until the store accepts the departure.
-    pub fn leaves(&mut self, engine: &str) {
-        self.stay.remove(engine);
+    pub fn will_leave(&mut self, engine: &str) {
+        self.present.remove(engine);
     }
 
     /// Whether no departure of the engine was noted.
-    pub fn stays(&self, engine: &str) -> bool {
-        self.stay.contains(engine)
+    pub fn is_present(&self, engine: &str) -> bool {
+        self.present.contains(engine)
     }
 
     /// Notes that the store accepts now that an engine is leaving or gone.
-    pub fn take(&mut self, world: &World, engine: &str) {
-        self.stay.remove(engine);
-        self.taken.entry(engine.to_owned()).or_insert(world.now);
+    pub fn store_accepted(&mut self, world: &World, engine: &str) {
+        self.present.remove(engine);
+        self.accepted.entry(engine.to_owned()).or_insert(world.now);
     }
 
     /// Lets an entry VM receive an engine's announcement that it is leaving.
-    pub fn hear(&mut self, world: &mut World, vm: usize, engine: &str) {
-        self.stay.remove(engine);
-        let hearer = Hearer { vm, start: world.start_of(vm), at: world.now };
-        self.heard.entry(engine.to_owned()).or_insert(hearer);
-        world.hear_leaving(vm, engine);
+    pub fn announce_to(&mut self, world: &mut World, vm: usize, engine: &str) {
+        self.present.remove(engine);
+        let receiver = Receiver { vm, start: world.start_of(vm), at: world.now };
+        self.announced.entry(engine.to_owned()).or_insert(receiver);
+        world.receive_announcement(vm, engine);
     }
 
     /// Handles a restore of the store: the time limits start again once entry VMs have been connected to it long enough.
-    pub fn drilled(&mut self, world: &World) {
-        let again = world.now + self.contact;
-        self.taken.values_mut().for_each(|taken| *taken = again.max(*taken));
+    pub fn store_restored(&mut self, world: &World) {
+        let again = world.now + self.undisturbed;
+        self.accepted.values_mut().for_each(|accepted| *accepted = again.max(*accepted));
     }
 
     /// Lets time pass, and checks all entry VMs meanwhile.
-    pub fn pass(&mut self, world: &mut World, time: Duration) {
+    pub fn advance(&mut self, world: &mut World, time: Duration) {
         let end = world.now + time;
         while world.now < end {
-            world.advance(LOOK_EVERY.min(end.since(world.now)));
-            self.look(world);
+            world.advance(CHECK_INTERVAL.min(end.since(world.now)));
+            self.check(world);
         }
     }
 
-    fn look(&mut self, world: &World) {
+    fn check(&mut self, world: &World) {
         for at in (0..world.len()).filter(|at| world.is_running(*at)) {
-            self.look_at_gone(world, at);
-            self.look_at_sound(world, at);
+            self.check_gone(world, at);
+            self.check_present(world, at);
         }
     }
 
-    fn look_at_gone(&mut self, world: &World, at: usize) {
-        let gone: BTreeSet<&String> = self.taken.keys().chain(self.heard.keys()).collect();
+    fn check_gone(&mut self, world: &World, at: usize) {
+        let gone: BTreeSet<&String> = self.accepted.keys().chain(self.announced.keys()).collect();
         for engine in gone {
             let key = (at, world.start_of(at), engine.clone());
             if !world.would_send_to(at, engine) {
-                if self.believed.contains(&key) {
-                    self.knows.insert(key);
+                if self.used.contains(&key) {
+                    self.informed.insert(key);
                 }
                 continue;
             }
-            if self.knows.contains(&key) {
-                self.faults.push(format!("{:?}: vm {at} believes in {engine} again", world.now));
-            } else if let Some(late) = self.late_by_store(world, at, engine) {
+            if self.informed.contains(&key) {
+                self.faults.push(format!("{:?}: vm {at} would send to {engine} again", world.now));
+            } else if let Some(late) = self.late_after_store(world, at, engine) {
                 let now = world.now;
-                self.faults
-                    .push(format!("{now:?}: vm {at} believes in {engine} {late:?} after the store took it"));
-            } else if let Some(late) = self.late_by_word(world, at, engine) {
+                self.faults.push(format!(
+                    "{now:?}: vm {at} would send to {engine} {late:?} after the store accepted it"
+                ));
+            } else if let Some(late) = self.late_after_announcement(world, at, engine) {
                 let now = world.now;
                 self.faults
-                    .push(format!("{now:?}: vm {at} believes in {engine} {late:?} after one heard of it"));
+                    .push(format!("{now:?}: vm {at} would send to {engine} {late:?} after its announcement"));
             }
         }
     }
 
     /// Time since the store accepted the departure, if the entry VM has to know of it by now.
-    fn late_by_store(&self, world: &World, at: usize, engine: &str) -> Option<Duration> {
-        let late = world.now.since(*self.taken.get(engine)?);
-        let calm = world.calm_since(at).map(|since| world.now.since(since))?;
-        (late > self.drain && calm >= self.contact).then_some(late)
+    fn late_after_store(&self, world: &World, at: usize, engine: &str) -> Option<Duration> {
+        let late = world.now.since(*self.accepted.get(engine)?);
+        let undisturbed_for = world.calm_since(at).map(|since| world.now.since(since))?;
+        (late > self.limit && undisturbed_for >= self.undisturbed).then_some(late)
     }
 
     /// Time since the announcement to an entry VM that can notify the others, if they have to know of it by now.
-    fn late_by_word(&self, world: &World, at: usize, engine: &str) -> Option<Duration> {
-        let heard = self.heard.get(engine)?;
-        let late = world.now.since(heard.at);
-        let linked =
+    fn late_after_announcement(&self, world: &World, at: usize, engine: &str) -> Option<Duration> {
+        let announced = self.announced.get(engine)?;
+        let late = world.now.since(announced.at);
+        let connected =
             |vm, long| world.linked_since(vm).is_some_and(|since: Time| world.now.since(since) >= long);
-        let tells = world.start_of(heard.vm) == heard.start && linked(heard.vm, late + self.contact);
-        (late > self.drain && tells && linked(at, self.contact)).then_some(late)
+        let can_notify = world.start_of(announced.vm) == announced.start
+            && connected(announced.vm, late + self.undisturbed);
+        (late > self.limit && can_notify && connected(at, self.undisturbed)).then_some(late)
     }
 
-    fn look_at_sound(&mut self, world: &World, at: usize) {
-        let calm = world.calm_since(at).map(|since| world.now.since(since)).unwrap_or_default();
-        for engine in &self.stay {
+    fn check_present(&mut self, world: &World, at: usize) {
+        let undisturbed_for = world.calm_since(at).map(|since| world.now.since(since)).unwrap_or_default();
+        for engine in &self.present {
             if world.would_send_to(at, engine) {
-                self.believed.insert((at, world.start_of(at), engine.clone()));
-            } else if calm >= self.contact * 2 {
+                self.used.insert((at, world.start_of(at), engine.clone()));
+            } else if undisturbed_for >= self.undisturbed * 2 {
                 self.faults
-                    .push(format!("{:?}: vm {at} does not believe in {engine}, which is healthy", world.now));
+                    .push(format!("{:?}: vm {at} would not send to {engine}, which is healthy", world.now));
             }
         }
     }
@@ -172,7 +174,7 @@
 
 impl World {
     /// Lets an entry VM receive a response in which an engine announces that it is leaving.
-    pub fn hear_leaving(&mut self, at: usize, engine: &str) {
+    pub fn receive_announcement(&mut self, at: usize, engine: &str) {
         if !self.vms[at].running || self.vms[at].suspended {
             return;
         }
@@ -186,7 +188,7 @@
     }
 
     /// Number of running entry VMs that would send requests to an engine.
-    pub fn believers(&self, engine: &str) -> usize {
+    pub fn count_senders(&self, engine: &str) -> usize {
         (0..self.len()).filter(|at| self.is_running(*at) && self.would_send_to(*at, engine)).count()
     }
 
