--- a/fleet/src/choose.rs
+++ b/fleet/src/choose.rs
@@ -306,7 +306,7 @@
         cost += settings.zone_ms;
     }
     if settings.is_enabled(Mechanism::RecentFailures) {
-        cost += engine.health.faults(now, settings) * settings.fault_ms;
+        cost += engine.health.recent_failures(now, settings) * settings.fault_ms;
     }
     cost
 }
--- a/fleet/src/frame/answered.rs
+++ b/fleet/src/frame/answered.rs
@@ -119,7 +119,7 @@
     {
         apply_residencies(state, reply.residency_version, residencies);
     }
-    freshness::replied(state, now, sent_at, out);
+    freshness::hub_replied(state, now, sent_at, out);
     follow(state, now, out);
     let waiting_before = state.waiting.len();
     flow::rescan_waiting(state, now, out);
@@ -188,7 +188,7 @@
     tables::receive_rows(state, now, rows, Source::Reply, out);
     departure::drop_pending(state, out);
     if let Some(as_of) = as_of.filter(|_| state.hub.store_fresh && reply.era == state.era.number()) {
-        tables::confirm_returned(state, now, as_of, out);
+        tables::confirm_resurrected(state, now, as_of, out);
     }
     true
 }
--- a/fleet/src/suspicion.rs
+++ b/fleet/src/suspicion.rs
@@ -124,7 +124,7 @@
     crash::probed(state, now, engine, port, out);
     if port != Port::Open {
         if let Some(engine_state) = state.engines.get_mut(engine) {
-            engine_state.health.refuses = port == Port::Closed;
+            engine_state.health.connection_refused = port == Port::Closed;
         }
         unreachable(state, now, engine, out);
         return;
