--- a/core/src/admit.rs
+++ b/core/src/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: whether a request is taken, and in whose name and how urgently.
+//! Admission control: decides whether a request is accepted, for which caller and at which priority.
 
 use std::time::Duration;
 
@@ -12,35 +12,35 @@
 use crate::state::State;
 use crate::time::Time;
 
-/// When to come back where nothing better is known.
+/// Default retry-after of a refusal.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The shortest and the longest time after which callers are told to come back.
+/// Shortest and longest retry-after of a refusal.
 const RETRY_AFTER_MIN: Duration = Duration::from_millis(100);
 const RETRY_AFTER_MAX: Duration = Duration::from_secs(30);
-/// The name of whoever calls where no callers are listed.
+/// Name of all callers if the configuration lists none.
 const ANONYMOUS: &str = "anonymous";
-/// Entry VMs that a request may have passed before.
+/// Maximum number of entry VMs that may have forwarded a request before this one.
 const HOPS_MAX: u8 = 1;
-/// Tokens that count as one unit against a caller's share.
+/// Number of requested tokens that cost one unit of a caller's share.
 const TOKENS_PER_UNIT: u32 = 64;
 
-/// A request that is taken.
+/// An admitted request.
 #[derive(Debug)]
 pub(crate) struct Admitted {
-    /// What it is for.
+    /// The model or service requested.
     pub work: Work,
-    /// Its place in the line.
+    /// Properties by which the request is queued.
     pub ticket: Ticket,
     /// Whether it may run more than once.
     pub idempotent: bool,
 }
 
-/// A request that is not taken.
+/// Refusal of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Refused {
-    /// Why.
+    /// Result code.
     pub code: Code,
-    /// When to come back.
+    /// Time until the caller should retry.
     pub retry_after: Duration,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Takes a request or refuses it. One that cannot be answered in time is refused at once.
+/// Admits or refuses a request. A request that cannot be answered before its deadline is refused at once.
 pub(crate) fn admit(state: &State, now: Time, arrival: &Arrival) -> Result<Admitted, Refused> {
     if state.drain.stopping() {
         return Err(Code::Stopping.into());
@@ -93,7 +93,7 @@
     if reaches { Ok((work, idempotent)) } else { Err(Code::Forbidden) }
 }
 
-/// When a request has to be sent to have its first token in time.
+/// Latest time to send a request to meet the first-token target.
 fn due(state: &State, now: Time, arrival: &Arrival, work: &Work) -> Time {
     let target = Duration::from_millis(state.config.document.rules.weights.first_token_ms.into());
     let head = state.flow.lanes.get(work).and_then(|lane| lane.head.mean()).unwrap_or_default();
@@ -118,7 +118,8 @@
     }
 }
 
-/// The part of all requests that a priority may fill, in hundredths: the rest is kept for the more urgent.
+/// Percentage of `open_max` up to which requests of a priority are admitted. The rest is reserved for more
+/// urgent ones.
 const fn part(priority: Priority) -> usize {
     match priority {
         Priority::Urgent => 100,
@@ -145,8 +146,8 @@
     Err(Refused { code: Code::CallerLimit, retry_after })
 }
 
-/// Refuses a request whose turn would come too late, by the time that requests take and the number that
-/// run at once. Nothing is predicted while none runs, as when the model is being loaded.
+/// Refuses a request whose expected wait exceeds its deadline. There is no estimate while no attempt is
+/// open, for example while the model is being loaded; the request is then admitted.
 fn in_time(lane: &Lane, now: Time, ticket: &Ticket) -> Result<(), Refused> {
     let Some(wait) = lane.wait(lane.queue.ahead(ticket.priority)) else {
         return Ok(());
@@ -159,13 +160,14 @@
     Err(Refused { code: Code::DeadlineUnreachable, retry_after: clamp(needed.saturating_sub(left)) })
 }
 
-/// When a request that found a line full may come back: when half of it will have been served.
+/// Refusal of a request that found the queue full. The retry-after is the expected time to serve half of
+/// the queue.
 pub(crate) fn full(lane: &Lane) -> Refused {
     let wait = lane.wait(lane.queue.len() / 2);
     Refused { code: Code::QueueFull, retry_after: wait.map_or(RETRY_AFTER, clamp) }
 }
 
-/// When a request that gave up its place may come back: when all that waits will have been served.
+/// Retry-after of a preempted request: the expected time to serve all waiting requests.
 pub(crate) fn preempted(lane: &Lane) -> Duration {
     lane.wait(lane.queue.len()).map_or(RETRY_AFTER, clamp)
 }
--- a/core/src/attempt.rs
+++ b/core/src/attempt.rs
@@ -1,4 +1,4 @@
-//! Tries of a request at back ends: what is sent, how a try fails, and what a failure proves.
+//! Attempts of a request at back ends: what is sent and how an attempt fails.
 
 use std::net::SocketAddr;
 
@@ -10,72 +10,72 @@
 use crate::rules::Priority;
 use crate::time::Time;
 
-/// A try to be sent to a back end. The edge adds the body it kept for the request.
+/// An attempt to be sent to a back end. The HTTP edge adds the body of the request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Send {
-    /// Its id, to be echoed.
+    /// Id of the attempt; the back end echoes it.
     pub attempt: id::Attempt,
     /// The back end's VM name.
     pub backend: Name,
-    /// Where it listens.
+    /// Address at which the back end listens.
     pub address: SocketAddr,
-    /// What kind of back end it is.
+    /// Kind of back end.
     pub to: Destination,
-    /// Where in the answer to begin.
+    /// Position in the answer at which to begin.
     pub resume: Resume,
-    /// When an answer is of no more use.
+    /// Time after which an answer is of no use to the caller.
     pub deadline: Time,
-    /// How urgent it is, for engines that work by priority.
+    /// Priority, for engines that schedule by priority.
     pub priority: Priority,
-    /// Whether it must go out on a connection opened for it.
+    /// Whether it must be sent on a new connection instead of a pooled one.
     pub fresh: bool,
 }
 
-/// What kind of back end a try goes to.
+/// Kind of back end that an attempt is sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Destination {
     /// A model engine that holds this artifact.
     Engine(Artifact),
     /// A plain service.
     Service(Name),
-    /// Another availability zone's entry VM, which sends it on to its own back ends.
+    /// An entry VM of another availability zone, which forwards it to a back end of that zone.
     Peer,
 }
 
-/// Where in the answer a try begins. Offsets count the stream's events.
+/// Position in the answer at which an attempt begins. Offsets count the events of the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Resume {
     /// At the start.
     Start,
-    /// At the offset, at the engine that ran the attempt before: it still holds the answer.
+    /// At the offset, at the engine that ran an earlier attempt and still holds its answer.
     Same {
-        /// The attempt to take up again.
+        /// The attempt to resume.
         of: id::Attempt,
-        /// The next event that is missing.
+        /// Offset of the next event to deliver.
         offset: u64,
     },
-    /// At the offset, at another engine: the text delivered so far goes along as prefix.
+    /// At the offset, at another engine, which gets the text delivered so far as prefix.
     Continue {
-        /// The next event that is missing.
+        /// Offset of the next event to deliver.
         offset: u64,
     },
 }
 
-/// How a try failed, as the back-end edge saw it.
+/// How an attempt failed, as seen by the HTTP edge that sent it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// No connection came about: no byte of the request left.
+    /// The connection was not established; no byte of the request was sent.
     Connect,
-    /// The back end said that it did not run it.
+    /// The back end answered that it did not run the request.
     Refused(Refusal),
-    /// The connection broke, or the answer ended without its end mark.
+    /// The connection broke, or the answer ended without its end marker.
     Broken,
-    /// The back end answered with an error of its own after taking the request.
+    /// The back end accepted the request and answered with an error.
     Error,
     /// The answer carried the id of another attempt.
     Foreign,
-    /// A resumed attempt is not known to the engine any more.
+    /// The engine no longer knows the attempt to resume.
     Forgotten,
 }
 
@@ -85,10 +85,10 @@
 pub enum Refusal {
     /// Its queue is full.
     Busy,
-    /// It is leaving.
+    /// It is shutting down.
     Leaving,
     /// It does not hold the model.
     NotLoaded,
-    /// Its deadline cannot be met there.
+    /// It cannot meet the deadline.
     Late,
 }
--- a/core/src/claim.rs
+++ b/core/src/claim.rs
@@ -1,10 +1,11 @@
-//! Claims on callers' idempotency keys: what makes a repeated submission run at most once.
+//! Claims on callers' idempotency keys. They make a repeated submission run at most once.
 //!
-//! A request with a key is sent only once its row has been inserted where there was none. Rows of many
-//! requests share a write. A lost answer is settled by reading the rows back: a row with this request's id
-//! is its own, whenever it landed. How the request ended is written to the row afterwards; the key of one
-//! that was not run may be taken over. Rows are overwritten and not removed, so that their versions only
-//! grow and a write that lands late meets another version.
+//! A request with a key is sent only after its row has been inserted under the key, on condition that there
+//! was none. The rows of many requests share one write. If the answer to a write is lost, the rows are read
+//! back: a row with the id of this request is its own, no matter when it was written. The outcome of the
+//! request is written to the row afterwards; the key of a request that was not run may be taken over. Rows
+//! are overwritten and never removed, so that their versions only grow and the condition of a delayed write
+//! fails.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -26,53 +27,55 @@
 use crate::time::Time;
 use crate::timer::{Handle, Timer};
 
-/// Writes that wait for their answer at the same time.
+/// Maximum number of concurrent calls of the table.
 const FLIGHTS_MAX: usize = 4;
-/// Times that an outcome is written in vain before it is let go: the key then counts as used until it
-/// expires.
+/// Failed writes of an outcome after which it is dropped. The key then counts as used until it expires. For a
+/// request that ended before its row was found, also the number of lost answers after which the row is no
+/// longer read back.
 const TRIES_MAX: u8 = 8;
-/// Outcomes that wait to be written.
+/// Maximum number of outcomes that wait to be written.
 const CLOSINGS_MAX: usize = 16_384;
-/// How long an outcome waits for claims to share a write with.
+/// Time for which an outcome waits to share a write with claims.
 const CLOSING_LINGER: Duration = Duration::from_millis(100);
-/// How long nothing is written after a write failed.
+/// Pause of all writes after a failed call.
 const PAUSE: Duration = Duration::from_millis(250);
 
-/// A claim as it stands in the table.
+/// Row of a claim in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The request that holds the key.
     pub request: id::Request,
-    /// Digest of that request, to tell a repeat from another request under the same key.
+    /// Digest of that request. It distinguishes a repeated submission from another request with the same
+    /// key.
     pub digest: Name,
-    /// When it was claimed.
+    /// Time of the claim.
     pub at: Time,
-    /// The request's deadline: it is not running any more after that.
+    /// Deadline of the request; it no longer runs after that.
     pub deadline: Time,
-    /// How the request ended; none while it may be running.
+    /// How the request ended; `None` while it may be running.
     pub past: Option<Past>,
 }
 
-/// The claim of a request under way.
+/// Claim of an open request.
 #[derive(Debug)]
 pub(crate) struct Claim {
     key: Key,
     row: Row,
-    /// The version of its row, once it is known to be there.
+    /// Version of the row, once it is known to be written.
     version: Option<Version>,
 }
 
-/// A row to be written for a request under way.
+/// Insertion of a row for an open request.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Opening {
     request: id::Request,
     key: Key,
     over: Version,
-    /// Calls whose answers were lost: the row may be there already.
+    /// Number of calls whose answers were lost. If not zero, the row may have been written already.
     lost: u8,
 }
 
-/// A row to be written for a request that has ended.
+/// Update of a row with the outcome of a request that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Closing {
     key: Key,
@@ -81,21 +84,21 @@
     tries: u8,
 }
 
-/// What a call of the table about claims was for.
+/// Purpose of a call of the table about claims.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
-    /// Rows were written.
+    /// Writes rows.
     Write {
-        /// For requests under way.
+        /// Rows of open requests.
         openings: Vec<Opening>,
-        /// For requests that have ended.
+        /// Rows of requests that have ended.
         closings: Vec<Closing>,
     },
-    /// Rows were read back since the answer to their write was lost.
+    /// Reads rows back after the answer to their write was lost.
     ReadBack(Vec<Opening>),
 }
 
-/// The claims of this entry VM that are not settled.
+/// Claims of this entry VM whose outcome is not yet written.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     held: FxHashMap<Key, id::Request>,
@@ -103,23 +106,24 @@
     closings: VecDeque<Closing>,
     flights: usize,
     due: Option<(Time, Handle)>,
-    /// No write before this.
+    /// Earliest time of the next write.
     rest: Time,
 }
 
 impl Part {
-    /// Keys held, and rows still to be written or waited for.
+    /// Number of keys held, of rows to be written and of calls in flight.
     pub(crate) fn unsettled(&self) -> usize {
         self.held.len() + self.openings.len() + self.closings.len() + self.flights
     }
 
-    /// Whether nothing is left to be written.
+    /// Whether no row is to be written and no call is in flight.
     pub(crate) fn is_quiet(&self) -> bool {
         self.openings.is_empty() && self.closings.is_empty() && self.flights == 0
     }
 }
 
-/// Claims the key of a request that has just been taken, before it goes into its line.
+/// Claims the key of a request that has just been admitted. The request is queued once the claim is
+/// written.
 pub(crate) fn begin(
     state: &mut State,
     now: Time,
@@ -164,11 +168,11 @@
     state.claim.due = Some((at, state.timers.set(at, Timer::Claims)));
 }
 
-/// Claims are due to be written.
+/// Writes the claims and outcomes that are due.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.claim.due = None;
     let batch = state.settings.claim_batch;
-    // Half of a write is kept for outcomes, if that many wait.
+    // Up to half of a write is reserved for outcomes, so that many new claims can't delay them without end.
     let share = batch - (batch / 2).min(state.claim.closings.len());
     let mut openings = Vec::new();
     let mut unsettled = Vec::new();
@@ -208,7 +212,7 @@
     Some(Write { key: opening.key.clone(), expect: opening.over, value })
 }
 
-/// The table answered about claims.
+/// Handles an answer of the table about claims.
 pub(crate) fn answered(
     state: &mut State,
     now: Time,
@@ -221,7 +225,8 @@
         (Step::Write { openings, closings }, Ok(Reply::Each(done)))
             if done.len() == openings.len() + closings.len() =>
         {
-            // An outcome that was not written has been written before, or the row is another's by now.
+            // If the condition of an outcome's write failed, an earlier write of it has succeeded or
+            // another request has taken the row over.
             for (opening, done) in openings.into_iter().zip(done) {
                 written(state, now, opening, done, out);
             }
@@ -247,7 +252,7 @@
                 found(state, now, opening, row, out);
             }
         }
-        // The write was conditional: it can be repeated until its fate is known.
+        // The write was conditional, so it can be repeated until its result is known.
         (Step::ReadBack(openings), _) => {
             state.claim.rest = now + PAUSE;
             state.claim.openings.extend(lost(openings));
@@ -310,8 +315,8 @@
     }
 }
 
-/// The row is this request's own: it may be sent. If it has ended meanwhile, it was never sent and gives the
-/// key back.
+/// Queues a request whose row has been written. A request that has ended in the meantime was never sent, so
+/// its row is marked as not run to free the key.
 fn mine(state: &mut State, now: Time, opening: Opening, version: Version, out: &mut Vec<Effect>) {
     let Opening { request, key, .. } = opening;
     let Some(flow) = state.flow.flows.get_mut(&request) else {
@@ -326,7 +331,7 @@
     dispatch::enqueue(state, now, request, out);
 }
 
-/// What stands under the key was read.
+/// Handles the row found under the key of a request.
 fn found(
     state: &mut State,
     now: Time,
@@ -335,7 +340,8 @@
     out: &mut Vec<Effect>,
 ) {
     let Some(crate::table::Row { version, value: Value::Claim(first), .. }) = row else {
-        // The write may still be on its way: a request that has ended looks a few times more.
+        // The write may still be delayed. For a request that has ended, the row is read a few more times to
+        // free its key.
         let gone = !state.flow.flows.contains_key(&opening.request);
         let lost = opening.lost.saturating_add(u8::from(gone));
         state.claim.openings.push_back(Opening { over: Version(0), lost, ..opening });
@@ -358,7 +364,7 @@
     repeated(state, now, &own, &first, out);
 }
 
-/// Ends a request whose key another one holds, with that one's outcome as far as it is known.
+/// Ends a request whose key another request holds, with the outcome of that request if it is known.
 fn repeated(state: &mut State, now: Time, own: &Row, first: &Row, out: &mut Vec<Effect>) {
     let end = if first.digest != own.digest {
         End::failed(Exposure::default(), Code::KeyReused, None)
@@ -373,12 +379,13 @@
     flow::end(state, now, own.request, end, out);
 }
 
-/// A request with a claim has ended: its outcome goes to its row, or its key is free again if it was not run.
+/// Schedules the write of the outcome of a request with a claim. The key is free again if the request was
+/// not run.
 pub(crate) fn ended(state: &mut State, now: Time, claim: Claim, end: &End) {
     if state.claim.held.get(&claim.key) == Some(&claim.row.request) {
         state.claim.held.remove(&claim.key);
     }
-    // Without a version it was never sent; what becomes of its row is settled when the table answers.
+    // Without a version the request was never sent. Its row is handled when the table answers.
     let Some(over) = claim.version else {
         return;
     };
--- a/core/src/close.rs
+++ b/core/src/close.rs
@@ -1,8 +1,10 @@
-//! Closing a copy before it is dropped: every entry VM of the zone stops sending to it first.
+//! Closes a copy of a model before it is dropped: every entry VM of the zone first stops sending requests
+//! to it.
 //!
-//! The copy's unload is ordered once all have acknowledged and a later report shows nothing running on
-//! it. An entry VM that does not answer is not waited for without end: the engine itself refuses to
-//! drop what runs, and refuses requests for what it dropped without running them.
+//! The unload is ordered once all entry VMs have acknowledged and a later report shows no request running
+//! on the copy. The wait for acknowledgements is limited by `PATIENCE`. A missing acknowledgement is safe:
+//! the engine refuses to drop a copy with running requests, and refuses requests for a dropped copy without
+//! running them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -20,23 +22,23 @@
 use crate::state::State;
 use crate::time::Time;
 
-/// How long an entry VM keeps from sending to a copy without being told again.
+/// Time for which an entry VM sends nothing to a closed copy unless the close message is repeated.
 const MARK_LENGTH: Duration = Duration::from_secs(15);
-/// Time between two times that the entry VMs are told.
+/// Interval at which the close message is repeated.
 const TELL_EVERY: Duration = Duration::from_secs(4);
-/// How long acknowledgements are waited for.
+/// Maximum wait for acknowledgements.
 const PATIENCE: Duration = Duration::from_secs(10);
-/// How long a copy may stay closed without being dropped before it is used again.
+/// Time after which a closed copy that could not be dropped is used again.
 const CLOSED_MAX: Duration = Duration::from_mins(5);
 
 type Copy = (Name, Artifact);
 
-/// Copies being closed.
+/// Copies that are being closed.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
-    /// Those that this process, as holder, wants to drop.
+    /// Copies that this process, as lease holder, is about to drop.
     pending: BTreeMap<Copy, Pending>,
-    /// Those that nothing is sent to from here.
+    /// Copies that this process sends no requests to.
     marks: BTreeMap<Copy, Mark>,
 }
 
@@ -46,25 +48,26 @@
     since: Time,
     told: Time,
     acked: BTreeSet<Name>,
-    /// The report at hand when the last acknowledgement came.
+    /// Latest report of the engine when the wait for acknowledgements ended. Only a later report can show
+    /// that the copy is idle.
     settled: Option<(Incarnation, u64)>,
 }
 
 #[derive(Debug)]
 struct Mark {
     until: Time,
-    /// Who waits for an acknowledgement.
+    /// Entry VM that waits for an acknowledgement.
     owed: Option<Name>,
 }
 
 impl Part {
-    /// Whether this process is about to drop the copy.
+    /// Whether this process, as lease holder, is about to drop the copy.
     pub(crate) fn is_closing(&self, engine: &Name, artifact: &Artifact) -> bool {
         self.pending.contains_key(&(engine.clone(), artifact.clone()))
     }
 }
 
-/// Begins to close a copy.
+/// Starts to close a copy.
 pub(crate) fn begin(
     state: &mut State,
     now: Time,
@@ -94,7 +97,7 @@
     member::tell_all(state, &[item(closing)], out);
 }
 
-/// Has a copy used again that was to be dropped.
+/// Cancels the close of a copy, so that it is used again.
 pub(crate) fn reopen(
     state: &mut State,
     now: Time,
@@ -109,12 +112,14 @@
     }
 }
 
-/// Gives up all closing: the lease is another's now. Entry VMs use the copies again by themselves.
+/// Cancels all closes after the lease has passed to another process. Entry VMs use the copies again once
+/// their marks expire.
 pub(crate) fn abandon(state: &mut State) {
     state.close.pending.clear();
 }
 
-/// What the holder can order now: copies that nothing is sent to and nothing runs on.
+/// Returns the copies that the lease holder can drop now: no entry VM sends to them and no request runs on
+/// them.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) -> Vec<(Name, Artifact, Cause)> {
     let mut ready = Vec::new();
     let copies: Vec<Copy> = state.close.pending.keys().cloned().collect();
@@ -156,7 +161,8 @@
     tell(state, Item::Close, &copy.0, &copy.1, out);
 }
 
-/// The cause, once all acknowledged and a report made since shows nothing running.
+/// Returns the cause of the drop once all entry VMs have acknowledged, or `PATIENCE` has passed, and a
+/// later report shows no running request.
 fn settled(state: &mut State, now: Time, copy: &Copy, report: &Report) -> Option<Cause> {
     let (engine, artifact) = copy;
     let own = state.routes.open(engine, &Work::Artifact(artifact.clone()));
@@ -195,7 +201,7 @@
     index::refresh(state, now, &copy.0);
 }
 
-/// Acknowledges what is settled here, and uses copies again that nobody speaks of any more.
+/// Sends the acknowledgements that are due, and removes expired marks so that the copies are used again.
 pub(crate) fn tick(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let expired: Vec<Copy> = state
         .close
@@ -230,7 +236,7 @@
     member::tell(state, &peer, vec![Item::Closed(closing)], out);
 }
 
-/// A holder closes a copy.
+/// Handles a close message of the lease holder.
 pub(crate) fn heard_close(
     state: &mut State,
     now: Time,
@@ -243,14 +249,14 @@
     acknowledge(state, &copy, out);
 }
 
-/// An entry VM acknowledged.
+/// Handles an acknowledgement of an entry VM.
 pub(crate) fn heard_closed(state: &mut State, from: &Name, closing: Closing) {
     if let Some(pending) = state.close.pending.get_mut(&(closing.engine, closing.artifact)) {
         pending.acked.insert(from.clone());
     }
 }
 
-/// A copy is to be used again.
+/// Handles a message that a copy is to be used again.
 pub(crate) fn heard_reopen(state: &mut State, now: Time, closing: Closing) {
     unmark(state, now, &(closing.engine, closing.artifact));
 }
--- a/core/src/code.rs
+++ b/core/src/code.rs
@@ -1,4 +1,4 @@
-//! Numbered result codes: how a request or an operator's call ended, and why.
+//! Numbered result codes of requests and of operators' calls.
 
 use std::fmt;
 
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// A back end's whole answer went to the caller.
+    /// The complete answer of a back end was delivered to the caller.
     Answered,
-    /// No back end ran it.
+    /// No back end ran the request.
     NotRun,
-    /// A back end may have run it.
+    /// A back end may have run the request.
     Unknown,
 }
 
 impl Outcome {
-    /// Its form in the `Boragecove-Outcome` header.
+    /// Value in the `Boragecove-Outcome` header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -36,8 +36,9 @@
 
 macro_rules! codes {
     ($($name:ident = $number:literal, $status:literal, $retry:ident, $counter:literal, $meaning:literal;)*) => {
-        /// A result code. Hundreds: 0 done, 1 the request itself, 2 who calls, 3 room and time,
-        /// 4 back ends, 5 the platform, 6 configuration and orders, 9 the daemon.
+        /// A result code. The hundreds digit gives the area: 0 success, 1 the request itself, 2 the caller,
+        /// 3 capacity and deadlines, 4 back ends, 5 the platform, 6 configuration and operators' calls, 9
+        /// the daemon.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
         #[serde(rename_all = "kebab-case")]
         #[repr(u16)]
@@ -49,7 +50,7 @@
             /// All codes, by number.
             pub const ALL: &'static [Self] = &[$(Self::$name),*];
 
-            /// The HTTP status that goes with it.
+            /// HTTP status of the response.
             #[must_use]
             pub const fn status(self) -> u16 {
                 match self { $(Self::$name => $status),* }
@@ -61,19 +62,19 @@
                 match self { $(Self::$name => Retry::$retry),* }
             }
 
-            /// The value of the `code` label of its counter.
+            /// Value of the `code` label of the request counter.
             #[must_use]
             pub const fn label(self) -> &'static str {
                 match self { $(Self::$name => $counter),* }
             }
 
-            /// What it means, in a sentence.
+            /// Description of the code in one sentence.
             #[must_use]
             pub const fn meaning(self) -> &'static str {
                 match self { $(Self::$name => $meaning),* }
             }
 
-            /// The code of a number.
+            /// Returns the code with this number.
             #[must_use]
             pub fn from_number(number: u16) -> Option<Self> {
                 match number { $($number => Some(Self::$name),)* _ => None }
@@ -85,18 +86,18 @@
 /// Whether a caller may send the same request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Retry {
-    /// Nothing to retry.
+    /// The request succeeded.
     Done,
-    /// Not before the request is changed.
+    /// Only after the request has been changed.
     Changed,
     /// Yes, after the time in `Retry-After`.
     Later,
-    /// Only if it is idempotent: the first may have run.
+    /// Only if the request is idempotent, since the first may have run.
     Idempotent,
 }
 
 impl Retry {
-    /// Its form in the documentation.
+    /// Text in docs/CODES.md.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -155,7 +156,7 @@
 }
 
 impl Code {
-    /// The outcomes that can go with it; the `Boragecove-Outcome` header says which it was.
+    /// Outcomes that are possible with this code. The `Boragecove-Outcome` header gives the actual one.
     #[must_use]
     pub const fn outcomes(self) -> &'static [Outcome] {
         match self.retry() {
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Its number.
+    /// Number of the code.
     #[must_use]
     pub const fn number(self) -> u16 {
         self as u16
--- a/core/src/count.rs
+++ b/core/src/count.rs
@@ -1,16 +1,16 @@
-//! Counters for each refusal and each reason to retry.
+//! Counters of ended requests by result code, of retries by reason, and of other events.
 
 use crate::code::Code;
 
-/// Why a request was tried again, or an answer dropped.
+/// Why a request was retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 #[repr(usize)]
 pub enum Reason {
-    /// No connection came about.
+    /// The connection was not established.
     Connect,
     /// The back end's queue was full.
     Busy,
-    /// The back end was leaving.
+    /// The back end was shutting down.
     Leaving,
     /// The back end did not hold the model.
     NotLoaded,
@@ -22,11 +22,11 @@
     Error,
     /// The answer was for another attempt.
     Foreign,
-    /// The connection went silent.
+    /// No data was received within the time limit.
     Silent,
-    /// A resumed attempt was forgotten by the engine.
+    /// The engine no longer knew the attempt to resume.
     Forgotten,
-    /// A stream had a gap.
+    /// An event of the stream was missing.
     Gap,
 }
 
@@ -65,18 +65,18 @@
     }
 }
 
-/// What is under way now.
+/// Current numbers of open requests, attempts, claims and timers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
-    /// Requests that have not ended.
+    /// Open requests.
     pub requests: usize,
-    /// Those that wait for a back end.
+    /// Requests that wait for a back end.
     pub waiting: usize,
-    /// Tries open at back ends.
+    /// Open attempts at back ends.
     pub tries: usize,
-    /// Claims on idempotency keys that are held or not settled.
+    /// Claims on idempotency keys that are held, to be written or in flight.
     pub claims: usize,
-    /// Timers that are set.
+    /// Active timers.
     pub timers: usize,
 }
 
@@ -85,19 +85,19 @@
 pub struct Counters {
     ends: Vec<u64>,
     retries: [u64; Reason::ALL.len()],
-    /// Events that came for something that is not known any more and were dropped.
+    /// Dropped events that refer to an attempt or operation no longer known.
     pub stale: u64,
-    /// Answers dropped since they carried another attempt's id.
+    /// Answers dropped because they carried the id of another attempt.
     pub foreign: u64,
-    /// Streamed events dropped since they had been delivered before.
+    /// Streamed events dropped because they had been delivered already.
     pub repeated: u64,
-    /// Outcomes that could not be written to their claims: these keys count as used until they expire.
+    /// Outcomes that were not written to their claims. The keys count as used until they expire.
     pub claims_left: u64,
     /// Orders sent to engines.
     pub orders: u64,
-    /// Calls of the platform's table that write.
+    /// Write calls to the platform's table.
     pub table_writes: u64,
-    /// Calls of the platform's table that read.
+    /// Read calls to the platform's table.
     pub table_reads: u64,
 }
 
@@ -118,13 +118,13 @@
 }
 
 impl Counters {
-    /// Requests that ended with `code`.
+    /// Number of requests that ended with `code`.
     #[must_use]
     pub fn ended(&self, code: Code) -> u64 {
         position(code).map_or(0, |at| self.ends[at])
     }
 
-    /// Tries that were followed by another for `reason`.
+    /// Number of retries for `reason`.
     #[must_use]
     pub fn retried(&self, reason: Reason) -> u64 {
         self.retries[reason as usize]
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Sending requests whose turn has come to back ends that have room.
+//! Sends waiting requests to back ends that have room, in the order of the queue.
 
 use std::time::Duration;
 
@@ -15,19 +15,20 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// Longest time between two tokens that a whole answer is given, as a multiple of the target.
+/// Time allowed for each token of a non-streamed answer, as a multiple of the target time between two
+/// tokens.
 const TOKEN_GAPS: u32 = 2;
 
-/// Where a try goes.
+/// Destination of an attempt.
 #[derive(Debug)]
 enum Target {
-    /// A back end of our own.
+    /// A back end that this entry VM sends to directly.
     Site(Site),
     /// An entry VM of another availability zone.
     Peer(Peer),
 }
 
-/// Puts a request in its line and sends what can be sent from there.
+/// Adds a request to its queue and sends the waiting requests for which there is room.
 pub(crate) fn enqueue(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
     let Some(work) = state.flow.flows.get(&id).map(|flow| flow.work.clone()) else {
         return;
@@ -36,7 +37,7 @@
     lane(state, now, &work, out);
 }
 
-/// A request's next try is due.
+/// Queues a request again after its backoff.
 pub(crate) fn retry(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
     let paused = state.flow.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Paused(_)));
     if paused {
@@ -44,14 +45,14 @@
     }
 }
 
-/// Sends waiting requests of all kinds.
+/// Sends waiting requests for all models and services.
 pub(crate) fn all(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     for work in state.flow.wanted() {
         lane(state, now, &work, out);
     }
 }
 
-/// Sends waiting requests that a back end may have room for, the most urgent first.
+/// Sends waiting requests for the models and services of one back end, the most urgent first.
 pub(crate) fn at(state: &mut State, now: Time, backend: &Name, out: &mut Vec<Effect>) {
     if state.flow.queued() == 0 {
         return;
@@ -70,7 +71,7 @@
     }
 }
 
-/// Sends waiting requests for one model or service, in their order, while there is room.
+/// Sends waiting requests for one model or service in queue order while there is room.
 pub(crate) fn lane(state: &mut State, now: Time, work: &Work, out: &mut Vec<Effect>) {
     age(state, now, work, out);
     while let Some(id) = state.flow.lanes.get(work).and_then(|lane| lane.queue.peek()) {
@@ -85,8 +86,8 @@
     }
 }
 
-/// Has the requests that are too late for the target wait behind the others, or ends them where their turn
-/// would not come before their deadline.
+/// Moves requests that miss the first-token target behind the others, or ends those that could not be
+/// answered before their deadline.
 fn age(state: &mut State, now: Time, work: &Work, out: &mut Vec<Effect>) {
     let overdue = state.flow.lanes.get(work).map(|lane| lane.queue.overdue(now)).unwrap_or_default();
     for id in overdue {
@@ -104,7 +105,7 @@
     }
 }
 
-/// Where a request is to go; else the code to end it with, or none if it is to wait.
+/// Destination of a request. The error is the code to end it with, or `None` if it has to wait.
 fn target(state: &mut State, now: Time, id: id::Request) -> Result<Target, Option<Code>> {
     let Some(flow) = state.flow.flows.get(&id) else {
         return Err(None);
@@ -142,7 +143,8 @@
     flow::end(state, now, id, end, out);
 }
 
-/// Takes an answer up again at the back end that holds it, without waiting in line.
+/// Resumes an answer at the back end that holds it, without queueing. Queues the request if that back end
+/// is no longer known.
 pub(crate) fn resume(state: &mut State, now: Time, id: id::Request, backend: &Name, out: &mut Vec<Effect>) {
     if let Some(site) = state.routes.site(backend) {
         send(state, now, id, &Target::Site(site), out);
@@ -154,7 +156,7 @@
     enqueue(state, now, id, out);
 }
 
-/// Where a try at another back end begins.
+/// Position at which an attempt at another back end begins.
 pub(crate) const fn elsewhere(delivered: u64) -> Resume {
     if delivered == 0 { Resume::Start } else { Resume::Continue { offset: delivered } }
 }
--- a/core/src/drain.rs
+++ b/core/src/drain.rs
@@ -1,25 +1,25 @@
-//! A planned stop: leave the balancer, finish what is in flight, hand back, end.
+//! Graceful stop: leaves the load balancer, finishes open requests, hands back the lease and exits.
 
 use crate::effect::Effect;
 use crate::state::State;
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// How far a planned stop is.
+/// Stage of a graceful stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 enum Stage {
-    /// In service.
+    /// No stop was requested.
     #[default]
     Serving,
-    /// Not ready any more, but still taking requests until the balancer has seen it.
+    /// Reports not ready, but still accepts requests until the balancer has noticed.
     Grace,
-    /// Taking nothing new, finishing what is in flight.
+    /// Refuses new requests and finishes open ones.
     Finishing,
-    /// Ended.
+    /// The process exits.
     Over,
 }
 
-/// This entry VM's own life.
+/// State of the graceful stop of this entry VM.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     stage: Stage,
@@ -31,13 +31,13 @@
         matches!(self.stage, Stage::Finishing | Stage::Over)
     }
 
-    /// Whether the stop was asked for.
+    /// Whether a stop was requested.
     pub(crate) fn leaving(&self) -> bool {
         self.stage != Stage::Serving
     }
 }
 
-/// Begins a planned stop.
+/// Starts a graceful stop.
 pub(crate) fn stop(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.drain.leaving() {
         return;
@@ -48,7 +48,7 @@
     state.timers.set(now + state.settings.balancer_grace, Timer::Grace);
 }
 
-/// The balancer has had its time.
+/// Ends the grace period of the balancer.
 pub(crate) fn grace(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.drain.stage == Stage::Grace {
         state.drain.stage = Stage::Finishing;
@@ -56,7 +56,7 @@
     }
 }
 
-/// Ends the process once nothing is in flight and its lease is handed back.
+/// Exits once no request is open, no outcome is to be written and the lease is handed back.
 pub(crate) fn settle(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.drain.stage != Stage::Finishing || state.flow.open() > 0 || !state.claim.is_quiet() {
         return;
--- a/core/src/effect.rs
+++ b/core/src/effect.rs
@@ -1,4 +1,4 @@
-//! Every action of the reducer, as data for a process to carry out.
+//! Outputs of the reducer: actions for the process to carry out.
 
 use std::net::SocketAddr;
 
@@ -13,83 +13,85 @@
 use crate::table;
 use crate::time::Time;
 
-/// Something to do. Each answer comes back as an event with the same id.
+/// An action to carry out. Its result is passed to the reducer as an event with the same id.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a try to a back end.
+    /// Send an attempt to a back end.
     Send(Box<Send>),
-    /// Give up a try: close its exchange, tell the engine, drop what still comes.
+    /// Cancel an attempt: close its exchange, notify the engine and drop further data.
     Cancel(id::Attempt),
-    /// Close a try's exchange and drop what still comes, but leave the engine its answer: it is taken up
-    /// again.
+    /// Close the exchange of an attempt and drop further data without notifying the engine, so that it
+    /// keeps the answer for a resumption.
     Release(id::Attempt),
-    /// Pass the streamed event just read on to the caller.
+    /// Deliver the streamed event just read to the caller.
     Deliver {
-        /// The attempt it came for.
+        /// The attempt.
         attempt: id::Attempt,
-        /// Its number in the answer.
+        /// Offset of the event in the answer, from 0.
         offset: u64,
     },
-    /// Pass a whole answer on as it comes, since it outgrew the buffer.
+    /// Pass on a non-streamed answer while it is received, since it exceeds the buffer.
     Commit(id::Attempt),
-    /// End a request: pass on the answer of its attempt, or the error. Its body can be dropped.
+    /// End a request: send the caller the answer of its attempt or the error. The body of the request can
+    /// be dropped.
     End {
         /// The request.
         request: id::Request,
         /// How it ended.
         end: End,
     },
-    /// Close every pooled connection to an address; the next try opens a new one.
+    /// Close all pooled connections to an address, so that the next attempt opens a new one.
     Retire(SocketAddr),
-    /// Read the platform's list of VMs.
+    /// Read the list of VMs from the platform.
     List,
-    /// Ask an engine for its report, with the cache events since the number given.
+    /// Read the report of an engine, with the cache events from a sequence number on.
     Poll {
         /// The engine's VM name.
         engine: Name,
-        /// Where it listens.
+        /// Address at which it listens.
         address: SocketAddr,
-        /// Cache events are wanted from this number on.
+        /// Sequence number of the first cache event to read.
         cache_from: u64,
     },
     /// Send an order to an engine.
     Order {
         /// The engine's VM name.
         engine: Name,
-        /// Where it listens.
+        /// Address at which it listens.
         address: SocketAddr,
         /// The order.
         order: Box<Order>,
     },
     /// Call the platform's table.
     Table {
-        /// The operation's id.
+        /// Id of the operation.
         op: id::Op,
-        /// What to do.
+        /// The call.
         call: table::Call,
     },
     /// Send a frame to another entry VM.
     Tell {
         /// The entry VM's name.
         peer: Name,
-        /// Where it listens for peers.
+        /// Address at which it listens for peers.
         address: SocketAddr,
         /// The frame.
         frame: Box<peer::Frame>,
     },
     /// Answer an operator.
     Answer {
-        /// The question's id.
+        /// Id of the query.
         ask: id::Ask,
         /// The answer.
         answer: Box<operator::Answer>,
     },
-    /// Keep a record of a decision.
+    /// Log the record of a decision.
     Record(Box<Record>),
-    /// Take the entry VM in or out of the platform's balancer, by what `/ready` says.
+    /// Set the readiness that `/ready` reports. The platform's balancer sends requests only to ready entry
+    /// VMs.
     Ready(bool),
-    /// Send `Wake` at this time. A later effect of this kind replaces an earlier one.
+    /// Pass `Event::Wake` to the reducer at this time. Replaces an earlier effect of this kind.
     WakeAt(Time),
-    /// End the process: nothing is in flight any more.
+    /// Exit the process. Nothing is in flight.
     Exit,
 }
--- a/core/src/end.rs
+++ b/core/src/end.rs
@@ -1,4 +1,4 @@
-//! How a request ended, and the proof that it takes to say that it was not run.
+//! End of a request, and the proof required to report that it was not run.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use crate::code::{Code, Outcome, Retry};
 use crate::id;
 
-/// What the tries of a request, taken together, may have done.
+/// Number of attempts of a request, and of those proven not to have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Exposure {
     sent: u16,
@@ -14,28 +14,29 @@
 }
 
 impl Exposure {
-    /// A try is about to be sent: from now on it may have run.
+    /// Records that an attempt is about to be sent. From now on it may have run.
     pub(crate) fn send(&mut self) {
         self.sent += 1;
     }
 
-    /// A try certainly did not run.
+    /// Records that an attempt did not run.
     pub(crate) fn disprove(&mut self, _evidence: Evidence) {
         self.disproved += 1;
     }
 
-    /// Proof that no back end ran the request, if there is one.
+    /// Proof that no back end ran the request: every attempt is proven not to have run.
     pub(crate) fn proof(self) -> Option<NotRun> {
         (self.sent == self.disproved).then_some(NotRun(()))
     }
 }
 
-/// Evidence that one try did not run: no byte of it left, or the back end itself said so.
+/// Evidence that one attempt did not run: no byte of it was sent, or the back end answered that it did not
+/// run it.
 #[derive(Debug)]
 pub struct Evidence(());
 
 impl Evidence {
-    /// The evidence that lies in how a try failed, if there is any.
+    /// Evidence that follows from a failure, if any.
     pub(crate) const fn of(failure: Failure) -> Option<Self> {
         match failure {
             Failure::Connect | Failure::Refused(_) => Some(Self(())),
@@ -44,11 +45,11 @@
     }
 }
 
-/// Proof that no back end ran a request. Only `Exposure::proof` makes one.
+/// Proof that no back end ran a request. Only `Execution::not_run_proof` creates it.
 #[derive(Debug)]
 pub struct NotRun(());
 
-/// How a request ended; it ends once.
+/// End of a request. A request ends exactly once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct End {
     code: Code,
@@ -58,24 +59,24 @@
 }
 
 impl End {
-    /// The answer of `attempt` was passed on whole.
+    /// The answer of `attempt` was delivered completely.
     pub(crate) const fn answered(attempt: id::Attempt) -> Self {
         Self { code: Code::Ok, outcome: Outcome::Answered, attempt: Some(attempt), retry_after_ms: None }
     }
 
-    /// No back end ran it. A caller that may come back is told when.
+    /// No back end ran the request. `retry_after` is kept only for codes that permit a later retry.
     pub(crate) fn not_run(_proof: &NotRun, code: Code, retry_after: Option<Duration>) -> Self {
         let retry_after_ms = retry_after.filter(|_| code.retry() == Retry::Later);
         let retry_after_ms = retry_after_ms.map(|wait| wait.as_millis() as u64);
         Self { code, outcome: Outcome::NotRun, attempt: None, retry_after_ms }
     }
 
-    /// A back end may have run it.
+    /// A back end may have run the request.
     pub(crate) const fn unknown(code: Code) -> Self {
         Self { code, outcome: Outcome::Unknown, attempt: None, retry_after_ms: None }
     }
 
-    /// Ends with `code`: not run where `exposure` proves it, else unknown.
+    /// The request failed with `code`. The outcome is "not run" if that is proven, else "unknown".
     pub(crate) fn failed(exposure: Exposure, code: Code, retry_after: Option<Duration>) -> Self {
         match exposure.proof() {
             Some(proof) => Self::not_run(&proof, code, retry_after),
@@ -83,33 +84,33 @@
         }
     }
 
-    /// Another request under the same idempotency key holds it: the outcome is that request's.
+    /// Another request holds the idempotency key. `first` is the outcome of that request.
     pub(crate) fn repeated(code: Code, first: Outcome, retry_after: Option<Duration>) -> Self {
-        // Where the first was not run, its key would be free.
+        // The key of a request that was not run is free, so this outcome is not final.
         let outcome = if first == Outcome::NotRun { Outcome::Unknown } else { first };
         let retry_after_ms = retry_after.map(|wait| wait.as_millis() as u64);
         Self { code, outcome, attempt: None, retry_after_ms }
     }
 
-    /// The result code.
+    /// Result code.
     #[must_use]
     pub const fn code(&self) -> Code {
         self.code
     }
 
-    /// Whether a back end ran it.
+    /// Whether a back end ran the request.
     #[must_use]
     pub const fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// The attempt whose answer the caller gets; none for an error of our own.
+    /// The attempt whose answer the caller gets; `None` if the caller gets an error of the gateway.
     #[must_use]
     pub const fn attempt(&self) -> Option<id::Attempt> {
         self.attempt
     }
 
-    /// When to come back, for a refusal that will pass, in milliseconds.
+    /// Time until the caller should retry, in milliseconds, for a temporary refusal.
     #[must_use]
     pub const fn retry_after_ms(&self) -> Option<u64> {
         self.retry_after_ms
--- a/core/src/error.rs
+++ b/core/src/error.rs
@@ -1,14 +1,14 @@
-//! Errors of this package's own parsing.
+//! Parse errors.
 
 use thiserror::Error;
 
-/// A text that does not have the form its type asks for.
+/// A text that cannot be parsed as the requested type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("'{text}' is no {kind}")]
 pub struct Malformed {
-    /// The type that was asked for.
+    /// Name of the requested type.
     pub kind: &'static str,
-    /// The text as given.
+    /// The text that was parsed.
     pub text: String,
 }
 
--- a/core/src/event.rs
+++ b/core/src/event.rs
@@ -1,4 +1,4 @@
-//! Every input of the reducer.
+//! Inputs of the reducer.
 
 use crate::attempt::Failure;
 use crate::engine::{CacheUpdate, Receipt, Report};
@@ -10,94 +10,94 @@
 use crate::table;
 use crate::vm::Vm;
 
-/// Something that happened. The time at which it did is handed in beside it.
+/// An input of the reducer. The time of the event is passed separately.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A caller's request was read.
+    /// A request of a caller was read.
     Arrive(Box<Arrival>),
-    /// A request's caller closed the connection.
+    /// The caller of a request closed the connection.
     Gone(id::Request),
-    /// The head of an answer came, with the attempt id that the back end echoed.
+    /// The head of an answer was received, with the attempt id that the back end echoed.
     Head {
-        /// The attempt it came for.
+        /// The attempt.
         attempt: id::Attempt,
-        /// The id in the answer, if it could be read.
+        /// The attempt id in the answer, if there is a valid one.
         echo: Option<id::Attempt>,
     },
-    /// One event of a streamed answer came.
+    /// One event of a streamed answer was received.
     Chunk {
-        /// The attempt it came for.
+        /// The attempt.
         attempt: id::Attempt,
-        /// Its number in the answer, from 0.
+        /// Offset of the event in the answer, from 0.
         offset: u64,
     },
-    /// A try is not silent, though nothing of it is to be passed on: part of an answer came, or the
-    /// answer is held back for a caller that is slow to take it.
+    /// An attempt makes progress without an event to deliver: part of an answer was received, or the answer
+    /// is held back because the caller reads slowly.
     Alive(id::Attempt),
-    /// An answer came to its explicit end; a whole answer is at hand complete.
+    /// The explicit end of an answer was received. A non-streamed answer is buffered completely.
     Finished {
-        /// The attempt it came for.
+        /// The attempt.
         attempt: id::Attempt,
-        /// Events in the answer, for a streamed one.
+        /// Number of events in a streamed answer.
         length: u64,
     },
-    /// A whole answer outgrew the edge's buffer.
+    /// A non-streamed answer exceeded the buffer of the edge.
     Overflow(id::Attempt),
-    /// A try failed.
+    /// An attempt failed.
     Failed {
         /// The attempt.
         attempt: id::Attempt,
-        /// How.
+        /// How it failed.
         failure: Failure,
     },
     /// The platform's list of VMs was read.
     Listed(Vec<Vm>),
-    /// The list could not be read.
+    /// The list of VMs could not be read.
     Unlisted,
-    /// An engine reported.
+    /// A report of an engine was received.
     Reported(Box<Report>),
-    /// An engine's report could not be had.
+    /// The report of an engine could not be read.
     Unreported(Name),
-    /// An engine's prefix cache changed.
+    /// The prefix cache of an engine changed.
     Cached(Box<CacheUpdate>),
-    /// An engine answered an order, or no answer came.
+    /// An engine answered an order, or no answer was received.
     Ordered {
         /// The order.
         order: id::Order,
         /// The engine's VM name.
         engine: Name,
-        /// The answer; none when it is not known whether the order arrived.
+        /// The answer; `None` if it is unknown whether the order arrived.
         receipt: Option<Receipt>,
     },
-    /// The table answered.
+    /// A call of the platform's table was answered or failed.
     Table {
         /// The operation.
         op: id::Op,
-        /// Its answer.
+        /// The answer.
         reply: Result<table::Reply, table::Failure>,
     },
-    /// A frame came from another entry VM.
+    /// A frame of another entry VM was received.
     Heard(Box<peer::Frame>),
-    /// A frame could not be brought to another entry VM.
+    /// A frame could not be sent to another entry VM.
     Unheard {
         /// The entry VM's name.
         peer: Name,
     },
-    /// An operator asks.
+    /// A query of an operator was received.
     Asked {
-        /// The question's id.
+        /// Id of the query.
         ask: id::Ask,
-        /// The question.
+        /// The query.
         query: Box<operator::Query>,
     },
-    /// The process was asked to stop.
+    /// A graceful stop of the process was requested.
     Stop,
-    /// The time that an effect asked to be woken at has come.
+    /// The time of the last `Effect::WakeAt` has come.
     Wake,
 }
 
 impl Event {
-    /// Whether it shows that this process is reached from outside, or reaches others.
+    /// Whether the event shows that other processes can reach this one, or that it can reach them.
     pub(crate) const fn is_evidence(&self) -> bool {
         matches!(
             self,
--- a/core/src/flow.rs
+++ b/core/src/flow.rs
@@ -1,4 +1,4 @@
-//! Requests under way: from arrival through their tries to their one end.
+//! Open requests, from their arrival through their attempts to their end.
 
 use std::time::Duration;
 
@@ -24,97 +24,98 @@
 /// A request that has not ended.
 #[derive(Debug)]
 pub(crate) struct Flow {
-    /// Its place in the line, for when it waits.
+    /// Key of the request in the queue.
     pub ticket: Ticket,
-    /// What it is for.
+    /// The model or service requested.
     pub work: Work,
     /// Whether it may run more than once.
     pub idempotent: bool,
-    /// Whether its answer is passed on as it comes.
+    /// Whether the answer is streamed to the caller.
     pub stream: bool,
-    /// Entry VMs it passed before this one.
+    /// Number of entry VMs that forwarded the request before this one.
     pub hops: u8,
-    /// Chained hashes of the prompt's leading blocks.
+    /// Chained hashes of the prompt's leading blocks, see `request::prefix_hashes`.
     pub prefix: Box<[u64]>,
-    /// Tokens asked for at most.
+    /// Maximum number of tokens requested.
     pub max_tokens: u32,
-    /// What its tries may have done.
+    /// Attempts sent, and how many of them are proven not to have run.
     pub exposure: Exposure,
-    /// Tries sent.
+    /// Number of attempts sent.
     pub tries: u16,
-    /// Tries that failed in a row without progress.
+    /// Consecutive failed attempts without progress.
     pub strikes: u16,
-    /// Times it was tried from the line again.
+    /// Number of times it was queued again for a retry.
     pub again: u16,
-    /// Events of its stream passed on.
+    /// Events of the stream delivered to the caller.
     pub delivered: u64,
-    /// Whether a whole answer is being passed on already, so that it cannot be had from elsewhere.
+    /// Whether a part of a non-streamed answer has been sent to the caller already. Such a request cannot
+    /// be retried.
     pub committed: bool,
-    /// Where its next try begins.
+    /// Position in the answer at which the next attempt begins.
     pub resume: Resume,
-    /// Back ends that failed it.
+    /// Back ends at which an attempt failed.
     pub avoid: Vec<Name>,
-    /// Its claim on an idempotency key.
+    /// Claim on the request's idempotency key, if it has one.
     pub claim: Option<Box<Claim>>,
-    /// Where it stands.
+    /// Current stage.
     pub stage: Stage,
     expiry: Handle,
 }
 
-/// Where a request stands.
+/// Stage of an open request.
 #[derive(Debug)]
 pub(crate) enum Stage {
-    /// Until its idempotency key is claimed.
+    /// Waits until its idempotency key is claimed.
     Claiming,
-    /// In its line.
+    /// Waits in the queue for a back end.
     Waiting,
-    /// Until its next try.
+    /// Waits for the backoff before the next attempt.
     Paused(Handle),
-    /// With a try open.
+    /// An attempt is open at a back end.
     Open(Try),
 }
 
-/// A try that is open.
+/// An open attempt.
 #[derive(Debug)]
 pub(crate) struct Try {
-    /// Its id.
+    /// Id of the attempt.
     pub attempt: id::Attempt,
-    /// The back end's VM name, or the peer's.
+    /// VM name of the back end, or of the entry VM in another zone.
     pub backend: Name,
-    /// What kind of back end it is.
+    /// Kind of back end.
     pub to: Destination,
-    /// When it was sent.
+    /// Time at which it was sent.
     pub sent: Time,
-    /// When something last came.
+    /// Time at which data was last received.
     pub progress: Time,
-    /// Whether the head of the answer came, with the right id.
+    /// Whether the head of the answer was received, with the id of this attempt.
     pub headed: bool,
-    /// The earlier one that it takes up again, if it does.
+    /// The earlier attempt whose answer it resumes, if any.
     pub takes_up: Option<id::Attempt>,
-    /// Events passed on before it.
+    /// Events delivered before this attempt.
     pub from: u64,
-    /// Time it may take to the head of its answer.
+    /// Maximum time from sending to the head of the answer.
     pub patience: Duration,
-    /// The next look at whether it has gone silent.
+    /// Timer of the next check for silence.
     pub watch: Handle,
 }
 
 /// Requests for one model or service.
 #[derive(Debug, Default)]
 pub(crate) struct Lane {
-    /// Those that wait.
+    /// Waiting requests.
     pub queue: Queue,
-    /// Tries open.
+    /// Number of open attempts.
     pub open: u32,
-    /// How long tries take.
+    /// Time from sending an attempt to the end of its answer.
     pub pace: Pace,
-    /// How long it takes from sending a try to the head of its answer.
+    /// Time from sending an attempt to the head of its answer.
     pub head: Pace,
 }
 
 impl Lane {
-    /// How long it takes until the request with `ahead` others before it is sent, by the time that
-    /// requests take and the number that run at once; none while that is not known.
+    /// Expected wait of a request with `ahead` others before it, from the mean duration of an attempt and
+    /// the number of open attempts. `None` while no attempt is open or none has been measured.
     pub(crate) fn wait(&self, ahead: usize) -> Option<Duration> {
         if self.queue.is_empty() {
             return Some(Duration::ZERO);
@@ -123,8 +124,8 @@
         (self.open > 0).then(|| mean.mul_f64((ahead + 1) as f64 / f64::from(self.open)))
     }
 
-    /// Whether a request that has become late can still be answered by its deadline, given the turns that
-    /// late ones get.
+    /// Whether a request that misses the first-token target also misses its deadline. Late requests are
+    /// served only once in `LATE_TURN` turns.
     pub(crate) fn is_hopeless(&self, now: Time, ticket: &Ticket) -> bool {
         let (late, before) = self.queue.late(ticket.priority);
         let wait = self.wait(before + late * LATE_TURN as usize);
@@ -136,39 +137,39 @@
     }
 }
 
-/// All requests under way at this entry VM.
+/// All open requests of this entry VM.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
-    /// Requests that have not ended.
+    /// Open requests by id.
     pub flows: FxHashMap<id::Request, Flow>,
-    /// Those for each model or service.
+    /// Queue and measurements of each model or service.
     pub lanes: FxHashMap<Work, Lane>,
     callers: FxHashMap<Name, u32>,
     waiting: usize,
 }
 
 impl Part {
-    /// Requests open.
+    /// Number of open requests.
     pub(crate) fn open(&self) -> usize {
         self.flows.len()
     }
 
-    /// Requests of a caller open.
+    /// Number of open requests of a caller.
     pub(crate) fn open_of(&self, caller: &Name) -> u32 {
         self.callers.get(caller).copied().unwrap_or(0)
     }
 
-    /// Requests that wait for a back end.
+    /// Number of requests that wait for a back end.
     pub(crate) const fn queued(&self) -> usize {
         self.waiting
     }
 
-    /// Requests that wait for one model or service.
+    /// Number of requests that wait for a model or service.
     pub(crate) fn waiting(&self, work: &Work) -> usize {
         self.lanes.get(work).map_or(0, |lane| lane.queue.len())
     }
 
-    /// Models and services that requests wait for.
+    /// Models and services for which requests wait, sorted.
     pub(crate) fn wanted(&self) -> Vec<Work> {
         if self.waiting == 0 {
             return Vec::new();
@@ -183,7 +184,7 @@
         wanted
     }
 
-    /// Puts a request in its line.
+    /// Adds a request to the queue of its model or service.
     pub(crate) fn push(&mut self, id: id::Request) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
@@ -193,7 +194,7 @@
         self.waiting += 1;
     }
 
-    /// Takes a request out of its line because its turn has come.
+    /// Removes a request from its queue to send it.
     pub(crate) fn serve(&mut self, id: id::Request) {
         let Some(flow) = self.flows.get(&id) else {
             return;
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Forgets models and services for which nothing is under way and that are not `declared` any more.
+    /// Removes models and services that have no open requests and are no longer `declared`.
     pub(crate) fn prune(&mut self, declared: impl Fn(&Work) -> bool) {
         self.lanes.retain(|work, lane| !lane.is_idle() || declared(work));
     }
@@ -230,7 +231,7 @@
     }
 }
 
-/// Takes a request, or refuses it at once.
+/// Admits a new request or refuses it.
 pub(crate) fn arrive(state: &mut State, now: Time, arrival: Arrival, out: &mut Vec<Effect>) {
     let id = arrival.id;
     let admitted = admit::admit(state, now, &arrival)
@@ -239,7 +240,7 @@
         Ok(admitted) => admitted,
         Err(refused) => return refuse(state, id, refused, out),
     };
-    // One that another entry VM passed on was claimed there.
+    // The entry VM that forwarded a request has already claimed its key.
     let key = arrival.key.clone().filter(|_| arrival.hops == 0);
     let digest = arrival.digest.clone();
     if let Work::Artifact(artifact) = &admitted.work {
@@ -284,7 +285,7 @@
     state.flow.flows.insert(arrival.id, flow);
 }
 
-/// Sees to it that there is room in the line, if need be at the cost of a request that waits.
+/// Makes room in a full queue by preempting a waiting request, or refuses the new one.
 fn make_room(
     state: &mut State,
     now: Time,
@@ -308,7 +309,7 @@
     Ok(())
 }
 
-/// Closes the try that is open, if it is this one.
+/// Closes `attempt` if it is the open attempt of its request.
 pub(crate) fn close(state: &mut State, attempt: id::Attempt) -> Option<Try> {
     let flow = state.flow.flows.get_mut(&attempt.request);
     let is_open = flow
@@ -330,12 +331,12 @@
     Some(closed)
 }
 
-/// A request's deadline passed.
+/// Handles the deadline of a request.
 pub(crate) fn deadline(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
     give_up(state, now, id, Code::DeadlinePassed, out);
 }
 
-/// A request's caller is gone.
+/// Handles a caller that closed the connection.
 pub(crate) fn gone(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
     give_up(state, now, id, Code::CallerGone, out);
 }
@@ -348,7 +349,7 @@
     end(state, now, id, end_with, out);
 }
 
-/// Ends a request, with the try that is still open.
+/// Ends a request and closes its open attempt.
 pub(crate) fn end(state: &mut State, now: Time, id: id::Request, end: End, out: &mut Vec<Effect>) {
     let open = state.flow.flows.get(&id).and_then(|flow| match &flow.stage {
         Stage::Open(current) => Some(current.attempt),
--- a/core/src/id.rs
+++ b/core/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers that a process draws for what it starts: unique across entry VMs and restarts.
+//! Ids of requests, attempts, orders and operations, unique across entry VMs and restarts.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,7 +7,7 @@
 
 use crate::error::Malformed;
 
-/// One life of one daemon process. Drawn at start; a restarted process has another.
+/// Incarnation of a process: a number chosen at its start, so that a restarted process has another one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -23,9 +23,9 @@
         $(#[$doc])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
         pub struct $name {
-            /// The process that drew it.
+            /// Incarnation of the process that assigned the id.
             pub by: Incarnation,
-            /// Its number within that process, from 1.
+            /// Sequence number within that process, from 1.
             pub seq: u64,
         }
 
@@ -50,28 +50,28 @@
 }
 
 sequence!(
-    /// A caller's request, as taken by one entry VM.
+    /// Id of a request, assigned by the entry VM that received it.
     Request
 );
 sequence!(
-    /// An order to a model engine. Engines treat a repeated id as the same order.
+    /// Id of an order to a model engine. Engines treat a repeated id as the same order.
     Order
 );
 sequence!(
-    /// An operation on the platform: its answer carries the same id.
+    /// Id of an operation on the platform. The answer carries the same id.
     Op
 );
 sequence!(
-    /// A question from an operator that waits for its answer.
+    /// Id of an operator's query that waits for its answer.
     Ask
 );
 
-/// One try of a request at one back end. Back ends echo it.
+/// Id of one attempt of a request at a back end. Back ends echo it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The request this is a try of.
+    /// The request.
     pub request: Request,
-    /// Its number within the request, from 1.
+    /// Number of the attempt within the request, from 1.
     pub n: u16,
 }
 
--- a/core/src/name.rs
+++ b/core/src/name.rs
@@ -1,4 +1,4 @@
-//! Names: shared, immutable strings.
+//! Shared, immutable strings.
 
 use std::borrow::Borrow;
 use std::fmt;
@@ -7,13 +7,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A shared, immutable name. Copies share one allocation.
+/// A shared, immutable string. Clones share one allocation.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Name(Arc<str>);
 
 impl Name {
-    /// The name as text.
+    /// The name as a string slice.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/core/src/pace.rs
+++ b/core/src/pace.rs
@@ -1,11 +1,11 @@
-//! How long requests take: a running mean with its deviation.
+//! Running mean and mean deviation of the duration of requests.
 
 use std::time::Duration;
 
-/// Weight of a new sample in the mean; the deviation takes twice that.
+/// Weight of a new sample in the mean; its weight in the deviation is twice that.
 const GAIN: f32 = 0.125;
 
-/// Time from sending a request to the end of its answer.
+/// Running mean and mean deviation of a duration.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Pace {
     mean_ms: f32,
@@ -14,7 +14,7 @@
 }
 
 impl Pace {
-    /// A request took this long.
+    /// Adds a sample.
     pub(crate) fn took(&mut self, time: Duration) {
         let ms = time.as_secs_f32() * 1_000.0;
         if !self.known {
@@ -26,12 +26,13 @@
         self.deviation_ms += 2.0 * GAIN * (error.abs() - self.deviation_ms);
     }
 
-    /// The mean; none before the first request.
+    /// Mean of the samples; `None` before the first.
     pub(crate) fn mean(&self) -> Option<Duration> {
         self.known.then(|| millis(self.mean_ms))
     }
 
-    /// A time that few requests fall below; zero before the first.
+    /// Duration that few samples fall below: the mean less twice the deviation. Zero before the first
+    /// sample.
     pub(crate) fn least(&self) -> Duration {
         millis((self.mean_ms - 2.0 * self.deviation_ms).max(0.0))
     }
--- a/core/src/prefix.rs
+++ b/core/src/prefix.rs
@@ -1,10 +1,11 @@
-//! Which back ends are thought to have a prompt's leading blocks cached: a hint in bounded memory.
+//! Hints in bounded memory on which back ends have cached the leading blocks of a prompt.
 //!
-//! Each cached block takes one entry of four bytes: a fingerprint of two bytes and the back end's number.
-//! A block's hash picks a set of entries; within a set the oldest makes room. A wrong hint, from a late
-//! event, a gap or two blocks with one fingerprint, costs time and never an answer.
+//! The table is set-associative. Each cached block takes one entry of four bytes: a fingerprint of two
+//! bytes and the index of the back end. The hash of a block selects a set, in which the oldest entry is
+//! replaced. A hint can be wrong because of a late or lost event, or because two blocks have the same
+//! fingerprint. That costs time, but never makes an answer wrong.
 
-/// Entries of one set.
+/// Number of entries in a set.
 const WAYS: usize = 8;
 
 /// One cached block at one back end.
@@ -17,7 +18,7 @@
 const NONE: u16 = u16::MAX;
 const EMPTY: Entry = Entry { print: 0, site: NONE };
 
-/// Cached blocks of all back ends.
+/// Approximate table of the cached blocks of all back ends.
 #[derive(Clone, Debug)]
 pub struct Sketch {
     entries: Vec<Entry>,
@@ -26,14 +27,14 @@
 }
 
 impl Sketch {
-    /// Room for at least `blocks` cached blocks.
+    /// Creates an empty table with room for at least `blocks` cached blocks.
     #[must_use]
     pub fn new(blocks: usize) -> Self {
         let sets = blocks.div_ceil(WAYS).next_power_of_two();
         Self { entries: vec![EMPTY; sets * WAYS], mask: sets - 1 }
     }
 
-    /// Bytes it takes.
+    /// Memory of the entries in bytes.
     #[must_use]
     pub fn bytes(&self) -> usize {
         self.entries.len() * size_of::<Entry>()
@@ -44,7 +45,7 @@
         (first..first + WAYS, (hash >> 48) as u16)
     }
 
-    /// A block is cached at a back end.
+    /// Records that a back end has cached a block.
     pub fn store(&mut self, hash: u64, site: u16) {
         let (set, print) = self.set(hash);
         let set = &mut self.entries[set];
@@ -54,7 +55,7 @@
         set[0] = entry;
     }
 
-    /// A block is not cached at a back end any more.
+    /// Records that a back end has evicted a block.
     pub fn evict(&mut self, hash: u64, site: u16) {
         let (set, print) = self.set(hash);
         for entry in &mut self.entries[set] {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Nothing is cached at a back end any more.
+    /// Removes all entries of a back end.
     pub fn clear(&mut self, site: u16) {
         for entry in &mut self.entries {
             if entry.site == site {
@@ -73,7 +74,7 @@
         }
     }
 
-    /// The back ends thought to hold a block.
+    /// Back ends that have probably cached a block.
     pub fn holders(&self, hash: u64) -> impl Iterator<Item = u16> {
         let (set, print) = self.set(hash);
         self.entries[set]
@@ -82,14 +83,15 @@
             .map(|entry| entry.site)
     }
 
-    /// Leading blocks of a prompt that a back end is thought to hold. Blocks are cached from the front,
-    /// so that the last one held is found by halving.
+    /// Number of leading blocks of a prompt that a back end has probably cached. Blocks are cached from the
+    /// start of the prompt, so a binary search finds the last one.
     #[must_use]
     pub fn matched(&self, hashes: &[u64], site: u16) -> usize {
         hashes.partition_point(|hash| self.holders(*hash).any(|holder| holder == site))
     }
 
-    /// The back ends thought to hold most of a prompt's leading blocks, at most `N`, with the blocks held.
+    /// Up to `N` back ends that have probably cached the most leading blocks of a prompt, with the number
+    /// of these blocks.
     #[must_use]
     pub fn best<const N: usize>(&self, hashes: &[u64]) -> [Option<(u16, usize)>; N] {
         let mut best = [None; N];
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -1,9 +1,9 @@
-//! The line of requests that wait for one model or service: by priority, then by fair shares between
-//! callers, then by earliest deadline.
+//! Queue of the requests that wait for one model or service, ordered by priority, then by weighted fair
+//! queueing between callers, then by deadline.
 //!
-//! Of one priority, requests that can still meet the target for the first token go before those that
-//! cannot, but for one turn in a few: in an overload most are then answered in time, where serving strictly
-//! by age would answer all of them late.
+//! Within a priority, requests that can still meet the first-token target are served before those that
+//! cannot, except for one in `LATE_TURN` turns. In an overload most requests are then answered in time;
+//! strictly by age, all of them would be answered late.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,31 +12,31 @@
 use crate::rules::Priority;
 use crate::time::Time;
 
-/// Virtual time that a unit of cost takes at weight one.
+/// Virtual time of one unit of cost at weight 1.
 const SCALE: u64 = 1 << 20;
-/// One turn in this many goes to requests that are late already.
+/// One in this many turns goes to requests that miss the first-token target.
 pub(crate) const LATE_TURN: u32 = 8;
 
-/// A request's place in the line.
+/// Properties by which a request is queued.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Ticket {
-    /// The request.
+    /// Id of the request.
     pub request: id::Request,
-    /// Whose it is.
+    /// Name of its caller.
     pub caller: Name,
-    /// The caller's weight against others of the same priority.
+    /// Weight of the caller relative to others of the same priority.
     pub weight: u32,
-    /// Its priority.
+    /// Priority of the request.
     pub priority: Priority,
-    /// When it has to be sent to meet the target.
+    /// Latest time to send it to meet the first-token target.
     pub due: Time,
-    /// Its deadline.
+    /// Deadline of the request.
     pub deadline: Time,
-    /// What it counts against the caller's share, in any unit.
+    /// Cost charged to the caller's share, in a unit common to all requests of a queue.
     pub cost: u32,
 }
 
-/// Where a request stands in its caller's line.
+/// Sort key of a request within its caller's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Place {
     first: Time,
@@ -54,14 +54,14 @@
     }
 }
 
-/// All that waits for one model or service.
+/// Requests that wait for one model or service.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     classes: BTreeMap<Priority, Class>,
     len: usize,
 }
 
-/// What waits at one priority. `turn` is the virtual time of the caller served last.
+/// Requests of one priority. `turn` is the virtual time of the caller served last.
 #[derive(Debug, Default)]
 struct Class {
     lines: BTreeMap<Name, Line>,
@@ -71,14 +71,14 @@
     late: usize,
 }
 
-/// What one caller has waiting, and the virtual time from which it is to be served.
+/// Waiting requests of one caller, and the virtual start time of the next one.
 #[derive(Debug)]
 struct Line {
     weight: u32,
     start: u64,
-    /// By the time they have to be sent, then by their deadline.
+    /// Requests that can still meet the target, by the time they have to be sent, then by deadline.
     timely: BTreeSet<Place>,
-    /// By their deadline.
+    /// Requests that miss the target, by deadline.
     late: BTreeSet<Place>,
 }
 
@@ -87,7 +87,7 @@
         self.timely.len() + self.late.len()
     }
 
-    /// Requests waiting for each unit of weight, in thousandths; `more` counts on top.
+    /// Waiting requests plus `more`, per unit of weight, in thousandths.
     fn share(&self, more: usize) -> u64 {
         share(self.len() + more, self.weight)
     }
@@ -115,29 +115,29 @@
 }
 
 impl Queue {
-    /// Requests waiting.
+    /// Number of waiting requests.
     pub(crate) const fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     pub(crate) const fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Requests waiting that come before a new one of `priority`, taking callers together.
+    /// Number of requests that are served before a new one of `priority`, regardless of their caller.
     pub(crate) fn ahead(&self, priority: Priority) -> usize {
         let more_urgent: usize = self.classes.range(..priority).map(|(_, class)| class.len()).sum();
         more_urgent + self.classes.get(&priority).map_or(0, |class| class.timely)
     }
 
-    /// Requests of `priority` that are late, and all that wait before these.
+    /// Number of late requests of `priority`, and number of requests of more urgent priorities.
     pub(crate) fn late(&self, priority: Priority) -> (usize, usize) {
         let late = self.classes.get(&priority).map_or(0, |class| class.late);
         (late, self.classes.range(..priority).map(|(_, class)| class.len()).sum())
     }
 
-    /// Puts a request in line.
+    /// Adds a request.
     pub(crate) fn push(&mut self, ticket: &Ticket) {
         let class = self.classes.entry(ticket.priority).or_default();
         let turn = class.turn;
@@ -157,7 +157,7 @@
         }
     }
 
-    /// The requests that have become too late for the target by `now`.
+    /// Requests that should have been sent before `now` to meet the target and are not marked late yet.
     pub(crate) fn overdue(&self, now: Time) -> Vec<id::Request> {
         let lines =
             self.classes.values().filter(|class| class.timely > 0).flat_map(|class| class.lines.values());
@@ -167,7 +167,7 @@
             .collect()
     }
 
-    /// Lets a request wait among those that are late.
+    /// Moves a request to the late ones.
     pub(crate) fn delay(&mut self, ticket: &Ticket) {
         if let Some(class) = self.classes.get_mut(&ticket.priority)
             && let Some(line) = class.lines.get_mut(&ticket.caller)
@@ -179,19 +179,19 @@
         }
     }
 
-    /// The request whose turn it is.
+    /// Next request to be served.
     pub(crate) fn peek(&self) -> Option<id::Request> {
         let (_, class) = self.classes.first_key_value()?;
         class.next().map(|place| place.request)
     }
 
-    /// Priority and time of the request whose turn it is.
+    /// Priority and due time of the next request; its deadline if it is late.
     pub(crate) fn urgency(&self) -> Option<(Priority, Time)> {
         let (priority, class) = self.classes.first_key_value()?;
         class.next().map(|place| (*priority, place.first))
     }
 
-    /// Takes a request out whose turn has come, at its caller's charge.
+    /// Removes a request that is served and charges its cost to the caller.
     pub(crate) fn serve(&mut self, ticket: &Ticket) {
         if let Some(class) = self.classes.get_mut(&ticket.priority)
             && let Some(line) = class.lines.get_mut(&ticket.caller)
@@ -203,7 +203,7 @@
         self.remove(ticket);
     }
 
-    /// Takes a request out. Returns whether it was there.
+    /// Removes a request. Returns whether it was queued.
     pub(crate) fn remove(&mut self, ticket: &Ticket) -> bool {
         let Some(class) = self.classes.get_mut(&ticket.priority) else {
             return false;
@@ -220,7 +220,8 @@
         }
         self.len -= 1;
         let turn = class.turn;
-        // A caller's account stays until the others have caught up with it.
+        // The virtual time of a caller without waiting requests is kept until the others have caught up
+        // with it. Else it would get a larger share than its weight by submitting one request at a time.
         class.lines.retain(|_, line| line.len() > 0 || line.start > turn);
         if class.len() == 0 {
             self.classes.remove(&ticket.priority);
@@ -228,8 +229,8 @@
         true
     }
 
-    /// The request that has to give up its place in a full line for a new one, if one does: of the least
-    /// urgent, the caller that holds most of the line for its weight gives up its latest.
+    /// Request to preempt from a full queue for a new one, if any: at the least urgent priority, the last
+    /// request of the caller with the most waiting requests for its weight.
     pub(crate) fn displaced(&self, ticket: &Ticket) -> Option<id::Request> {
         let (priority, class) = self.classes.last_key_value()?;
         let (caller, line) = class.lines.iter().max_by_key(|(_, line)| line.share(0))?;
--- a/core/src/reduce.rs
+++ b/core/src/reduce.rs
@@ -1,4 +1,4 @@
-//! The reducer: one function over all events. It only hands each to the module that decides.
+//! The reducer. It passes each event and each due timer to the module that handles it.
 
 use crate::claim;
 use crate::collect;
@@ -23,7 +23,7 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// Applies one event to the state and returns what is to be done.
+/// Applies an event to the state and returns the effects to carry out.
 ///
 /// The same state, times and events give the same effects. `now` must not run backwards.
 #[must_use]
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request and how it ends.
+//! Requests of callers.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,39 +9,39 @@
 use crate::rules::Priority;
 use crate::time::Time;
 
-/// A request as the callers' edge read it, without its body.
+/// A request as read by the HTTP edge, without its body.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// The id the edge drew for it.
+    /// Id assigned by the edge.
     pub id: id::Request,
-    /// SHA-256 of the bearer token, in lower-case hex, if one came.
+    /// SHA-256 of the bearer token in lower-case hex, if there is one.
     pub token_sha256: Option<Name>,
-    /// What it asks for.
+    /// The model or service requested.
     pub subject: Subject,
-    /// The caller's word on whether it may run more than once.
+    /// Whether the request may run more than once, if the caller states it.
     pub idempotent: Option<bool>,
     /// The caller's idempotency key.
     pub key: Option<Name>,
-    /// SHA-256 of method, path and body, in lower-case hex, if there is a key: a key repeated with another
-    /// request is refused.
+    /// SHA-256 of method, path and body in lower-case hex, if there is a key. A key that was used with
+    /// another request is refused.
     pub digest: Name,
-    /// The priority asked for.
+    /// The requested priority.
     pub priority: Option<Priority>,
-    /// When an answer is of no more use to the caller.
+    /// Time after which an answer is of no use to the caller.
     pub deadline: Time,
-    /// Whether the answer is to be passed on as it comes.
+    /// Whether the answer is streamed.
     pub stream: bool,
     /// Chained hashes of the prompt's leading blocks.
     pub prefix: Vec<u64>,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub bytes: u64,
-    /// Tokens asked for at most.
+    /// Maximum number of tokens requested.
     pub max_tokens: u32,
-    /// How many entry VMs it passed before this one.
+    /// Number of entry VMs that forwarded it before this one.
     pub hops: u8,
 }
 
-/// What a request asks for.
+/// The model or service that a request names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
     /// A completion by a model.
@@ -50,12 +50,13 @@
     Service(Name),
 }
 
-/// A prompt block, in bytes, over which one prefix hash is taken.
+/// Size in bytes of a prompt block, over which one prefix hash is computed.
 pub const BLOCK_BYTES: usize = 256;
-/// Prompt blocks that are hashed at most.
+/// Maximum number of prompt blocks that are hashed.
 pub const BLOCKS_MAX: usize = 32;
 
-/// The chained hashes of a prompt's leading whole blocks: each covers all bytes up to its end.
+/// Computes chained hashes of the leading complete blocks of a prompt. Each hash covers all bytes up to the
+/// end of its block.
 #[must_use]
 pub fn prefix_hashes(prompt: &[u8]) -> Vec<u64> {
     let mut hash = 0;
@@ -69,11 +70,11 @@
         .collect()
 }
 
-/// What is kept of a finished request under its idempotency key.
+/// End of a request, as stored under its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Past {
-    /// How it ended.
+    /// Whether a back end ran the request.
     pub outcome: Outcome,
-    /// The result code.
+    /// Result code.
     pub code: Code,
 }
--- a/core/src/retry.rs
+++ b/core/src/retry.rs
@@ -1,4 +1,5 @@
-//! What follows a failed try: another try where that is safe and within the budget, else the end.
+//! Handles failed attempts: retries the request where that is safe and within the retry budget, else ends
+//! it.
 
 use std::time::Duration;
 
@@ -17,7 +18,7 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// Retries allowed: a share of recent successes plus a floor, up to a burst.
+/// Retry budget: retries are earned by successful requests and by a fixed rate per second, up to a burst.
 #[derive(Debug, Default)]
 pub(crate) struct Budget {
     spent: f64,
@@ -25,12 +26,12 @@
 }
 
 impl Budget {
-    /// A request was answered: a part of a retry is earned.
+    /// Adds the fraction of a retry that an answered request earns.
     pub(crate) fn earn(&mut self, settings: &Settings) {
         self.spent = (self.spent - settings.retry_ratio).max(0.0);
     }
 
-    /// Takes a retry out, if there is one left; else how long until there is.
+    /// Uses one retry. If none is left, returns the time until one is earned.
     fn take(&mut self, now: Time, settings: &Settings) -> Result<(), Duration> {
         let floor = now.since(self.at).as_secs_f64() * settings.retry_floor;
         self.spent = (self.spent - floor).max(0.0);
@@ -44,14 +45,14 @@
     }
 }
 
-/// What was wrong with a try.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Trouble {
-    /// The back-end edge said so.
+    /// The HTTP edge reported the failure.
     Failed(Failure),
-    /// Nothing came for too long.
+    /// No data was received within the time limit.
     Silent,
-    /// An event of the stream was missing.
+    /// An event of the stream is missing.
     Gap,
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The code of a request that ends with it.
+    /// Result code of a request that ends because of this fault.
     fn code(self) -> Code {
         match self {
             Self::Failed(Failure::Connect) => Code::RetriesSpent,
@@ -90,18 +91,19 @@
         }
     }
 
-    /// Whether the engine may still hold the answer and the connection alone was at fault.
+    /// Whether only the connection may have failed, so that the engine may still hold the answer.
     const fn resumable(self) -> bool {
         matches!(self, Self::Failed(Failure::Broken) | Self::Silent | Self::Gap)
     }
 
-    /// Whether the exchange of the try is still open.
+    /// Whether the HTTP exchange of the attempt is still open.
     const fn leaves_open(self) -> bool {
         matches!(self, Self::Silent | Self::Gap | Self::Failed(Failure::Foreign))
     }
 
-    /// Whether another try makes more work for back ends. Where it does not, a model's request tries until its
-    /// deadline, since placement may bring the model elsewhere meanwhile.
+    /// Whether the attempt may have caused load at the back end. Other failures use no retry budget, and a
+    /// request for a model is retried after them until its deadline, since placement may load the model
+    /// elsewhere in the meantime.
     const fn costs(self) -> bool {
         !matches!(
             self,
@@ -110,7 +112,7 @@
     }
 }
 
-/// A try failed: try again where that is safe, else end the request.
+/// Handles a failed attempt: retries where that is safe, else ends the request.
 pub(crate) fn failed(
     state: &mut State,
     now: Time,
@@ -141,7 +143,7 @@
     match next {
         Next::Same => {
             state.counters.retry(trouble.reason());
-            // The engine knows the try that it answered last.
+            // The engine knows this attempt only if it has begun to answer it.
             let of = if closed.headed { attempt } else { closed.takes_up.unwrap_or(attempt) };
             flow.resume = Resume::Same { of, offset: flow.delivered };
             dispatch::resume(state, now, attempt.request, &closed.backend, out);
@@ -152,13 +154,13 @@
     dispatch::at(state, now, &closed.backend, out);
 }
 
-/// What may follow a failed try.
+/// Next action after a failed attempt.
 enum Next {
-    /// Take the answer up again where it is.
+    /// Resume the answer at the same engine.
     Same,
-    /// Try again, perhaps elsewhere.
+    /// Queue the request again; it may go to another back end.
     Other,
-    /// Nothing.
+    /// End the request.
     End,
 }
 
@@ -168,7 +170,7 @@
     }
     let holds_answer = matches!(closed.to, Destination::Engine(_)) && flow.stream && trouble.resumable();
     let worth_it = flow.delivered > 0 || !flow.idempotent;
-    // What may run only once has nowhere else to go.
+    // A request that is not idempotent is resumed all the same, since no other back end may run it.
     let fruitless = closed.takes_up.is_some() && flow.delivered == closed.from && flow.idempotent;
     if holds_answer && worth_it && !fruitless {
         return Next::Same;
@@ -211,8 +213,8 @@
     flow.stage = flow::Stage::Paused(state.timers.set(now + wait, Timer::Retry(id)));
 }
 
-/// The first retry goes out at once, since it avoids the back end that failed; then full jitter below a
-/// bound that doubles.
+/// Pause before a retry. The first retry is sent at once, since it avoids the back end that failed. Later
+/// ones wait a random time between zero and a bound that doubles each time (full jitter).
 fn backoff(settings: &Settings, rng: &mut fastrand::Rng, again: u16) -> Duration {
     let Some(doublings) = again.checked_sub(1) else {
         return Duration::ZERO;
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -1,7 +1,7 @@
-//! Back ends by what they answer requests for, with their load and health.
+//! Back ends by the models and services they serve, with their load and health.
 //!
-//! An index from each model or service to the back ends that hold it keeps the cost of a choice apart from
-//! the size of the fleet.
+//! An index from each model or service to the back ends that serve it makes the cost of a choice
+//! independent of the size of the fleet.
 
 use std::net::SocketAddr;
 
@@ -18,10 +18,11 @@
 
 pub use choose::{Choice, Wanted};
 
-/// At most one in this many back ends of a kind is ejected as an outlier at the same time.
+/// At most one in this many back ends that serve the same model or service is ejected as an outlier at the
+/// same time.
 const EJECTED_PART: usize = 3;
 
-/// What a try is for.
+/// The model or service that a request needs.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Work {
     /// A completion on an engine that holds the artifact.
@@ -30,38 +31,38 @@
     Service(Name),
 }
 
-/// A back end's number while it is known.
+/// Index of a back end in `Routes`, valid until the back end is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Site(pub(crate) u16);
 
-/// What is known of a back end besides its load.
+/// Properties of a back end other than its load and health.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Facts {
-    /// Its VM name.
+    /// VM name.
     pub name: Name,
-    /// Where it listens.
+    /// Address at which it listens.
     pub address: SocketAddr,
     /// Whether it is in this entry VM's availability zone.
     pub local: bool,
-    /// Requests it works on at once.
+    /// Number of requests it runs concurrently.
     pub slots: u32,
-    /// Whether new work may go to it.
+    /// Whether new requests may be sent to it.
     pub takes_work: bool,
-    /// The life of its process, once it has reported.
+    /// Incarnation of its process, once it has reported.
     pub incarnation: Option<Incarnation>,
-    /// What it answers requests for, sorted.
+    /// Models and services it serves, sorted.
     pub works: Vec<Work>,
 }
 
-/// A back end as the choice sees it.
+/// A back end with its load and health.
 #[derive(Debug)]
 struct Place {
     facts: Facts,
     health: Health,
-    /// Own tries open, and those by what they are for.
+    /// Open attempts of this entry VM, in total and by model or service.
     open: u32,
     open_by: Vec<(Work, u32)>,
-    /// Requests there by its last report, and own tries opened and closed since.
+    /// Requests in its last report, and attempts of this entry VM opened and closed since.
     reported: u32,
     opened: u32,
     closed: u32,
@@ -73,7 +74,7 @@
     }
 }
 
-/// All back ends, by what they answer requests for.
+/// All known back ends and an index by the models and services they serve.
 #[derive(Debug)]
 pub struct Routes {
     places: Vec<Option<Place>>,
@@ -83,7 +84,7 @@
 }
 
 impl Routes {
-    /// No back ends, and room for hints on `blocks` cached prompt blocks.
+    /// Creates an empty table with room for hints on `blocks` cached prompt blocks.
     #[must_use]
     pub fn new(blocks: usize) -> Self {
         Self {
@@ -94,8 +95,8 @@
         }
     }
 
-    /// Adds a back end or renews what is known of it. One that is `fresh` gets its share slowly, as does one
-    /// that has restarted.
+    /// Adds or updates a back end. One that is `fresh` or has restarted gets its full share of requests
+    /// only gradually.
     pub fn set(&mut self, now: Time, facts: Facts, fresh: bool) {
         let site = self.sites.get(&facts.name).copied().unwrap_or_else(|| self.add(now, &facts, fresh));
         let Some(place) = self.places[usize::from(site)].as_mut() else {
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Forgets the back ends that are not among those to `keep`.
+    /// Removes all back ends for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
         let gone: Vec<Name> = self.sites.keys().filter(|name| !keep(name)).cloned().collect();
         for name in gone {
@@ -167,14 +168,14 @@
         }
     }
 
-    /// Whether no back end is known.
+    /// Returns whether no back end is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.sites.is_empty()
     }
 
-    /// A back end turned out not to hold what it was thought to; the next report puts that right or brings
-    /// it back.
+    /// Removes `work` from a back end that refused a request because it does not hold it. The next report
+    /// of the back end confirms or restores it.
     pub fn unload(&mut self, site: Site, work: &Work) {
         if let Some(place) = self.place_mut(site) {
             place.facts.works.retain(|each| each != work);
@@ -182,7 +183,7 @@
         self.unhold(std::slice::from_ref(work), site.0);
     }
 
-    /// The number of a back end.
+    /// Returns the index of a back end.
     #[must_use]
     pub fn site(&self, name: &Name) -> Option<Site> {
         self.sites.get(name).copied().map(Site)
@@ -196,24 +197,24 @@
         self.places.get_mut(usize::from(site.0))?.as_mut()
     }
 
-    /// What is known of a back end.
+    /// Returns the properties of a back end.
     #[must_use]
     pub fn facts(&self, site: Site) -> Option<&Facts> {
         self.place(site).map(|place| &place.facts)
     }
 
-    /// A back end's health, to change it.
+    /// Returns the health of a back end for modification.
     pub fn health(&mut self, site: Site) -> Option<&mut Health> {
         self.place_mut(site).map(|place| &mut place.health)
     }
 
-    /// Whether a back end is suspected to have failed.
+    /// Returns whether a back end is suspected to have failed.
     #[must_use]
     pub fn is_doubted(&self, name: &Name) -> bool {
         self.site(name).and_then(|site| self.place(site)).is_some_and(|place| place.health.is_doubted())
     }
 
-    /// Requests a back end works on beyond its slots, as a part of the slots.
+    /// Returns the number of requests at a back end beyond its slots, as a fraction of the slots.
     #[must_use]
     pub fn excess(&self, site: Site) -> f32 {
         self.place(site).map_or(0.0, |place| {
@@ -222,13 +223,13 @@
         })
     }
 
-    /// Back ends that answer requests for `work`, known or suspected to have failed.
+    /// Returns the number of back ends that serve `work`, including suspected ones.
     #[must_use]
     pub fn holders(&self, work: &Work) -> usize {
         self.holders.get(work).map_or(0, Vec::len)
     }
 
-    /// Own tries open at a back end for `work`.
+    /// Returns the number of open attempts of this entry VM at a back end for `work`.
     #[must_use]
     pub fn open(&self, name: &Name, work: &Work) -> u32 {
         let place = self.site(name).and_then(|site| self.place(site));
@@ -237,13 +238,13 @@
         })
     }
 
-    /// Own tries open at all back ends.
+    /// Returns the number of open attempts of this entry VM at all back ends.
     #[must_use]
     pub fn tries(&self) -> usize {
         self.places.iter().flatten().map(|place| place.open as usize).sum()
     }
 
-    /// A back end reported its load.
+    /// Records the load reported by a back end.
     pub fn report(&mut self, name: &Name, load: u32) {
         if let Some(place) = self.site(name).and_then(|site| self.place_mut(site)) {
             place.reported = load;
@@ -252,7 +253,7 @@
         }
     }
 
-    /// A try is being sent.
+    /// Records that an attempt is sent, and that the back end will cache the prompt.
     pub fn open_try(&mut self, site: Site, work: &Work, prefix: &[u64]) {
         for hash in prefix {
             self.sketch.store(*hash, site.0);
@@ -268,7 +269,7 @@
         }
     }
 
-    /// A try is over.
+    /// Records that an attempt is closed.
     pub fn close_try(&mut self, site: Site, work: &Work) {
         let Some(place) = self.place_mut(site) else {
             return;
@@ -283,8 +284,8 @@
         }
     }
 
-    /// A back end failed after taking a request: it is ejected when it has done so several times in a row
-    /// and not too many of its kind are ejected already.
+    /// Records that a back end failed after accepting a request. It is ejected after several consecutive
+    /// failures unless too many back ends of its kind are suspected already.
     pub fn fault(&mut self, now: Time, site: Site) {
         let Some(place) = self.place_mut(site) else {
             return;
@@ -306,7 +307,7 @@
         }
     }
 
-    /// Prompt blocks were cached at a back end, or dropped.
+    /// Records the prompt blocks that a back end has cached or evicted.
     pub fn cached(&mut self, name: &Name, stored: &[u64], evicted: &[u64], cleared: bool) {
         let Some(Site(site)) = self.site(name) else {
             return;
--- a/core/src/route/choose.rs
+++ b/core/src/route/choose.rs
@@ -1,5 +1,5 @@
-//! Routing: which back end gets the next try. The choice weighs the load expected at a back end against the
-//! part of the prompt that it is thought to have cached.
+//! Chooses the back end of an attempt. The cost of a back end grows with its expected load and falls with
+//! the part of the prompt that it has probably cached.
 
 use super::{Routes, Site, Work};
 use crate::health::Standing;
@@ -7,49 +7,50 @@
 use crate::rules::Priority;
 use crate::time::Time;
 
-/// Holders up to which all are looked at; of more, some are sampled.
+/// Up to this number of back ends all are examined; of more, a random sample.
 const SCAN_MAX: usize = 8;
-/// Holders that are sampled at first.
+/// Size of the first sample.
 const SAMPLE: usize = 2;
-/// Holders that are sampled after that, while none had room.
+/// Number of further back ends sampled while none with room was found that is neither suspected nor
+/// avoided.
 const SAMPLE_MORE: usize = 14;
-/// Back ends with a cached prefix that are looked at.
+/// Number of back ends with a cached prefix that are examined in addition to the sample.
 const HINTS: usize = 2;
-/// Load beyond an engine's slots that is still sent to it, as a part of the slots, so that a slot which
-/// comes free does not wait for the next try to travel.
+/// Load that an engine is given beyond its slots, as a fraction of the slots. With a value above zero, a
+/// slot that becomes free need not wait for the transfer of the next attempt.
 const HEADROOM: f32 = 0.0;
-/// The part of an engine's slots up to which deferrable work is sent to it.
+/// Fraction of an engine's slots up to which deferrable requests are sent to it.
 const DEFERRABLE_PART: f32 = 0.75;
-/// What a wholly cached prompt is worth, in slots' worth of load.
+/// Reduction of the cost for a completely cached prompt, as a fraction of full load.
 const PREFIX_GAIN: f32 = 0.25;
-/// What another availability zone costs, in slots' worth of load.
+/// Additional cost of a back end in another availability zone, as a fraction of full load.
 const ZONE_COST: f32 = 1.0;
-/// A try that looks for a back end.
+/// An attempt for which a back end is to be chosen.
 #[derive(Clone, Copy, Debug)]
 pub struct Wanted<'a> {
-    /// What it is for.
+    /// The model or service requested.
     pub work: &'a Work,
     /// Chained hashes of the prompt's leading blocks.
     pub prefix: &'a [u64],
-    /// Back ends that failed it before.
+    /// Back ends at which the request failed before; chosen only if no other has room.
     pub avoid: &'a [Name],
-    /// How urgent it is.
+    /// Priority of the request.
     pub priority: Priority,
 }
 
-/// What came of looking for a back end.
+/// Result of the choice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
-    /// This one has room.
+    /// A back end with room.
     Site(Site),
-    /// There are some, but none that was looked at has room.
+    /// There are back ends, but none of those examined has room.
     Full,
-    /// None answers requests for this.
+    /// No back end that accepts requests serves the model or service.
     Absent,
 }
 
 impl Routes {
-    /// Looks for the back end that is best for a try.
+    /// Chooses the back end with the lowest rank among those examined.
     pub fn pick(&self, rng: &mut fastrand::Rng, now: Time, wanted: &Wanted<'_>) -> Choice {
         let Some(holders) = self.holders.get(wanted.work) else {
             return Choice::Absent;
@@ -86,7 +87,7 @@
         let standing = place.health.standing(now, place.open);
         best.known = true;
         best.sound |= standing != Standing::Doubtful;
-        // A back end in doubt gets one try at a time, and none while there is one that is not in doubt.
+        // A suspected back end gets one attempt at a time, and none while another one is not suspected.
         if standing == Standing::Doubtful && place.open > 0 {
             return;
         }
@@ -112,7 +113,7 @@
     }
 }
 
-/// How good a candidate is; less is better.
+/// Rank of a candidate; the lowest is best.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Rank {
     doubtful: bool,
--- a/core/src/spill.rs
+++ b/core/src/spill.rs
@@ -1,8 +1,8 @@
-//! Requests that go to another availability zone, by way of one of its entry VMs.
+//! Forwards requests to another availability zone through one of its entry VMs.
 //!
-//! Reports of other zones' engines are not collected here, so a request for one of them would be sent
-//! blind and past the queue, the priorities and the limits of its zone. An entry VM there knows them; it
-//! costs one more hop of a millisecond or two.
+//! This entry VM has no reports of engines in other zones. A request sent to such an engine directly would
+//! ignore its load and bypass the queue, the priorities and the limits of its zone. An entry VM of that
+//! zone knows them, at the cost of one more hop of 1 to 2 ms.
 
 use std::net::SocketAddr;
 
@@ -14,24 +14,26 @@
 use crate::time::Time;
 use crate::vm::Phase;
 
-/// Load up to which another zone is sent what it is not alone in holding, in eighths of its slots.
+/// Maximum load of another zone, in eighths of its slots, at which it is sent requests for a model that
+/// this zone holds too.
 const LOAD_MAX: u32 = 5;
 
-/// Entry VMs of other zones that are tried for a model that this zone does not hold.
+/// Maximum number of entry VMs of other zones to which a request is sent for a model that this zone does
+/// not hold.
 const REFUSALS_MAX: usize = 2;
 
 /// An entry VM of another availability zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Peer {
-    /// Its VM name.
+    /// VM name.
     pub name: Name,
-    /// Where it listens for peers.
+    /// Address at which it listens for peers.
     pub address: SocketAddr,
 }
 
-/// The entry VM to send a request to that finds no room here, if there is one. While this zone holds the
-/// model, only a zone that is not busy gets it. A request passes at most one entry VM besides the first, and
-/// one that has had a part of its answer stays.
+/// Entry VM to forward a request to that finds no room in this zone, if any. While this zone holds the
+/// model, only a zone with a load of at most `LOAD_MAX` is chosen. A request is forwarded at most once, and
+/// not after a part of its answer was delivered.
 pub(crate) fn peer(state: &State, now: Time, flow: &Flow, absent: bool) -> Option<Peer> {
     let Work::Artifact(artifact) = &flow.work else {
         return None;
@@ -39,7 +41,7 @@
     if flow.hops > 0 || flow.delivered > 0 {
         return None;
     }
-    // One that was refused there is not lost: it waits here.
+    // A request that other zones have refused waits in the queue of this zone.
     let refused = flow.avoid.iter().filter(|name| state.fleet.entries.contains_key(*name)).count();
     if refused >= if absent { REFUSALS_MAX } else { 1 } {
         return None;
@@ -49,8 +51,8 @@
     zones.into_iter().find_map(|zone| entry(state, now, flow, zone.zone))
 }
 
-/// An entry VM of the zone, another for each request, that is not known to be silent and has not failed
-/// this one.
+/// An entry VM of the zone that is neither silent nor suspected and at which this request has not failed.
+/// Requests are spread by their sequence number.
 fn entry(state: &State, now: Time, flow: &Flow, zone: &Name) -> Option<Peer> {
     let (_, known) = summary::zones(state, now).find(|(name, _)| *name == zone)?;
     let suspected = |name: &Name| state.member.peers.get(name).is_some_and(|peer| !peer.is_fit());
--- a/core/src/stream.rs
+++ b/core/src/stream.rs
@@ -1,5 +1,5 @@
-//! Answers as they come: their head, the events of a stream without gaps or repeats, their explicit end,
-//! and the watch for silence.
+//! Handles answers of back ends: the head, the events of a stream without gaps or duplicates, the explicit
+//! end, and the detection of silent connections.
 
 use crate::attempt::{Destination, Failure};
 use crate::effect::Effect;
@@ -22,7 +22,7 @@
     found
 }
 
-/// The head of an answer came.
+/// Handles the head of an answer.
 pub(crate) fn head(
     state: &mut State,
     now: Time,
@@ -59,7 +59,7 @@
     retry::failed(state, now, attempt, Trouble::Failed(Failure::Foreign), out);
 }
 
-/// One event of a streamed answer came.
+/// Handles one event of a streamed answer.
 pub(crate) fn chunk(state: &mut State, now: Time, attempt: id::Attempt, offset: u64, out: &mut Vec<Effect>) {
     let Some(current) = open(state, attempt) else {
         return;
@@ -85,14 +85,15 @@
     out.push(Effect::Deliver { attempt, offset });
 }
 
-/// The answer goes on, or is held back for its caller: either way its back end is not silent.
+/// Records progress without an event to deliver: data was received, or the answer is held back because the
+/// caller reads slowly. In both cases the back end is not silent.
 pub(crate) fn alive(state: &mut State, now: Time, attempt: id::Attempt) {
     if let Some(current) = open(state, attempt) {
         current.progress = now;
     }
 }
 
-/// An answer came to its explicit end.
+/// Handles the explicit end of an answer.
 pub(crate) fn finished(
     state: &mut State,
     now: Time,
@@ -125,7 +126,8 @@
     flow::end(state, now, attempt.request, End::answered(attempt), out);
 }
 
-/// A whole answer outgrew the edge's buffer: it is passed on from now on and cannot be had from elsewhere.
+/// Handles a non-streamed answer that exceeds the edge's buffer. It is passed on from now on, so that the
+/// request can no longer be retried.
 pub(crate) fn overflow(state: &mut State, attempt: id::Attempt, out: &mut Vec<Effect>) {
     let headed = open(state, attempt).is_some_and(|current| current.headed);
     if let Some(flow) = state.flow.flows.get_mut(&attempt.request).filter(|_| headed) {
@@ -134,7 +136,7 @@
     }
 }
 
-/// A look at whether an attempt has gone silent.
+/// Checks whether an attempt has gone silent, and sets the timer of the next check if not.
 pub(crate) fn silence(state: &mut State, now: Time, attempt: id::Attempt, out: &mut Vec<Effect>) {
     let idle = state.settings.idle;
     let (first_byte, resumed) = (state.settings.first_byte, state.resumed);
@@ -145,13 +147,14 @@
     let Stage::Open(current) = &mut flow.stage else {
         return;
     };
-    // A whole answer may take its time between its head and its body, until it is passed on as it comes.
+    // A non-streamed answer may pause between its head and its body for up to `first_byte`. Once it is
+    // passed on, the limit is that of a stream.
     let limit = match (current.headed, streams || committed) {
         (false, _) => current.patience,
         (true, true) => idle,
         (true, false) => first_byte,
     };
-    // What came while this process was paused has not been read yet.
+    // Data that arrived while this process was stalled has not been read yet.
     let due = current.progress.max(resumed) + limit;
     if current.attempt != attempt {
         return;
--- a/core/src/time.rs
+++ b/core/src/time.rs
@@ -1,4 +1,4 @@
-//! The reducer's time: microseconds since the Unix epoch, handed in with each event.
+//! Time of the reducer in microseconds since the Unix epoch, passed in with each event.
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -6,14 +6,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A moment, in microseconds since the Unix epoch. A process reads the wall clock once, when it
-/// starts, and advances from there with the runtime's monotonic clock, so it never runs backwards.
+/// A point in time, in microseconds since the Unix epoch. A process reads the wall clock only when it
+/// starts and then adds the time of the runtime's monotonic clock, so that its time never runs backwards.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The moment `ms` milliseconds after the epoch.
+    /// Time `ms` milliseconds after the epoch.
     #[must_use]
     pub const fn from_millis(ms: u64) -> Self {
         Self(ms * 1_000)
@@ -25,7 +25,7 @@
         self.0 / 1_000
     }
 
-    /// How long ago `earlier` was; zero when it lies ahead.
+    /// Duration since `earlier`; zero if `earlier` lies in the future.
     #[must_use]
     pub const fn since(self, earlier: Self) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/core/src/timer.rs
+++ b/core/src/timer.rs
@@ -1,4 +1,4 @@
-//! What the reducer wants to be woken for.
+//! Timers of the reducer.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,46 +7,46 @@
 use crate::name::Name;
 use crate::time::Time;
 
-/// Something due at a time. A timer that has become pointless is ignored when it fires.
+/// Purpose of a timer. A timer whose purpose no longer exists is ignored when it fires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// A request's deadline.
+    /// The deadline of a request.
     Deadline(id::Request),
-    /// A request's next try.
+    /// The next attempt of a request is due.
     Retry(id::Request),
-    /// A look at whether an attempt has gone silent.
+    /// An attempt is checked for silence.
     Silence(id::Attempt),
-    /// Claims are to be written.
+    /// Claims on idempotency keys are written.
     Claims,
-    /// The VM list is to be read.
+    /// The list of VMs is read.
     List,
-    /// The configuration is to be read from the table.
+    /// The configuration is read from the table.
     Config,
-    /// A change of the configuration whose answer was lost is to be settled.
+    /// A change of the configuration whose answer was lost is read back.
     Settle(id::Op),
-    /// An engine is to be asked for its report.
+    /// The report of an engine is read.
     Poll(Name),
-    /// Peers are to be told.
+    /// A frame is sent to the peers.
     Heartbeat,
-    /// The zone's lease is to be renewed or looked at.
+    /// The lease of the zone is renewed or read.
     Lease,
-    /// Placement is to be planned.
+    /// The placement is planned.
     Plan,
     /// The balancer has had time to see that this entry VM is not ready.
     Grace,
 }
 
-/// How late a wake-up comes at the least when the process has been paused.
+/// Delay of a wake-up from which on the process counts as stalled.
 const PAUSE: Duration = Duration::from_millis(500);
 
-/// Names a timer that is set, to cancel it.
+/// Identifies an active timer to cancel it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Handle {
     at: Time,
     seq: u64,
 }
 
-/// Timers, earliest first; equal times fire in the order they were set.
+/// Active timers, earliest first. Timers with equal times fire in the order in which they were set.
 #[derive(Debug)]
 pub struct Timers<T> {
     set: BTreeMap<Handle, T>,
@@ -69,42 +69,42 @@
         handle
     }
 
-    /// Cancels a timer; one that has fired is let be.
+    /// Cancels a timer. Does nothing if it has fired.
     pub fn cancel(&mut self, handle: Handle) {
         self.set.remove(&handle);
     }
 
-    /// By how much later than it had asked for the process is awake.
+    /// Time since the requested wake-up; zero if it is not reached yet.
     #[must_use]
     pub fn late(&self, now: Time) -> Duration {
         self.announced.map_or(Duration::ZERO, |at| now.since(at))
     }
 
-    /// Whether the process was woken long after it had asked for: it has been paused.
+    /// Whether the process was woken so late that it must have stalled.
     #[must_use]
     pub fn overslept(&self, now: Time) -> bool {
         self.late(now) >= PAUSE
     }
 
-    /// Timers that are set.
+    /// Number of active timers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.set.len()
     }
 
-    /// Whether no timer is set.
+    /// Whether no timer is active.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.set.is_empty()
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub fn pop(&mut self, now: Time) -> Option<T> {
         let first = self.set.first_entry()?;
         (first.key().at <= now).then(|| first.remove())
     }
 
-    /// The time to be woken at, if it is not the one announced last.
+    /// Time of the next wake-up, unless an earlier or equal one has been requested already.
     pub fn announce(&mut self, now: Time) -> Option<Time> {
         let next = self.set.first_key_value().map(|(handle, _)| handle.at)?;
         let pending = self.announced.is_some_and(|at| at > now && at <= next);
