--- a/core/benches/claims.rs
+++ b/core/benches/claims.rs
@@ -1,4 +1,4 @@
-//! What a request under way takes in memory, and what claims on idempotency keys cost in writes.
+//! Memory of an open request, and table writes for claims on idempotency keys.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 
 const REQUESTS: u64 = 100_000;
 const SECONDS: u64 = 10;
-/// Milliseconds until the table answers, and until an engine does.
+/// Latency of the table and of an engine, in milliseconds.
 const TABLE_MS: u64 = 10;
 const ENGINE_MS: u64 = 20;
 const PATIENCE: Duration = Duration::from_secs(30);
 
-/// Bytes of memory that the process has resident, where the system tells.
+/// Resident memory of the process in bytes, if the system reports it.
 fn resident() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
     line.trim().strip_suffix("kB")?.trim().parse().ok().map(|kb: u64| kb * 1_024)
 }
 
-/// Opens many requests, each with a prompt of sixteen blocks, and prints what each takes.
+/// Opens many requests, each with a prompt of sixteen blocks, and prints the memory of each.
 fn memory(name: &str, slots: u32) {
     let mut node = Node::with_room(480, 780, 12, slots, REQUESTS as u32 * 2);
     let before = resident();
@@ -42,7 +42,7 @@
     }
 }
 
-/// One daemon with `rate` keyed requests a second before a table that answers after a while.
+/// One daemon that gets requests with idempotency keys, with a table that answers after `TABLE_MS`.
 struct Daemon {
     node: Node,
     later: VecDeque<(u64, Event)>,
@@ -88,7 +88,7 @@
             let mut number = 0;
             while due >= 1_000 {
                 due -= 1_000;
-                // The number carries the time of arrival.
+                // The number contains the time of arrival.
                 let id = now * 1_000_000 + number;
                 number += 1;
                 let arrival = self.node.keyed(id, PATIENCE, Time::from_millis(1_000_000 + now));
--- a/core/benches/node/mod.rs
+++ b/core/benches/node/mod.rs
@@ -1,5 +1,5 @@
-//! An entry VM's reducer before a fleet of engines, for benchmarks.
-#![allow(dead_code, reason = "each benchmark uses its part of this")]
+//! The reducer of an entry VM with a fleet of engines, for benchmarks.
+#![allow(dead_code, reason = "each benchmark uses only a part of this module")]
 
 use std::time::Duration;
 
@@ -20,12 +20,12 @@
 
 const ME: Incarnation = Incarnation(1);
 
-/// The id of the request with this number.
+/// Id of the request with this number.
 pub fn request(number: u64) -> id::Request {
     id::Request { by: ME, seq: number + 1 }
 }
 
-/// A reducer and what is needed to feed it.
+/// A reducer with the state needed to create its events.
 pub struct Node {
     state: State,
     now: Time,
@@ -46,12 +46,12 @@
 }
 
 impl Node {
-    /// An entry VM that has heard of all engines.
+    /// Creates an entry VM with reports of all engines.
     pub fn new(engines: usize, artifacts: usize, held: usize, slots: u32) -> Self {
         Self::with_room(engines, artifacts, held, slots, Settings::default().open_max)
     }
 
-    /// An entry VM with room for this many requests.
+    /// Creates an entry VM that accepts up to `open_max` open requests.
     pub fn with_room(engines: usize, artifacts: usize, held: usize, slots: u32, open_max: u32) -> Self {
         let me = Identity { vm: "entry-1".into(), zone: "hall-a".into(), incarnation: ME };
         let now = Time::from_millis(1_000_000);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// An engine's report comes in.
+    /// Applies a report of an engine. Returns the number of effects.
     pub fn report(&mut self, engine: usize) -> usize {
         let report = self.reported(engine, self.slots / 2);
         self.apply(self.now, report).len()
@@ -116,7 +116,7 @@
         apply(&mut self.state, self.now, event)
     }
 
-    /// The report of an engine with this many requests.
+    /// Report of an engine with `running` requests.
     pub fn reported(&mut self, engine: usize, running: u32) -> Event {
         self.reports += 1;
         let first = engine * self.held;
@@ -146,7 +146,7 @@
         }))
     }
 
-    /// The arrival of a request.
+    /// Arrival of a request.
     pub fn arrival(
         &self,
         number: u64,
@@ -178,7 +178,7 @@
         }))
     }
 
-    /// The arrival of a request with an idempotency key of its own.
+    /// Arrival of a request with an idempotency key of its own.
     pub fn keyed(&self, number: u64, patience: Duration, now: Time) -> Event {
         let mut event = self.arrival(number, number as usize, Vec::new(), 64, patience, now);
         if let Event::Arrive(arrival) = &mut event {
@@ -187,7 +187,7 @@
         event
     }
 
-    /// A request arrives. Returns the try that is sent, if one is.
+    /// Applies the arrival of a request. Returns the attempt that is sent, if any.
     pub fn arrive(&mut self, artifact: usize, prefix: Vec<u64>) -> Option<Attempt> {
         self.requests += 1;
         let now = self.now + Duration::from_micros(10);
@@ -199,7 +199,8 @@
         })
     }
 
-    /// A request with a streamed answer of one event, from its arrival to its end.
+    /// Runs a request with a streamed answer of one event from its arrival to its end. Returns whether it
+    /// was sent.
     pub fn request(&mut self, artifact: usize) -> bool {
         let Some(attempt) = self.arrive(artifact, Vec::new()) else {
             return false;
--- a/core/benches/policy.rs
+++ b/core/benches/policy.rs
@@ -1,4 +1,5 @@
-//! Routing policies on the same recorded demand: attainment, time to the first token, refusals.
+//! Compares routing policies on the same generated demand: attainment of the first-token target, time to
+//! the first token and refusals.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -18,11 +19,11 @@
 
 const ENGINES: usize = 18;
 const SLOTS: u32 = 8;
-/// Models; each engine holds the same number of them.
+/// Number of models. Each engine holds `HELD` of them.
 const MODELS: usize = 36;
 const HELD: usize = 6;
 const ENTRIES: usize = 3;
-/// Prompt blocks that each engine can cache.
+/// Number of prompt blocks that each engine can cache.
 const CACHE: usize = 600;
 const SECONDS: u64 = 120;
 const TARGET_MS: u64 = 1_700;
@@ -31,12 +32,13 @@
 const REPORT_MS: u64 = 250;
 const REPORT_LAG_MS: u64 = 100;
 const TRIES: u16 = 4;
-/// The part of all requests that goes to one model, another every few seconds, on top of its own.
+/// Fraction of all requests that go to one bursting model in addition to its regular share. Another model
+/// bursts every 8 seconds.
 const BURST: f64 = 0.12;
-/// One in this many cache events is lost.
+/// One in this many stored blocks is missing from the cache events.
 const GAP: u64 = 10;
 
-/// How requests are given to engines.
+/// Policy that chooses the engine of a request.
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
     RoundRobin,
@@ -52,7 +54,7 @@
     tokens: u64,
 }
 
-/// What happens next, in milliseconds.
+/// A scheduled step of the simulation.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Step {
     Arrive(usize),
@@ -64,7 +66,7 @@
     Wake(usize),
 }
 
-/// Requests of bursty models with prompts that share their beginnings.
+/// Generates requests for bursty models with prompts that share prefixes.
 fn record(seed: u64, rate: f64) -> Vec<Demand> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut demand = Vec::new();
@@ -96,14 +98,16 @@
     steps: BinaryHeap<Reverse<(u64, u64, Step)>>,
     order: u64,
     now: u64,
-    /// Entry VMs of our own policy.
+    /// Entry VMs, for the policy `Reducer`.
     nodes: Vec<Node>,
     woken: Vec<u64>,
-    /// The attempt under way of each request, and what became of it.
+    /// Current attempt of each request, its time to the first token in milliseconds, and whether it was
+    /// refused.
     attempts: Vec<u16>,
     first: Vec<Option<u64>>,
     refused: Vec<bool>,
-    /// For the plain policies: own requests at each engine, by entry VM, and whose turn it is.
+    /// For the other policies: open requests at each engine by entry VM, and the round-robin position of
+    /// each model.
     outstanding: Vec<Vec<u32>>,
     turn: Vec<usize>,
     rng: fastrand::Rng,
@@ -188,7 +192,7 @@
         self.event(entry, arrival);
     }
 
-    /// Gives a request to an engine by one of the plain policies.
+    /// Sends a request to an engine by round robin or to the one with the fewest open requests.
     fn give(&mut self, request: usize, attempt: u16) {
         if attempt > TRIES {
             self.refused[request] = true;
@@ -276,7 +280,7 @@
         self.event(entry, event(attempt));
     }
 
-    /// Feeds an event to an entry VM and carries out what it answers.
+    /// Passes an event to an entry VM and carries out its effects.
     fn event(&mut self, entry: usize, event: Event) {
         let time = Time::from_millis(1_000_000 + self.now);
         for effect in self.nodes[entry].apply(time, event) {
--- a/core/benches/queue/mod.rs
+++ b/core/benches/queue/mod.rs
@@ -1,12 +1,12 @@
-//! Engines as a plain queueing loop: slots, a queue, a prompt cache with the least recently used going first.
+//! Queueing model of an engine with slots, a queue and a prompt cache with LRU eviction.
 
 use std::collections::{BTreeMap, VecDeque};
 
-/// Milliseconds to work on a prompt block that is not cached.
+/// Time to process a prompt block that is not cached, in milliseconds.
 const BLOCK_MS: u64 = 12;
-/// Milliseconds for a token while nothing else runs; twice that with all slots taken.
+/// Time of one token in milliseconds while no other request runs; twice that with all slots in use.
 const TOKEN_MS: u64 = 18;
-/// Requests that an engine lets wait before it refuses more.
+/// Number of waiting requests above which an engine refuses more.
 const QUEUE_MAX: usize = 8;
 
 /// A request at an engine.
@@ -17,7 +17,7 @@
     pub tokens: u64,
 }
 
-/// When a job that starts now has its first token and its end, in milliseconds from now.
+/// Time to the first token and to the end of a job, in milliseconds from its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Times {
     pub first: u64,
@@ -34,7 +34,7 @@
     cache: BTreeMap<u64, u64>,
     by_use: BTreeMap<u64, u64>,
     uses: u64,
-    /// Changes of the cache that were not published yet.
+    /// Changes of the cache that are not published yet.
     pub stored: Vec<u64>,
     pub evicted: Vec<u64>,
     pub hits: u64,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Takes a job, unless too many wait. Returns its times if it starts at once.
+    /// Accepts a job, or refuses it if too many wait. Returns the times of a job that starts at once.
     pub fn take(&mut self, job: Job) -> Result<Option<Times>, Job> {
         if self.running < self.slots {
             return Ok(Some(self.start(&job)));
@@ -70,7 +70,7 @@
         Ok(None)
     }
 
-    /// A job is done. Returns the next with its times.
+    /// Ends a job. Returns the next job, which starts now, with its times.
     pub fn done(&mut self) -> Option<(Job, Times)> {
         self.running -= 1;
         let job = self.waiting.pop_front()?;
--- a/core/benches/route.rs
+++ b/core/benches/route.rs
@@ -1,4 +1,4 @@
-//! The cost of one routing decision as the fleet grows, and of the state that one request takes.
+//! Time of one routing decision, of one request and of one report for fleets of different sizes.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 
 mod node;
 
-/// Engines, and models and adapters.
+/// Fleet sizes: number of engines, and number of models and adapters.
 const SIZES: [(usize, usize); 3] = [(33, 135), (480, 780), (6_700, 780)];
-/// Artifacts that each engine holds.
+/// Number of artifacts that each engine holds.
 const HELD: usize = 12;
 const SLOTS: u32 = 16;
-/// Prompt blocks of a request.
+/// Number of prompt blocks of a request.
 const BLOCKS: u64 = 16;
 
 fn main() {
@@ -69,7 +69,7 @@
     Fleet { routes, works, rng }
 }
 
-/// One choice among the back ends, with a prompt that one of them has cached.
+/// Choice of a back end for a prompt that one of them has cached.
 #[divan::bench(args = SIZES, sample_count = 200)]
 fn decision(bencher: Bencher<'_, '_>, size: (usize, usize)) {
     let mut fleet = fleet(size);
@@ -84,7 +84,7 @@
     });
 }
 
-/// A whole request through the reducer: arrival, choice, head, one event, end.
+/// A complete request through the reducer: arrival, choice, head, one event, end.
 #[divan::bench(args = SIZES, sample_count = 100)]
 fn request(bencher: Bencher<'_, '_>, (engines, artifacts): (usize, usize)) {
     let mut node = node::Node::new(engines, artifacts, HELD, SLOTS);
@@ -95,7 +95,7 @@
     });
 }
 
-/// What one report of an engine costs.
+/// One report of an engine.
 #[divan::bench(args = SIZES, sample_count = 100)]
 fn report(bencher: Bencher<'_, '_>, (engines, artifacts): (usize, usize)) {
     let mut node = node::Node::new(engines, artifacts, HELD, SLOTS);
--- a/core/tests/admission.rs
+++ b/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who is taken, in which order, and who is refused early.
+//! Admission, the order of waiting requests and early refusals.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 mod entry;
 use entry::{Ask, Entry, caller, end, outcome, sends, sent};
 
-/// Tries that one engine is given at once.
+/// Attempts that one engine is given concurrently.
 const FULL: usize = entry::SLOTS as usize;
 
 fn filled(
@@ -28,7 +28,7 @@
     entry
 }
 
-/// Ends the oldest open tries one by one and returns the requests that are sent in their place.
+/// Ends the oldest open attempts one by one and returns the requests that are sent in their place.
 fn order(entry: &mut Entry, count: usize) -> Vec<id::Request> {
     let mut order = Vec::new();
     let mut at = 0;
@@ -54,7 +54,7 @@
     let early = ask(Priority::Normal, 20);
     let urgent = ask(Priority::Urgent, 50);
     assert_eq!(order(&mut entry, 3), [urgent, early, late]);
-    assert!(entry.ended(deferrable).is_none(), "deferrable work waits");
+    assert!(entry.ended(deferrable).is_none(), "the deferrable request waits");
 }
 
 #[test]
@@ -67,7 +67,10 @@
     for send in entry.sent() {
         let _effects = entry.answer(send.attempt);
     }
-    assert!(entry.sent().iter().any(|send| send.attempt.request == deferrable), "it comes back");
+    assert!(
+        entry.sent().iter().any(|send| send.attempt.request == deferrable),
+        "the deferrable request is sent once slots are free"
+    );
 }
 
 #[test]
@@ -91,7 +94,7 @@
         (0..8).map(|_| entry.ask(Ask { caller: Some("quiet"), ..Ask::default() }).0).collect();
     let served = order(&mut entry, 12);
     let share = served.iter().filter(|request| quiet.contains(request)).count();
-    assert_eq!(share, 8, "two of three go to the caller of weight two: {served:?}");
+    assert_eq!(share, 8, "two thirds go to the caller of weight 2: {served:?}");
 }
 
 #[test]
@@ -106,9 +109,12 @@
     assert!(end(&effects, refused).and_then(|end| end.retry_after_ms()).is_some());
 
     let (taken, effects) = entry.ask(Ask { caller: Some("quiet"), ..Ask::default() });
-    assert_eq!(outcome(&effects, taken), None, "the caller that holds the whole line gives way");
+    assert_eq!(outcome(&effects, taken), None, "a request of the caller that fills the queue is preempted");
     assert_eq!(outcome(&effects, waiting[2]), Some((Code::Preempted, Outcome::NotRun)));
-    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Cancel(_))), "what runs goes on");
+    assert!(
+        !effects.iter().any(|effect| matches!(effect, Effect::Cancel(_))),
+        "running requests are not cancelled"
+    );
 }
 
 #[test]
@@ -139,7 +145,7 @@
     for _ in 0..7 {
         assert_eq!(ask(Priority::Deferrable), None);
     }
-    assert_eq!(ask(Priority::Deferrable), refused, "the rest is kept for more urgent work");
+    assert_eq!(ask(Priority::Deferrable), refused, "the rest is reserved for more urgent requests");
     for _ in 0..3 {
         assert_eq!(ask(Priority::Urgent), None);
     }
@@ -159,9 +165,9 @@
     }
     let patience = Duration::from_secs(3);
     let (late, effects) = entry.ask(Ask { patience, ..Ask::default() });
-    let end = end(&effects, late).expect("it is refused at once");
+    let end = end(&effects, late).expect("the request is refused at once");
     assert_eq!((end.code(), end.outcome()), (Code::DeadlineUnreachable, Outcome::NotRun));
-    let wait = end.retry_after_ms().expect("it is told when to come back");
+    let wait = end.retry_after_ms().expect("the refusal has a retry-after");
     assert!((1_000..=10_000).contains(&wait), "{wait} ms");
     let (_, effects) = entry.ask(Ask { patience: Duration::from_secs(30), ..Ask::default() });
     assert!(effects.iter().all(|effect| !matches!(effect, Effect::End { .. })));
@@ -173,7 +179,11 @@
     let (late, _) = entry.ask(Ask::default());
     entry.advance(Duration::from_secs(2));
     let (timely, _) = entry.ask(Ask::default());
-    assert_eq!(order(&mut entry, 2), [timely, late], "the target is missed for one of them already");
+    assert_eq!(
+        order(&mut entry, 2),
+        [timely, late],
+        "a request that misses the target is served after one that can meet it"
+    );
 }
 
 #[test]
@@ -188,7 +198,10 @@
     let refused = waiting
         .iter()
         .filter(|id| outcome(&effects, **id) == Some((Code::DeadlineUnreachable, Outcome::NotRun)));
-    assert!(refused.count() > 0, "who cannot be served by the deadline is told then: {effects:?}");
+    assert!(
+        refused.count() > 0,
+        "requests that cannot be served by their deadline are refused early: {effects:?}"
+    );
 }
 
 #[test]
--- a/core/tests/entry/mod.rs
+++ b/core/tests/entry/mod.rs
@@ -1,5 +1,5 @@
-//! One entry VM's reducer with a clock to advance, for the tests of requests.
-#![allow(dead_code, reason = "each test file uses its part of this")]
+//! The reducer of one entry VM with a simulated clock, for the tests of requests.
+#![allow(dead_code, reason = "each test file uses only a part of this module")]
 
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 pub const ME: Incarnation = Incarnation(1);
 pub const SLOTS: u32 = 4;
 
-/// What of a request differs from test to test.
+/// Properties of a request that differ between tests.
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub caller: Option<&'static str>,
@@ -152,7 +152,7 @@
         self.list();
     }
 
-    /// Applies an event; the table answers for the configuration and is silent on all else.
+    /// Applies an event. Reads of the configuration are answered at once; all other effects are returned.
     pub fn event(&mut self, event: Event) -> Vec<Effect> {
         let effects = apply(&mut self.state, self.now, event);
         let mut all = Vec::new();
@@ -178,7 +178,7 @@
         all
     }
 
-    /// Advances the clock, waking the reducer whenever it asked to be.
+    /// Advances the clock in steps of 10 ms and wakes the reducer after each.
     pub fn advance(&mut self, time: Duration) -> Vec<Effect> {
         let until = self.now + time;
         let step = Duration::from_millis(10);
@@ -254,7 +254,7 @@
         self.event(Event::Finished { attempt, length })
     }
 
-    /// Answers a try whole, with a stream of no events.
+    /// Answers an attempt with a complete stream of no events.
     pub fn answer(&mut self, attempt: Attempt) -> Vec<Effect> {
         self.head(attempt);
         self.finish(attempt, 0)
@@ -268,12 +268,12 @@
         self.fail(attempt, Failure::Refused(refusal))
     }
 
-    /// Every try sent so far.
+    /// All attempts sent so far.
     pub fn sent(&self) -> Vec<Send> {
         sends(&self.log)
     }
 
-    /// How a request ended, if it has.
+    /// End of a request, if it has ended.
     pub fn ended(&self, request: id::Request) -> Option<End> {
         end(&self.log, request)
     }
@@ -287,10 +287,10 @@
     sends.collect()
 }
 
-/// The one try that the effects send.
+/// The single attempt that the effects send.
 pub fn sent(effects: &[Effect]) -> Send {
     let sends = sends(effects);
-    assert_eq!(sends.len(), 1, "one try is sent: {effects:?}");
+    assert_eq!(sends.len(), 1, "one attempt is sent: {effects:?}");
     sends.into_iter().next().expect("counted")
 }
 
@@ -304,7 +304,7 @@
     end
 }
 
-/// Code and outcome of the end among the effects.
+/// Code and outcome with which the effects end a request.
 pub fn outcome(effects: &[Effect], request: id::Request) -> Option<(Code, Outcome)> {
     end(effects, request).map(|end| (end.code(), end.outcome()))
 }
--- a/core/tests/fault_matrix.rs
+++ b/core/tests/fault_matrix.rs
@@ -1,4 +1,4 @@
-//! Every fault at every step of every effect, once and twice, then drawn pairs of them.
+//! Injects every fault at every step of every effect, once and twice, and then random pairs of faults.
 
 mod matrix;
 
@@ -10,14 +10,14 @@
 use matrix::fault::{Fault, Kind, Stage, Step, Strike};
 use matrix::{page, world};
 
-/// Threads that run cases.
+/// Number of threads that run cases.
 const WORKERS: usize = 4;
-/// Seeds for each cell of a fault that has few cells, for each seed of the others.
+/// Factor by which a fault that applies to few steps gets more seeds for each.
 const MORE: u64 = 8;
-/// Pairs drawn by default.
+/// Default number of random pairs.
 const PAIRS: u64 = 200;
 
-/// One run: a seed and what strikes in it.
+/// One run: a seed and the faults to inject.
 #[derive(Clone, Debug)]
 struct Case {
     seed: u64,
@@ -25,7 +25,7 @@
 }
 
 impl Case {
-    /// Its form in `FAULTS_CASE`.
+    /// Text form of the case in `FAULTS_CASE`.
     fn name(&self) -> String {
         let strikes: Vec<String> = self.plan.iter().map(Strike::to_string).collect();
         format!("{}|{}", self.seed, strikes.join("|"))
@@ -38,7 +38,8 @@
     }
 }
 
-/// Runs cases on a few threads. Returns each with its strikes; panics with the first broken promise.
+/// Runs cases on a few threads. Returns each with the number of injected faults. Panics if a case violates
+/// an invariant that KNOWN-RED.txt does not list.
 fn run_all(cases: &[Case]) -> Vec<(&Case, u32)> {
     let next = AtomicUsize::new(0);
     let (struck, broken) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
@@ -59,7 +60,7 @@
     struck.into_inner().expect("no panic")
 }
 
-/// Whether KNOWN-RED.txt names this very case, as `[CASE]` in a line of this test.
+/// Whether KNOWN-RED.txt lists this case, as `[CASE]` in a line of this test.
 fn is_known(known: &str, case: &Case) -> bool {
     let name = format!("[{}]", case.name());
     known.lines().any(|line| line.starts_with("fault_matrix: ") && line.contains(&name))
@@ -79,7 +80,7 @@
     if let Some((case, why)) = new.first() {
         let trace = world::run(case.seed, &case.plan, true).trace;
         eprintln!("{}\n{why}: FAULTS_CASE='{}'", trace.join("\n"), case.name());
-        panic!("{} of the cases break a promise", new.len());
+        panic!("{} cases violate an invariant", new.len());
     }
 }
 
@@ -93,11 +94,11 @@
     cells.filter(|(fault, step)| fault.applies(*step)).collect()
 }
 
-/// Runs a case named in `FAULTS_CASE` alone, with its events.
+/// Runs the case given in `FAULTS_CASE` and prints its events.
 #[test]
 fn one_case() {
     let name = env::var("FAULTS_CASE").unwrap_or_else(|_| "1|".into());
-    let case = Case::parse(&name).expect("a case as a failure prints it");
+    let case = Case::parse(&name).expect("FAULTS_CASE has the form printed by a failure");
     let run = world::run(case.seed, &case.plan, true);
     println!("{}", run.trace.join("\n"));
     assert_eq!(run.broken, None, "{name}");
@@ -110,7 +111,8 @@
     let cells = cells();
     let seeds = number("FAULTS_SEEDS", 1);
     for (at, (fault, step)) in cells.iter().copied().enumerate() {
-        // What befalls single messages has few cells, and each message is another case.
+        // Faults of single messages apply to few steps, but differ with the message, so they get more
+        // seeds.
         let few = cells.iter().filter(|(other, _)| *other == fault).count() < Kind::ALL.len();
         for seed in 1..=if few { seeds * MORE } else { seeds } {
             let count = reached.get(&step).copied().unwrap_or(1);
--- a/core/tests/graceful_stop.rs
+++ b/core/tests/graceful_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry VM cuts nothing off.
+//! A graceful stop of an entry VM interrupts no request.
 
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
         entry.advance(Duration::from_secs(1));
         assert!(entry.chunk(attempt, offset).contains(&Effect::Deliver { attempt, offset }));
         if offset == 0 {
-            assert!(!exits(&entry.answer(late)), "another is still running");
+            assert!(!exits(&entry.answer(late)), "another request is still running");
         }
     }
     let effects = entry.finish(attempt, 20);
@@ -75,7 +75,7 @@
     let attempt = sent(&entry.event(written)).attempt;
     entry.event(Event::Stop);
     entry.advance(Settings::default().balancer_grace);
-    assert!(!exits(&entry.answer(attempt)), "the outcome is still to be written");
+    assert!(!exits(&entry.answer(attempt)), "the outcome is not written yet");
     let effects = entry.advance(Duration::from_millis(200));
     let (_, written) = claims(&effects).expect("an outcome");
     assert!(exits(&entry.event(written)));
--- a/core/tests/idempotency_claims.rs
+++ b/core/tests/idempotency_claims.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys: a repeated submission never runs again, whatever becomes of the table's answers.
+//! Idempotency keys: a repeated submission never runs again, even if answers of the table are lost.
 
 use std::time::Duration;
 
@@ -16,18 +16,18 @@
 
 const LINGER: Duration = Duration::from_millis(30);
 
-/// What becomes of the next call.
+/// Result of a call of the table.
 #[derive(Clone, Copy, PartialEq)]
 enum Fate {
     Answered,
     Down,
-    /// It takes effect and its answer is lost.
+    /// The call takes effect, but its answer is lost.
     AnswerLost,
-    /// It is lost itself.
+    /// The call is lost and has no effect.
     Lost,
 }
 
-/// An entry VM and the claims in the platform's table.
+/// An entry VM with the claims in the platform's table.
 struct Claims {
     entry: Entry,
     rows: Vec<table::Row>,
@@ -45,7 +45,8 @@
         self.entry.ask(Ask { service: true, key: Some(key), digest, ..Ask::default() })
     }
 
-    /// Lets claims be written and answers the calls, in their order, by their fates.
+    /// Lets the entry VM write its claims and answers the calls in order as given by `fates`, and all later
+    /// ones normally.
     fn settle(&mut self, fates: &[Fate]) -> Vec<Effect> {
         let mut fates = fates.iter();
         let mut all = Vec::new();
@@ -104,7 +105,7 @@
         Reply::Each(done.collect())
     }
 
-    /// Another entry VM's claim on `key`.
+    /// Inserts a claim of another entry VM on `key`.
     fn foreign(&mut self, key: &str, deadline: Duration) {
         let row = Row {
             request: id::Request { by: id::Incarnation(77), seq: 1 },
@@ -175,7 +176,7 @@
         let (again, _) = claims.ask("k", "digest");
         let effects = claims.settle(&[]);
         assert_eq!(outcome(&effects, again), Some((Code::Duplicate, Outcome::Answered)));
-        assert_eq!(claims.entry.sent().len(), 1, "it ran once");
+        assert_eq!(claims.entry.sent().len(), 1, "the request ran once");
     }
 }
 
@@ -184,7 +185,7 @@
     let mut claims = Claims::new();
     let (id, _) = claims.ask("k", "digest");
     let effects = claims.settle(&[Fate::Down]);
-    let end = end(&effects, id).expect("it is told at once");
+    let end = end(&effects, id).expect("the request is refused at once");
     assert_eq!((end.code(), end.outcome()), (Code::PlatformDown, Outcome::NotRun));
     assert!(end.retry_after_ms().is_some());
     let _waits = claims.ask("k", "digest");
@@ -202,7 +203,11 @@
     claims.entry.advance(Duration::from_secs(10));
     let (later, _) = claims.ask("k", "digest");
     let effects = claims.settle(&[]);
-    assert_eq!(outcome(&effects, later), Some((Code::Duplicate, Outcome::Unknown)), "it cannot run any more");
+    assert_eq!(
+        outcome(&effects, later),
+        Some((Code::Duplicate, Outcome::Unknown)),
+        "the first request cannot run after its deadline"
+    );
     assert!(claims.entry.sent().is_empty());
 }
 
@@ -226,11 +231,11 @@
         effects = claims.entry.refuse(send.attempt, Refusal::Busy);
         effects.extend(claims.settle(&[]));
     }
-    let end = claims.entry.ended(first).expect("it ends");
+    let end = claims.entry.ended(first).expect("the request ends");
     assert_eq!(end.outcome(), Outcome::NotRun);
     let (again, _) = claims.ask("k", "digest");
     let second = sent(&claims.settle(&[]));
-    assert_eq!(second.attempt.request, again, "what was not run may be run");
+    assert_eq!(second.attempt.request, again, "a request that was not run may be submitted again");
     let _unknown = claims.entry.fail(second.attempt, Failure::Broken);
     let _written = claims.settle(&[]);
     let (third, _) = claims.ask("k", "digest");
--- a/core/tests/matrix/check.rs
+++ b/core/tests/matrix/check.rs
@@ -1,4 +1,5 @@
-//! What must hold after every event, by what really happened and not by what an entry VM believes.
+//! Invariants that are checked after every event against the actual state, not against the state of an
+//! entry VM.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,15 +16,16 @@
 use super::fakes::Backend;
 use super::scene::{GONE, MEMORY_MB};
 
-/// A broken promise.
+/// Result of a check; the error describes the violated invariant.
 pub type Check = Result<(), String>;
 
-/// A request as one entry VM took it: from a caller, or from an entry VM of another zone.
+/// A request received by one entry VM, from a caller or from an entry VM of another zone.
 #[derive(Debug)]
 pub struct Taken {
     pub node: usize,
     pub life: u64,
-    /// The entry VM, its life and its attempt that brought it, if it is not a caller's.
+    /// The entry VM that forwarded the request, the number of its process and its attempt; `None` if it
+    /// came from a caller.
     pub parent: Option<(usize, u64, id::Attempt)>,
     pub arrival: Arrival,
     runs: u32,
@@ -33,7 +35,7 @@
 }
 
 impl Taken {
-    /// Events of its answer.
+    /// Number of events of the answer.
     pub fn length(&self) -> u64 {
         u64::from(self.arrival.max_tokens)
     }
@@ -43,17 +45,17 @@
     }
 }
 
-/// Everything that really happened.
+/// Actual state of all requests, models and configurations.
 #[derive(Debug, Default)]
 pub struct Truth {
     pub taken: BTreeMap<id::Request, Taken>,
-    /// Attempts whose answer is another request's.
+    /// Attempts that were answered with the id of another attempt.
     pub foreign: BTreeSet<id::Attempt>,
-    /// Models that had a ready copy, and must keep one.
+    /// Models that have had a ready copy and must keep one.
     pub certain: BTreeSet<Name>,
-    /// Documents by accepted version.
+    /// Accepted configurations by version.
     pub accepted: BTreeMap<u64, Document>,
-    /// Models that are declared by all that was offered lately.
+    /// Models that are declared in all configurations submitted since the first was accepted.
     pub declared: Vec<Name>,
     key_runs: BTreeMap<Name, u32>,
 }
@@ -76,77 +78,87 @@
         self.taken.insert(id, taken);
     }
 
-    /// A back end begins to run an attempt.
+    /// Records that a back end begins to run an attempt.
     pub fn run(&mut self, attempt: id::Attempt) -> Check {
         let mut next = Some(attempt.request);
         while let Some(taken) = next.and_then(|id| self.taken.get_mut(&id)) {
             taken.runs += 1;
             hold(taken.ended != Some(Outcome::NotRun), || {
-                format!("{attempt} runs after it was said not to")
+                format!("{attempt} runs after its request was reported as not run")
             })?;
             let once = taken.runs_once();
-            hold(!once || taken.runs == 1, || format!("{attempt}, not idempotent, runs again"))?;
+            hold(!once || taken.runs == 1, || format!("{attempt} runs again although it is not idempotent"))?;
             next = taken.parent.map(|(.., attempt)| attempt.request);
             if let (None, true, Some(key)) = (next, once, &taken.arrival.key) {
                 let runs = self.key_runs.entry(key.clone()).or_default();
                 *runs += 1;
-                hold(*runs == 1, || format!("{attempt} runs again under {key}"))?;
+                hold(*runs == 1, || format!("{attempt} runs again under idempotency key {key}"))?;
             }
         }
         Ok(())
     }
 
-    /// An event of a stream goes to the caller, on `event`.
+    /// Records that an event of a stream is delivered to the caller as a result of `event`.
     pub fn deliver(&mut self, attempt: id::Attempt, offset: u64, event: &Event) -> Check {
-        hold(*event == Event::Chunk { attempt, offset }, || format!("{attempt} delivers what it has not"))?;
-        hold(!self.foreign.contains(&attempt), || format!("{attempt} delivers another request's answer"))?;
-        let taken = self.taken.get_mut(&attempt.request).ok_or("an unknown request is delivered to")?;
-        hold(taken.ended.is_none(), || format!("{attempt} delivers after its end"))?;
-        hold(taken.delivered == offset, || format!("{attempt} delivers {offset} at {}", taken.delivered))?;
+        hold(*event == Event::Chunk { attempt, offset }, || {
+            format!("{attempt} delivers an event that was not received")
+        })?;
+        hold(!self.foreign.contains(&attempt), || {
+            format!("{attempt} delivers the answer of another attempt")
+        })?;
+        let taken =
+            self.taken.get_mut(&attempt.request).ok_or("an event is delivered for an unknown request")?;
+        hold(taken.ended.is_none(), || format!("{attempt} delivers an event after the end of its request"))?;
+        hold(taken.delivered == offset, || {
+            format!("{attempt} delivers event {offset} instead of {}", taken.delivered)
+        })?;
         taken.delivered += 1;
         Ok(())
     }
 
-    /// A whole answer is passed on before its end.
+    /// Records that a non-streamed answer is passed on before its end.
     pub fn commit(&mut self, attempt: id::Attempt) {
         if let Some(taken) = self.taken.get_mut(&attempt.request) {
             taken.committed = Some(attempt);
         }
     }
 
-    /// A request ends, on `event`.
+    /// Records that a request ends as a result of `event`.
     pub fn end(&mut self, request: id::Request, end: &End, event: &Event) -> Check {
         let taken = self.taken.get_mut(&request).ok_or("an unknown request ends")?;
         hold(taken.ended.is_none(), || format!("{request} ends twice"))?;
         taken.ended = Some(end.outcome());
         match (end.outcome(), end.attempt()) {
             (Outcome::NotRun, _) => {
-                hold(taken.runs == 0, || format!("{request} ran, and is said not to have"))
+                hold(taken.runs == 0, || format!("{request} ran, but is reported as not run"))
             }
             (Outcome::Answered, Some(attempt)) => {
                 let whole = matches!(event, Event::Finished { attempt: of, .. } if *of == attempt);
-                hold(whole, || format!("{request} is answered before its answer's end"))?;
-                hold(!self.foreign.contains(&attempt), || format!("{request} gets another's answer"))?;
+                hold(whole, || format!("{request} ends as answered before the end of its answer"))?;
+                hold(!self.foreign.contains(&attempt), || {
+                    format!("{request} gets the answer of another attempt")
+                })?;
                 let other = taken.committed.is_some_and(|committed| committed != attempt);
-                hold(!other, || format!("{request} gets two answers"))?;
+                hold(!other, || format!("{request} gets parts of two answers"))?;
                 hold(!taken.arrival.stream || taken.delivered == taken.length(), || {
-                    format!("{request} is answered with {} of {}", taken.delivered, taken.length())
+                    format!("{request} is answered with {} of {} events", taken.delivered, taken.length())
                 })
             }
             _ => Ok(()),
         }
     }
 
-    /// Every request of a life of a process has ended.
+    /// Checks that every request of a process has ended.
     pub fn all_ended(&self, node: usize, life: u64) -> Check {
         let open = self
             .taken
             .iter()
             .find(|(_, taken)| taken.node == node && taken.life == life && taken.ended.is_none());
-        hold(open.is_none(), || format!("{open:?} has no end"))
+        hold(open.is_none(), || format!("{open:?} has not ended"))
     }
 
-    /// Every streamed request whose caller stayed was answered, silent connections or not.
+    /// Checks that every streamed request was answered, unless its caller disconnected. Silent connections
+    /// must not prevent that.
     pub fn all_answered(&self) -> Check {
         let passed = |id: &id::Request| {
             let parents = self.taken.values().filter_map(|taken| taken.parent);
@@ -162,7 +174,8 @@
         hold(failed.is_none(), || format!("{failed:?} was not answered"))
     }
 
-    /// A configuration is offered: what it leaves out may go from now on, whether it is accepted or not.
+    /// Records a submitted configuration. Models that it omits may be dropped from now on, whether it is
+    /// accepted or not.
     pub fn offer(&mut self, document: &Document) {
         let names: Vec<&Name> = document.inventory.models.iter().map(|model| &model.name).collect();
         if self.accepted.is_empty() {
@@ -172,13 +185,14 @@
         }
     }
 
-    /// A configuration was accepted.
+    /// Records an accepted configuration.
     pub fn accept(&mut self, version: u64, document: &Document) -> Check {
         let first = self.accepted.insert(version, document.clone());
         hold(first.is_none(), || format!("two changes were accepted as version {version}"))
     }
 
-    /// What must hold of the engines after each event.
+    /// Checks the engines after each event: no memory is exceeded and no declared model loses its last
+    /// ready copy.
     pub fn engines(&mut self, backends: &[Backend]) -> Check {
         for backend in backends.iter().filter(|backend| backend.up) {
             let taken = backend.taken();
@@ -188,20 +202,20 @@
             if is_ready(backends, model) {
                 self.certain.insert(model.clone());
             } else if self.certain.contains(model) {
-                return Err(format!("{model} has lost its last copy"));
+                return Err(format!("{model} has lost its last ready copy"));
             }
         }
         Ok(())
     }
 }
 
-/// Every declared model is loaded, at the end of a run.
+/// Checks that every declared model is loaded at the end of a run.
 pub fn all_ready(document: &Document, backends: &[Backend]) -> Check {
     for model in &document.inventory.models {
         let (model, version) = (model.name.clone(), model.versions[0].name.clone());
         let artifact = Artifact { model, adapter: None, version };
         let ready = backends.iter().any(|backend| backend.up && backend.is_ready(&artifact));
-        hold(ready, || format!("{artifact} is declared and nowhere ready at the end"))?;
+        hold(ready, || format!("{artifact} is declared, but no engine has it ready at the end"))?;
     }
     Ok(())
 }
--- a/core/tests/matrix/fakes.rs
+++ b/core/tests/matrix/fakes.rs
@@ -1,4 +1,4 @@
-//! Fakes of backend servers: their state machines alone.
+//! Fakes of backend servers, without I/O.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +10,20 @@
 
 use super::scene::MEMORY_MB;
 
-/// A model engine, or a server of a plain service.
+/// A model engine or a server of a plain service.
 #[derive(Debug)]
 pub struct Backend {
     pub vm: Vm,
     pub incarnation: Incarnation,
     pub up: bool,
-    /// Whether it refuses requests, since it knows that it leaves.
+    /// Whether it refuses requests because it is shutting down.
     pub drains: bool,
-    /// Whether it refuses old fencing numbers.
+    /// Whether it refuses orders with old fencing numbers.
     pub checks: bool,
     pub copies: Vec<Copy>,
-    /// Attempts that run, with the artifact.
+    /// Running attempts with their artifacts.
     pub running: BTreeMap<id::Attempt, Option<Artifact>>,
-    /// Attempts it can take up again.
+    /// Attempts that it can resume.
     pub known: Vec<id::Attempt>,
     pub cache: u64,
     fence: Fence,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes a try to run, or to run on, unless it refuses.
+    /// Accepts an attempt to run or resume it, or refuses it.
     pub fn admit(&mut self, send: &Send) -> Result<(), Failure> {
         let artifact = match &send.to {
             Destination::Engine(artifact) => Some(artifact),
@@ -80,12 +80,13 @@
         self.copies.iter().any(|copy| copy.artifact == *artifact && copy.stage == Stage::Ready)
     }
 
-    /// Memory taken by what is held or being loaded.
+    /// Memory of the copies that are loaded or being loaded, in MB.
     pub fn taken(&self) -> u64 {
         self.copies.iter().map(|copy| copy.memory_mb).sum()
     }
 
-    /// Takes an order. It never refuses a load for want of memory: nothing but the sender guards that.
+    /// Handles an order. A load is never refused for lack of memory, so that only the sender prevents
+    /// overcommitment and a check can detect a failure to do so.
     pub fn order(&mut self, order: &Order) -> Receipt {
         if let Some((_, receipt)) = self.receipts.iter().find(|(id, _)| *id == order.id) {
             return receipt.clone();
@@ -127,7 +128,7 @@
         Receipt::Taken
     }
 
-    /// A load comes to its end.
+    /// Completes a load.
     pub fn loaded(&mut self, order: &Order) {
         let Action::Load { artifact, .. } = &order.action else {
             return;
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Starts again, empty.
+    /// Restarts without any copies.
     pub fn restart(&mut self, incarnation: u64) {
         *self = Self::new(self.vm.clone(), incarnation, self.checks);
     }
--- a/core/tests/matrix/fault.rs
+++ b/core/tests/matrix/fault.rs
@@ -1,4 +1,4 @@
-//! Faults, and the steps of an effect at which they strike.
+//! Faults, and the steps of an effect at which they are injected.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,7 +12,7 @@
         pub enum $name { $(#[doc = $text] $variant,)* }
 
         impl $name {
-            /// All of them.
+            /// All variants.
             pub const ALL: &'static [Self] = &[$(Self::$variant),*];
 
             fn named(text: &str) -> Option<Self> {
@@ -29,7 +29,7 @@
 }
 
 closed!(
-    /// What goes wrong.
+    /// Kind of fault.
     Fault {
         Lost = "order lost", Late = "order late", Twice = "order twice",
         AnswerLost = "answer lost", AnswerLate = "answer late", OutOfOrder = "answers out of order",
@@ -44,7 +44,7 @@
 );
 
 closed!(
-    /// A kind of effect.
+    /// Kind of effect.
     Kind {
         Send = "send", Cancel = "cancel", Release = "release", Deliver = "deliver", Commit = "commit", End = "end", Retire = "retire",
         List = "list", Poll = "poll", Order = "order", Table = "table", Tell = "tell", Answer = "answer",
@@ -53,7 +53,7 @@
 );
 
 closed!(
-    /// How far an effect is.
+    /// Stage in the execution of an effect.
     Stage {
         Before = "before it is sent", Sent = "sent and not arrived", Done = "done and not answered",
         Answered = "answered",
@@ -61,7 +61,7 @@
 );
 
 impl Kind {
-    /// The kind of an effect. A new effect does not compile until it is given one here.
+    /// Kind of an effect. The match is exhaustive, so that a new effect has to be added to the matrix.
     pub fn of(effect: &Effect) -> Self {
         match effect {
             Effect::Send(_) => Self::Send,
@@ -84,21 +84,21 @@
         }
     }
 
-    /// Whether it leaves the process.
+    /// Whether the effect is sent to another process.
     pub fn is_remote(self) -> bool {
         self.is_answered() || matches!(self, Self::Cancel | Self::Tell)
     }
 
-    /// Whether its success comes back as an event.
+    /// Whether the success of the effect is reported by an event.
     pub fn is_answered(self) -> bool {
         matches!(self, Self::Send | Self::List | Self::Poll | Self::Order | Self::Table)
     }
 }
 
-/// A step of an effect.
+/// Stage of a kind of effect.
 pub type Step = (Kind, Stage);
 
-/// Whether there is such a step: what stays within the process is neither on its way nor answered.
+/// Whether the step exists. Local effects are neither sent nor answered.
 pub fn exists((kind, stage): Step) -> bool {
     match stage {
         Stage::Before | Stage::Done => true,
@@ -108,8 +108,8 @@
 }
 
 impl Fault {
-    /// Whether it can strike at a step: what befalls a message needs that message, and a request on
-    /// its connection arrives once.
+    /// Whether the fault can be injected at a step. A fault of a message requires that the step has this
+    /// message. An attempt cannot be duplicated, since it is sent on one connection.
     pub fn applies(self, step: Step) -> bool {
         let (kind, stage) = step;
         let befalls = match self {
@@ -123,7 +123,8 @@
     }
 }
 
-/// A fault at a step: at its `nth` time in the run, and again at the next if `twice`.
+/// A fault to inject when a step is reached for the `nth` time in a run, and again at the next time if
+/// `twice`.
 #[derive(Clone, Copy, Debug)]
 pub struct Strike {
     pub fault: Fault,
--- a/core/tests/matrix/mod.rs
+++ b/core/tests/matrix/mod.rs
@@ -1,4 +1,4 @@
-//! The fault matrix: its runs, its fakes and what it checks.
+//! The fault matrix: simulated runs, fakes and invariants.
 
 pub mod check;
 pub mod fakes;
--- a/core/tests/matrix/outside.rs
+++ b/core/tests/matrix/outside.rs
@@ -1,4 +1,4 @@
-//! What lies outside the processes: the platform, the ways to it, and what befalls them.
+//! The simulated platform and network, and the faults injected into them.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use super::world::{Answers, Message, OUTAGE, TIMEOUT, Turn, World};
 
 impl World {
-    /// Something befalls an answer on its way.
+    /// Injects a fault into the answers of an effect.
     pub fn disturb(&mut self, fault: Fault, answers: &mut Answers) {
         match fault {
             Fault::AnswerLost => answers.clear(),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// What the platform lists now.
+    /// Current list of VMs of the platform.
     pub fn vms(&self) -> Vec<Vm> {
         let entries =
             ENTRIES.iter().zip(8_000..).map(|((name, zone), port)| vm(name, zone, port, Role::Entry));
@@ -56,7 +56,7 @@
         self.lasts(Fault::ZonesCut) && ENTRIES[at].1 != zone
     }
 
-    /// Carries out what was sent. Returns the answers; none if there is none.
+    /// Carries out a remote effect. Returns the answers, if any.
     pub fn perform(&mut self, at: usize, life: u64, effect: &Effect) -> Result<Answers, String> {
         let wait = self.soon();
         let off_platform = self.lasts(Fault::PlatformCut) && self.cut_zone == at / 2;
@@ -77,7 +77,10 @@
             Effect::Poll { cache_from, .. } => to.map_or_else(Vec::new, |to| self.poll(to, *cache_from)),
             Effect::Order { order, .. } => to.map_or_else(Vec::new, |to| self.order(to, order)),
             Effect::Tell { peer, frame, .. } => {
-                let to = ENTRIES.iter().position(|(name, _)| *peer == *name).ok_or("a frame to nobody")?;
+                let to = ENTRIES
+                    .iter()
+                    .position(|(name, _)| *peer == *name)
+                    .ok_or("a frame to an unknown entry VM")?;
                 if self.nodes[to].state.is_some() && !self.is_cut(at, ENTRIES[to].1) {
                     self.event_in(wait, to, self.nodes[to].life, Event::Heard(frame.clone()));
                     return Ok(Vec::new());
@@ -141,10 +144,10 @@
         vec![Event::Ordered { order: order.id, engine, receipt }]
     }
 
-    /// A fault strikes at something that `node` does to `to`.
+    /// Injects a fault while `node` carries out an effect at back end `to`.
     pub fn befall(&mut self, fault: Fault, node: usize, to: Option<usize>) {
         let until = self.now + OUTAGE;
-        // Engines come first; only what leaves may be a plain service.
+        // Engines come first in the list. Servers of plain services are affected by `Leaves` only.
         let among = if fault == Fault::Leaves { self.backends.len() } else { ENGINES };
         let to = to.unwrap_or_else(|| self.rng.usize(0..among));
         self.until.insert(fault, until);
@@ -180,7 +183,7 @@
     Vm { name: name.into(), zone: zone.into(), address, role, phase: Phase::Live }
 }
 
-/// What the edge says when no answer has come.
+/// Event by which the edge reports that an effect was not answered in time.
 pub fn given_up(effect: &Effect) -> Option<Event> {
     match effect {
         Effect::List => Some(Event::Unlisted),
--- a/core/tests/matrix/page.rs
+++ b/core/tests/matrix/page.rs
@@ -1,4 +1,4 @@
-//! The table of docs/FAULTS.md, written from the runs.
+//! The table in docs/FAULTS.md, generated from the runs.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -10,7 +10,8 @@
 const BEGIN: &str = "<!-- written by core/tests/fault_matrix.rs -->\n";
 const END: &str = "<!-- end of the written part -->\n";
 
-/// The table: a letter for each step that was attacked, a capital if it was twice in a run.
+/// Renders the table: a letter for each step at which the fault was injected, a capital letter if it was
+/// injected twice in a run.
 pub fn table(attacked: &BTreeMap<(Fault, Step), u32>) -> String {
     let heads: Vec<String> = Kind::ALL.iter().map(Kind::to_string).collect();
     let mut text = format!("\n| fault | {} |\n|", heads.join(" | "));
@@ -47,12 +48,12 @@
     text
 }
 
-/// Compares the written part of the page with `table`, or writes it if `FAULTS_WRITE` is set.
+/// Compares the generated part of the page with `table`, or writes it if `FAULTS_WRITE` is set.
 pub fn check(table: &str) {
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../docs/FAULTS.md");
-    let page = fs::read_to_string(&path).expect("docs/FAULTS.md is there");
-    let (head, rest) = page.split_once(BEGIN).expect("the page has a written part");
-    let (old, tail) = rest.split_once(END).expect("the written part has an end");
+    let page = fs::read_to_string(&path).expect("docs/FAULTS.md can be read");
+    let (head, rest) = page.split_once(BEGIN).expect("the page has a generated part");
+    let (old, tail) = rest.split_once(END).expect("the generated part has an end marker");
     if env::var_os("FAULTS_WRITE").is_some() {
         fs::write(&path, [head, BEGIN, table, END, tail].concat()).expect("the page can be written");
         return;
--- a/core/tests/matrix/scene.rs
+++ b/core/tests/matrix/scene.rs
@@ -1,4 +1,5 @@
-//! What the runs play on: two zones of two entry VMs, four engines and two servers of a plain service.
+//! The simulated deployment: two zones with two entry VMs each, four engines and two servers of a plain
+//! service.
 
 use boragecove_core::config::Document;
 use boragecove_core::id;
@@ -12,7 +13,7 @@
 
 pub const ENTRIES: [(&str, &str); 4] =
     [("entry-a1", "hall-a"), ("entry-a2", "hall-a"), ("entry-b1", "hall-b"), ("entry-b2", "hall-b")];
-/// Back ends that are engines; they come first.
+/// Number of engines, which come first in `BACKENDS`.
 pub const ENGINES: usize = 4;
 pub const BACKENDS: [(&str, &str, &str); 6] = [
     ("engine-a1", "hall-a", "checking"),
@@ -24,13 +25,14 @@
 ];
 /// Whether callers send idempotency keys.
 pub const KEYS: bool = true;
-/// Events of the longest answers; whole ones of that length outgrow the edge's buffer.
+/// Number of events of the longest answers. Non-streamed answers of that length exceed the buffer of the
+/// edge.
 pub const LONG: u64 = 6;
-/// The request whose caller goes away.
+/// Number of the request whose caller disconnects.
 pub const GONE: u64 = 6;
-/// Requests that callers send in each run.
+/// Number of requests that callers send in each run.
 const ARRIVALS: u64 = 30;
-/// Whether all that is declared must be loaded at the end.
+/// Whether all declared models must be loaded at the end of a run.
 pub const LOADED: bool = true;
 pub const MEMORY_MB: u64 = 20_000;
 pub const DEADLINE: Duration = Duration::from_secs(8);
@@ -48,7 +50,7 @@
     }
 }
 
-/// The inventory; the second edition brings a version of the first model and leaves out the last.
+/// Configuration. The second edition has a new version of the first model and omits the last model.
 pub fn document(edition: u32, checks: bool) -> Document {
     let group = |name: &str, kind, checks_fences| Group {
         name: name.into(),
@@ -77,7 +79,8 @@
     Document { inventory: Inventory { groups, models, services }, ..Document::default() }
 }
 
-/// The `n`th request: mostly streams, each third a call that may run only once, some of these with a key.
+/// The `n`th request. Every third is a call of a service that is not idempotent, half of these with a key;
+/// most others are streams.
 pub fn arrival(request: id::Request, n: u64, now: Time) -> Arrival {
     let billed = n % 3 == 2;
     let model = ["m1", "m2", "m3"][(n / 3 % 3) as usize];
@@ -102,7 +105,7 @@
     }
 }
 
-/// What happens in every run, faults or not, and when in milliseconds.
+/// Scripted steps of every run with their times in milliseconds.
 pub fn script() -> Vec<(u64, Turn)> {
     let mut script: Vec<(u64, Turn)> = (0..ARRIVALS).map(|n| (6_000 + n * 400, Turn::Arrive(n))).collect();
     script.extend([
--- a/core/tests/matrix/traffic.rs
+++ b/core/tests/matrix/traffic.rs
@@ -1,4 +1,4 @@
-//! Callers, operators, and requests at the back ends.
+//! Simulated callers, operators and back ends.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 const EVENT: Duration = Duration::from_millis(150);
 
 impl World {
-    /// A try comes to its back end. Returns the answers.
+    /// Delivers an attempt to its back end. Returns the answers.
     pub fn send(&mut self, at: usize, life: u64, send: &Send) -> Result<Answers, String> {
         let (attempt, wait) = (send.attempt, self.soon());
         if send.to == Destination::Peer {
@@ -41,7 +41,7 @@
         if !matches!(send.resume, Resume::Same { .. }) {
             self.truth.run(attempt)?;
         }
-        let taken = self.truth.taken.get(&attempt.request).ok_or("a try of no request")?;
+        let taken = self.truth.taken.get(&attempt.request).ok_or("an attempt of an unknown request")?;
         let (length, stream) = (taken.length(), taken.arrival.stream);
         let last = wait + EVENT * (length as u32 + 1);
         self.push(last, Message::Turn(Turn::Ran { backend: to, attempt }));
@@ -53,15 +53,18 @@
         Ok(answers)
     }
 
-    /// A try comes to an entry VM of another zone, as a request there.
+    /// Delivers an attempt to an entry VM of another zone, where it is a new request.
     fn pass_on(&mut self, at: usize, life: u64, send: &Send) -> Result<Answers, String> {
         let (attempt, wait) = (send.attempt, self.soon());
-        let to = ENTRIES.iter().position(|(name, _)| send.backend == *name).ok_or("a try to nobody")?;
+        let to = ENTRIES
+            .iter()
+            .position(|(name, _)| send.backend == *name)
+            .ok_or("an attempt to an unknown entry VM")?;
         if self.nodes[to].state.is_none() || self.is_cut(at, ENTRIES[to].1) {
             return Ok(vec![(wait, Event::Failed { attempt, failure: Failure::Connect })]);
         }
         let mut arrival =
-            self.truth.taken.get(&attempt.request).ok_or("a try of no request")?.arrival.clone();
+            self.truth.taken.get(&attempt.request).ok_or("an attempt of an unknown request")?.arrival.clone();
         self.fresh += 1;
         let there = self.nodes[to].life;
         arrival.id = id::Request { by: incarnation(to, there), seq: self.fresh };
@@ -71,14 +74,14 @@
         Ok(vec![(wait, Event::Head { attempt, echo: Some(attempt) })])
     }
 
-    /// What an entry VM passes on for a request of another goes back to that.
+    /// Passes an event of a forwarded request back to the entry VM that forwarded it.
     pub fn relay(&mut self, request: id::Request, event: impl Fn(id::Attempt) -> Event) {
         if let Some((node, life, attempt)) = self.truth.taken.get(&request).and_then(|taken| taken.parent) {
             self.event_in(Duration::from_millis(30), node, life, event(attempt));
         }
     }
 
-    /// So does its end.
+    /// Passes the end of a forwarded request back to the entry VM that forwarded it.
     pub fn relay_end(&mut self, request: id::Request, outcome: Outcome) {
         let length = self.truth.taken.get(&request).map_or(0, Taken::length);
         self.relay(request, |attempt| match outcome {
@@ -88,7 +91,7 @@
         });
     }
 
-    /// A try is given up.
+    /// Cancels an attempt at its back end or at the entry VM it was forwarded to.
     pub fn cancel(&mut self, attempt: id::Attempt) {
         for backend in &mut self.backends {
             backend.running.remove(&attempt);
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Something happens to the deployment of itself.
+    /// Carries out a scripted step.
     pub fn turn(&mut self, turn: Turn) {
         match turn {
             Turn::Arrive(n) => {
@@ -135,7 +138,8 @@
         }
     }
 
-    /// A request comes to a ready entry VM. Returns whether its caller will say it again elsewhere.
+    /// Delivers a request of a caller to a ready entry VM. Returns whether the caller submits it again to
+    /// another one, as it does if the request has a key.
     fn call_in(&mut self, n: u64, first: usize) -> bool {
         let mut all = (0..ENTRIES.len()).map(|at| (first + at) % ENTRIES.len());
         let Some(at) = all.find(|at| self.nodes[*at].ready) else { return false };
@@ -150,7 +154,7 @@
         again
     }
 
-    /// An operator applies an edition of the inventory.
+    /// Submits an edition of the configuration as an operator.
     pub fn operate(&mut self, node: usize, edition: u32, base: Option<u64>) {
         if self.nodes[node].state.is_none() {
             return;
@@ -165,7 +169,7 @@
         self.event_in(Duration::ZERO, node, self.nodes[node].life, Event::Asked { ask, query });
     }
 
-    /// A back end that has left is replaced by another VM.
+    /// Replaces a back end that has left by a new VM.
     fn replace(&mut self, at: usize) {
         self.fresh += 1;
         self.leaving.remove(&at);
@@ -177,7 +181,7 @@
         backend.restart(self.fresh);
     }
 
-    /// What runs on an engine breaks off, and what it held is gone.
+    /// Stops a back end: its running attempts break, and no copy counts as kept any longer.
     pub fn stop_engine(&mut self, to: usize) {
         self.truth.certain.clear();
         let broken: Vec<id::Attempt> = self.backends[to].running.keys().copied().collect();
@@ -186,7 +190,8 @@
         }
     }
 
-    /// A connection goes silent: nothing of what runs on it comes, nor of what is sent on it later.
+    /// Makes a connection silent: nothing more is received for attempts that run on it or are sent on it
+    /// later.
     pub fn silence(&mut self, node: usize, to: usize) {
         let connection = (node, self.backends[to].vm.address);
         self.noticed.retain(|noticed| *noticed != connection);
@@ -199,7 +204,7 @@
         }
     }
 
-    /// An entry VM gives a connection up, to take the answer up again on another.
+    /// Records that an entry VM knows a connection to be silent, since it resumes an answer on another one.
     pub fn notice(&mut self, node: usize, attempt: id::Attempt) {
         let back_end = self.backends.iter().find(|backend| backend.known.contains(&attempt));
         let connection = back_end.map(|backend| (node, backend.vm.address));
@@ -207,7 +212,8 @@
         self.noticed.extend(connection.filter(old));
     }
 
-    /// The connections to an engine go silent in the middle of a stream.
+    /// Makes all connections to an engine silent in the middle of a stream. Tries again later if no stream
+    /// is running.
     fn silence_stream(&mut self) {
         let streams = |attempt: &id::Attempt| {
             self.truth.taken.get(&attempt.request).is_some_and(|taken| taken.delivered > 0)
@@ -218,7 +224,7 @@
         }
     }
 
-    /// Of an attempt's answer nothing more comes, but for how it fails.
+    /// Removes all further events of an attempt and reports its failure, if one is given.
     fn forget(&mut self, attempt: id::Attempt, failure: Option<Failure>) {
         let mut from = None;
         self.queue.retain(|_, message| match message {
--- a/core/tests/matrix/world.rs
+++ b/core/tests/matrix/world.rs
@@ -1,5 +1,5 @@
-//! One deterministic loop over a few reducers and the fakes: a set of messages and timers, and a seeded
-//! choice of the order in which they come. The waits drawn stand for an order and for nothing else.
+//! Deterministic simulation of a few reducers and the fakes. A seed determines the order of messages and
+//! timers. The random delays of messages only serve to vary this order.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -27,14 +27,14 @@
 
 const START: Time = Time::from_millis(1_000_000);
 const END: Time = Time::from_millis(1_048_000);
-/// How long an outage, a cut or a pause lasts; longer than a lease.
+/// Duration of an outage, a partition or a stall; longer than a lease.
 pub const OUTAGE: Duration = Duration::from_secs(6);
-/// When the edge gives up waiting for an answer.
+/// Time after which the edge stops waiting for an answer.
 pub const TIMEOUT: Duration = Duration::from_secs(2);
-/// A back end listed as leaving gets nothing new after this.
+/// Time from the listing of a back end as leaving after which it must get no new attempts.
 const LEAVE_WITHIN: Duration = Duration::from_secs(3);
 
-/// Answers of a back end, each with its wait.
+/// Events that answer an effect, each with its delay.
 pub type Answers = Vec<(Duration, Event)>;
 
 /// An entry VM.
@@ -43,13 +43,13 @@
     pub state: Option<Box<State>>,
     pub life: u64,
     pub ready: bool,
-    /// Paused until then.
+    /// Time until which the process is stalled.
     pub resume: Time,
     wake: Time,
     version: u64,
 }
 
-/// Something that happens to the deployment of itself.
+/// A scripted step of a run, or a later step that follows from one.
 #[derive(Clone, Copy, Debug)]
 pub enum Turn {
     Arrive(u64),
@@ -64,28 +64,28 @@
     Ran { backend: usize, attempt: id::Attempt },
 }
 
-/// Something that will come.
+/// A scheduled message.
 pub enum Message {
-    /// An effect on its way, to this life of its back end.
+    /// An effect in transit, with the target back end and its incarnation.
     Out { node: usize, life: u64, effect: Effect, to: Option<(usize, Incarnation)> },
-    /// An event on its way to a process, as the answer to an effect of this kind.
+    /// An event in transit to a process, with the kind of the effect that it answers.
     In { node: usize, life: u64, kind: Option<Kind>, event: Event },
-    /// A load ends.
+    /// The end of a load.
     Loaded { backend: usize, incarnation: Incarnation, order: Box<Order> },
-    /// Something happens to the deployment.
+    /// A scripted step.
     Turn(Turn),
 }
 
-/// How a run went.
+/// Result of a run.
 #[derive(Default)]
 pub struct Run {
-    /// The promise that was broken.
+    /// The violated invariant, if any.
     pub broken: Option<String>,
-    /// How often each step was reached.
+    /// Number of times that each step was reached.
     pub reached: BTreeMap<Step, u32>,
-    /// Strikes that took place.
+    /// Number of injected faults.
     pub struck: u32,
-    /// The events, in order.
+    /// Events and effects in order.
     pub trace: Vec<String>,
 }
 
@@ -96,23 +96,23 @@
     pub nodes: Vec<Node>,
     pub backends: Vec<Backend>,
     pub truth: Truth,
-    /// Whether the checking group does check fencing numbers.
+    /// Whether the engines of the group "checking" check fencing numbers.
     pub checks: bool,
-    /// Questions of operators that are open, with the edition they offer.
+    /// Open queries of operators, with the edition that they submit.
     pub asks: BTreeMap<id::Ask, u32>,
     /// The last edition accepted.
     pub edition: u32,
-    /// The last number drawn for something new.
+    /// Last number used for a new id or message.
     pub fresh: u64,
-    /// Connections that have gone silent, by entry VM and address, and since when.
+    /// Silent connections by entry VM and address, with the time since when they are silent.
     pub silent: BTreeMap<(usize, SocketAddr), Time>,
-    /// Those of them that the entry VM has given up.
+    /// Silent connections that the entry VM knows to be silent.
     pub noticed: Vec<(usize, SocketAddr)>,
-    /// Since when back ends are listed as leaving.
+    /// Time since when back ends are listed as leaving.
     pub leaving: BTreeMap<usize, Time>,
-    /// Lasting faults: until when.
+    /// End times of lasting faults.
     pub until: BTreeMap<Fault, Time>,
-    /// The zone that is cut off from the platform.
+    /// Zone that is partitioned from the platform by `PlatformCut`.
     pub cut_zone: usize,
     pub table: Table,
     pub old_list: Vec<Vm>,
@@ -193,7 +193,7 @@
         self.rest()
     }
 
-    /// What must hold once everything has come to rest.
+    /// Invariants at the end of a run.
     fn rest(&mut self) -> Check {
         let mut last = None;
         for (at, (name, _)) in ENTRIES.iter().enumerate() {
@@ -202,11 +202,11 @@
             if scene::LOADED && self.plan.len() <= 1 && self.plan.iter().all(once) {
                 self.truth.all_answered()?;
             }
-            let config = self.config(at).ok_or("an entry VM does not say its configuration")?;
+            let config = self.config(at).ok_or("an entry VM does not answer with its configuration")?;
             let want = self.truth.accepted.last_key_value();
             let old = want.is_none_or(|(of, want)| config.0 < *of || config.0 == *of && *config.1 != *want);
             if old || last.as_ref().is_some_and(|last| *last != config) {
-                return Err(format!("{name} is at version {}, not what was accepted last", config.0));
+                return Err(format!("{name} is at version {}, not at the version accepted last", config.0));
             }
             last = Some(config);
         }
@@ -246,7 +246,7 @@
         Duration::from_millis(self.rng.u64(1..=30))
     }
 
-    /// A process begins a life.
+    /// Starts a process.
     pub fn start(&mut self, at: usize) {
         let life = self.nodes[at].life + 1;
         let (vm, zone) = ENTRIES[at];
@@ -256,7 +256,7 @@
         self.nodes[at] = Node { state: Some(Box::new(state)), life, wake, ..Node::default() };
     }
 
-    /// A process ends its life without a word.
+    /// Kills a process and restarts it after one second.
     pub fn kill(&mut self, at: usize) {
         self.nodes[at].state = None;
         self.nodes[at].ready = false;
@@ -269,7 +269,7 @@
         }
     }
 
-    /// A step of an effect is reached: the faults due there strike.
+    /// Counts a step that is reached and injects the faults that are due.
     fn step(&mut self, node: usize, to: Option<usize>, step: Step) -> Vec<Fault> {
         if !exists(step) {
             return Vec::new();
@@ -287,7 +287,7 @@
         faults
     }
 
-    /// Hands an event to a process and takes its effects up.
+    /// Passes an event to a process and starts its effects.
     fn feed(&mut self, at: usize, kind: Option<Kind>, event: &Event) -> Check {
         self.note(at, || format!("{event:?}"));
         let life = self.nodes[at].life;
@@ -320,7 +320,7 @@
             self.not_leaving(at, to)?;
             let known = !send.fresh && self.noticed.contains(&(at, send.address));
             if known && self.silent.contains_key(&(at, send.address)) {
-                return Err(format!("{} goes out on a connection known to be silent", send.attempt));
+                return Err(format!("{} is sent on a connection known to be silent", send.attempt));
             }
         }
         let wait = self.soon() + self.nodes[at].resume.since(self.now);
@@ -338,7 +338,8 @@
         self.backends.iter().position(|backend| backend.vm.name == *name)
     }
 
-    /// Nothing new goes to what is listed as leaving, by whoever can know it.
+    /// Checks that a back end listed as leaving gets no new attempts from an entry VM that could have read
+    /// the list.
     fn not_leaving(&self, at: usize, to: Option<usize>) -> Check {
         let Some(since) = to.and_then(|to| self.leaving.get(&to)) else { return Ok(()) };
         let blind =
@@ -348,10 +349,10 @@
         if blind || self.now <= *since + LEAVE_WITHIN {
             return Ok(());
         }
-        Err(format!("{} sends to what is listed as leaving since {since}", ENTRIES[at].0))
+        Err(format!("{} sends to a back end listed as leaving since {since}", ENTRIES[at].0))
     }
 
-    /// Carries out what stays within the process.
+    /// Carries out a local effect.
     fn local(&mut self, at: usize, effect: &Effect, event: &Event) -> Check {
         match effect {
             Effect::Deliver { attempt, offset } => {
@@ -375,7 +376,7 @@
                 if let Act::Configured(version) = record.act {
                     let before = std::mem::replace(&mut self.nodes[at].version, version);
                     return if version < before {
-                        Err(format!("{before} gives way to {version}"))
+                        Err(format!("version {before} is replaced by the older version {version}"))
                     } else {
                         Ok(())
                     };
@@ -414,7 +415,7 @@
         Ok(())
     }
 
-    /// An effect arrives where it was sent, unless something befalls it on the way.
+    /// Delivers an effect to its target, with the faults that are due.
     fn arrive(&mut self, at: usize, life: u64, effect: Effect, to: Option<(usize, Incarnation)>) -> Check {
         let (kind, target) = (Kind::of(&effect), to.map(|(to, _)| to));
         let faults = self.step(at, target, (kind, Stage::Sent));
@@ -441,7 +442,7 @@
     }
 }
 
-/// The life of a process, as an id.
+/// Incarnation of the `life`th process of an entry VM.
 pub fn incarnation(node: usize, life: u64) -> Incarnation {
     Incarnation(1_000 * (node as u64 + 1) + life)
 }
--- a/core/tests/random_requests.rs
+++ b/core/tests/random_requests.rs
@@ -1,4 +1,4 @@
-//! Requests under events in any order: each ends once, and what a caller is told is true.
+//! Requests with events in random order: each ends exactly once, and the reported outcome is correct.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,31 +17,31 @@
 mod entry;
 use entry::{Ask, Entry, caller};
 
-/// Events of each streamed answer.
+/// Number of events of each streamed answer.
 const LENGTH: u64 = 3;
 const STEPS: usize = 120;
 const CASES: u64 = 300;
-/// Bytes from which the choices of a case are drawn.
+/// Number of random bytes that determine a case.
 const CHOICES: usize = 4_000;
 const STEP: Duration = Duration::from_millis(10);
 const ENGINES: [&str; 3] = ["engine-1", "engine-2", "engine-3"];
 const KEYS: [&str; 2] = ["k", "l"];
 
-/// What the world knows of a request.
+/// Actual state of a request, independent of the reducer.
 #[derive(Debug, Default)]
 struct Truth {
     idempotent: bool,
     stream: bool,
-    /// The claim it was made under, if any.
+    /// Idempotency key, if any.
     key: Option<&'static str>,
-    /// Times that a back end began to run it.
+    /// Number of times that a back end began to run it.
     runs: u32,
-    /// Events delivered to the caller.
+    /// Number of events delivered to the caller.
     delivered: u64,
     end: Option<Outcome>,
 }
 
-/// A try as the back end and the connection see it.
+/// An attempt as seen by the back end and the connection.
 #[derive(Debug)]
 struct Exchange {
     send: Send,
@@ -55,11 +55,11 @@
     entry: Entry,
     truths: BTreeMap<Request, Truth>,
     open: Vec<Exchange>,
-    /// Attempts that each engine can take up again.
+    /// Attempts that can be resumed.
     known: Vec<Attempt>,
     calls: Vec<(boragecove_core::id::Op, Call)>,
     rows: Vec<Row>,
-    /// Timers that are set while nothing is under way.
+    /// Number of active timers of an idle entry VM.
     timers: usize,
 }
 
@@ -78,19 +78,19 @@
         self.take(effects);
     }
 
-    /// Carries effects out and holds them against the truth.
+    /// Carries out effects and checks them against the actual state of the requests.
     fn take(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
                 Effect::Send(send) => {
-                    let truth = self.truths.get(&send.attempt.request).expect("a request is known");
-                    assert!(truth.end.is_none(), "nothing is sent after the end");
+                    let truth = self.truths.get(&send.attempt.request).expect("the request is known");
+                    assert!(truth.end.is_none(), "nothing is sent after the end of the request");
                     assert!(send.deadline > self.entry.now, "nothing is sent after the deadline");
                     let next = match send.resume {
                         Resume::Start => 0,
                         Resume::Same { offset, .. } | Resume::Continue { offset } => offset,
                     };
-                    assert!(next <= truth.delivered, "no event is left out");
+                    assert!(next <= truth.delivered, "no event is skipped");
                     let exchange = Exchange { send: *send, reached: false, headed: false, next };
                     self.open.push(exchange);
                 }
@@ -102,23 +102,26 @@
                     self.open.retain(|exchange| exchange.send.attempt != attempt);
                 }
                 Effect::Deliver { attempt, offset } => {
-                    let truth = self.truths.get_mut(&attempt.request).expect("a request is known");
-                    assert_eq!(offset, truth.delivered, "no event twice, none missing");
+                    let truth = self.truths.get_mut(&attempt.request).expect("the request is known");
+                    assert_eq!(
+                        offset, truth.delivered,
+                        "events are delivered in order without gaps or duplicates"
+                    );
                     assert!(truth.end.is_none());
                     truth.delivered += 1;
                 }
                 Effect::End { request, end } => {
-                    let truth = self.truths.get_mut(&request).expect("a request is known");
+                    let truth = self.truths.get_mut(&request).expect("the request is known");
                     assert_eq!(truth.end, None, "a request ends once");
                     truth.end = Some(end.outcome());
                     if let Some(attempt) = end.attempt() {
                         assert_eq!(attempt.request, request);
-                        assert!(!truth.stream || truth.delivered == LENGTH, "the answer is whole");
+                        assert!(!truth.stream || truth.delivered == LENGTH, "the answer is complete");
                         assert!(truth.runs > 0);
                     }
                     assert!(
                         end.outcome() != Outcome::NotRun || truth.runs == 0,
-                        "not run: {end:?} {truth:?}"
+                        "reported as not run, but it ran: {end:?} {truth:?}"
                     );
                     self.open.retain(|exchange| exchange.send.attempt.request != request);
                 }
@@ -160,7 +163,7 @@
         Ok(())
     }
 
-    /// A try reaches its back end, or something comes of one that has.
+    /// Lets one open attempt reach its back end, or delivers the next event of one that has.
     fn move_on(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if self.open.is_empty() {
             return Ok(());
@@ -185,7 +188,7 @@
         let exchange = &mut self.open[at];
         let stream = self.truths[&attempt.request].stream;
         if stream && exchange.next < LENGTH {
-            // An event is lost now and then.
+            // Occasionally an event is lost.
             let offset = exchange.next + u64::from(u.ratio(1, 15)?);
             exchange.next = offset + 1;
             self.apply(Event::Chunk { attempt, offset: offset.min(LENGTH - 1) });
@@ -203,7 +206,7 @@
         let failure = match u.int_in_range(0..=11)? {
             0 => Some(Failure::Connect),
             1 => Some(*u.choose(&refused)?),
-            // The connection breaks on the way, and nobody can tell whether it had arrived.
+            // The connection breaks, and the sender cannot know whether the request arrived.
             2 => Some(Failure::Broken),
             _ => None,
         };
@@ -221,18 +224,18 @@
             self.apply(Event::Failed { attempt, failure: Failure::Forgotten });
             return Ok(());
         }
-        let truth = self.truths.get_mut(&attempt.request).expect("a request is known");
+        let truth = self.truths.get_mut(&attempt.request).expect("the request is known");
         truth.runs += u32::from(same.is_none());
         let key = truth.key;
         let once = !truth.idempotent;
-        assert!(!once || truth.runs <= 1, "it runs once: {truth:?}");
+        assert!(!once || truth.runs <= 1, "a request that is not idempotent runs at most once: {truth:?}");
         if let Some(key) = key.filter(|_| once) {
             let others = self
                 .truths
                 .iter()
                 .filter(|(id, other)| **id != attempt.request && other.key == Some(key) && other.runs > 0);
-            // Both callers use these keys, each its own.
-            assert!(others.count() <= 1 || same.is_some(), "a key runs once for each caller");
+            // Both callers use these keys. Keys of different callers are independent.
+            assert!(others.count() <= 1 || same.is_some(), "a key runs at most once for each caller");
         }
         self.known.push(attempt);
         let exchange = &mut self.open[at];
@@ -318,7 +321,7 @@
         Ok(())
     }
 
-    /// Lets all that is open come to its end.
+    /// Lets all open requests end and checks that no state is left.
     fn settle(&mut self) {
         for _ in 0..80 {
             for (op, call) in std::mem::take(&mut self.calls) {
@@ -331,8 +334,8 @@
             assert!(truth.end.is_some(), "{request} has not ended: {truth:?}");
         }
         let left = self.entry.state.gauges();
-        assert_eq!(Gauges { timers: 0, ..left }, Gauges::default(), "nothing is left behind");
-        assert_eq!(left.timers, self.timers, "no timer is left behind");
+        assert_eq!(Gauges { timers: 0, ..left }, Gauges::default(), "no state is left");
+        assert_eq!(left.timers, self.timers, "no timer is left");
     }
 }
 
--- a/core/tests/result_codes.rs
+++ b/core/tests/result_codes.rs
@@ -1,4 +1,4 @@
-//! The page of result codes says what the codes say.
+//! docs/CODES.md agrees with the result codes of the code.
 
 use boragecove_core::code::{Code, Outcome};
 
@@ -13,7 +13,7 @@
 #[test]
 fn page_complete() {
     let rows = rows();
-    let advice = "write the page anew: boragecove codes --output markdown > docs/CODES.md";
+    let advice = "regenerate the page: boragecove codes --output markdown > docs/CODES.md";
     assert_eq!(rows.len(), Code::ALL.len(), "{advice}");
     for (code, row) in Code::ALL.iter().zip(rows) {
         let outcomes: Vec<&str> = code.outcomes().iter().map(|outcome| outcome.as_str()).collect();
--- a/core/tests/retry_budget.rs
+++ b/core/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Which failures are tried again, where, how often, and what a caller may be told afterwards.
+//! Which failures are retried, where and how often, and which outcome is reported to the caller.
 
 use std::time::Duration;
 
@@ -54,15 +54,15 @@
         assert_ne!(sent(&effects).backend, dead.backend);
     }
     let (_, effects) = entry.ask(Ask::default());
-    assert!(sends(&effects).is_empty(), "a suspect does not get what a busy engine has no room for");
+    assert!(sends(&effects).is_empty(), "a suspected engine gets no requests while another one is only busy");
     entry.report("engine-2", 0, true);
     entry.advance(Duration::from_secs(1));
     let (_, effects) = entry.ask(Ask::default());
     let probe = sent(&effects);
-    assert_eq!(probe.backend, dead.backend, "one request finds out whether it answers again");
+    assert_eq!(probe.backend, dead.backend, "one request probes the suspected engine");
     let _answered = entry.answer(probe.attempt);
     let (_, effects) = entry.ask(Ask::default());
-    assert_eq!(sent(&effects).backend, dead.backend, "it has less to do and is trusted again");
+    assert_eq!(sent(&effects).backend, dead.backend, "it has less load and is no longer suspected");
 }
 
 #[test]
@@ -116,7 +116,7 @@
             }
         }
     }
-    assert_eq!(retried, 3, "each answer earns a fifth");
+    assert_eq!(retried, 3, "each answer earns a fifth of a retry");
     entry.advance(Duration::from_secs(3));
     let (_, effects) = entry.ask(Ask::default());
     let _retried = sent(&entry.refuse(sent(&effects).attempt, Refusal::Busy));
@@ -129,7 +129,11 @@
     let (id, effects) = entry.ask(Ask { patience: Duration::from_millis(40), ..Ask::default() });
     let second = sent(&entry.refuse(sent(&effects).attempt, Refusal::Busy));
     let effects = entry.refuse(second.attempt, Refusal::Busy);
-    assert_eq!(outcome(&effects, id), Some((Code::RetriesSpent, Outcome::NotRun)), "it is told at once");
+    assert_eq!(
+        outcome(&effects, id),
+        Some((Code::RetriesSpent, Outcome::NotRun)),
+        "the request is refused at once"
+    );
 }
 
 #[test]
@@ -143,13 +147,13 @@
     assert!(effects.contains(&Effect::Cancel(first)));
     let second = sent(&effects).attempt;
     assert_eq!(second.request, id);
-    assert!(entry.chunk(first, 0).is_empty(), "nothing of it is passed on");
+    assert!(entry.chunk(first, 0).is_empty(), "no event of the wrong answer is delivered");
     assert_eq!(entry.state.counters().foreign, 1);
 
     let (_, effects) = entry.ask(Ask::default());
     let unnamed = sent(&effects).attempt;
     let effects = entry.event(Event::Head { attempt: unnamed, echo: None });
-    assert!(effects.contains(&Effect::Cancel(unnamed)), "an engine names the attempt");
+    assert!(effects.contains(&Effect::Cancel(unnamed)), "an answer of an engine must have an attempt id");
 }
 
 #[test]
@@ -171,7 +175,7 @@
     assert!(entry.event(Event::Overflow(attempt)).contains(&Effect::Commit(attempt)));
     let effects = entry.fail(attempt, Failure::Broken);
     assert_eq!(outcome(&effects, id), Some((Code::Interrupted, Outcome::Unknown)));
-    assert!(entry.event(Event::Overflow(attempt)).is_empty(), "it is over");
+    assert!(entry.event(Event::Overflow(attempt)).is_empty(), "the request has ended");
 }
 
 #[test]
@@ -186,7 +190,7 @@
         Effect::Tell { frame, .. } => frame.items.contains(&Item::Leaving(first.backend.clone())),
         _ => false,
     });
-    assert!(told, "peers hear of it: {effects:?}");
+    assert!(told, "peers are notified: {effects:?}");
     entry.advance(Duration::from_secs(5));
     for _ in 0..3 {
         let (_, effects) = entry.ask(Ask::default());
@@ -216,15 +220,15 @@
             None => sends(&entry.advance(Duration::from_millis(10))),
         };
     }
-    assert!(entry.ended(id).is_none(), "it waits until the model is loaded elsewhere");
-    assert!(entry.sent().len() < 30, "a dead engine is not tried all the time: {}", entry.sent().len());
+    assert!(entry.ended(id).is_none(), "the request waits until the model is loaded on another engine");
+    assert!(entry.sent().len() < 30, "attempts at a dead engine are limited: {}", entry.sent().len());
     for send in open {
         entry.fail(send.attempt, Failure::Connect);
     }
     entry.add(vm("engine-2", "hall-a", Role::Backend("writers".into())));
     entry.report("engine-2", 0, true);
     entry.advance(Duration::from_secs(2));
-    let last = entry.sent().pop().expect("a try");
+    let last = entry.sent().pop().expect("an attempt");
     assert_eq!(last.backend, "engine-2");
     entry.answer(last.attempt);
     assert_eq!(entry.ended(id).map(|end| end.outcome()), Some(Outcome::Answered));
--- a/core/tests/routing.rs
+++ b/core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Which back end gets a request.
+//! Choice of the back end of a request.
 
 use std::time::Duration;
 
@@ -30,7 +30,7 @@
     let mut entry = engines(&["engine-1", "engine-2"]);
     entry.report("engine-1", 2, true);
     assert_eq!(pick(&mut entry, &[]), "engine-2");
-    assert_eq!(pick(&mut entry, &[]), "engine-2", "own tries since the report count");
+    assert_eq!(pick(&mut entry, &[]), "engine-2", "attempts sent since the report count as load");
     let third = pick(&mut entry, &[]);
     let fourth = pick(&mut entry, &[]);
     assert_ne!(third, fourth);
@@ -46,7 +46,7 @@
     let (_, effects) = entry.ask(Ask::default());
     assert!(sends(&effects).is_empty());
     let effects = entry.report("engine-1", 0, true);
-    assert_eq!(sent(&effects).backend, "engine-1", "what waits is sent once it is loaded");
+    assert_eq!(sent(&effects).backend, "engine-1", "waiting requests are sent once the model is loaded");
 }
 
 #[test]
@@ -64,7 +64,7 @@
 
     entry.report("engine-2", SLOTS, true);
     let (id, effects) = entry.ask(Ask { prefix: vec![11], ..Ask::default() });
-    assert_eq!(sent(&effects).backend, "engine-1", "a hint is not worth waiting for");
+    assert_eq!(sent(&effects).backend, "engine-1", "a full engine is not chosen for its cache");
     entry.event(Event::Gone(id));
     for (event, holder) in [
         (cached(100, &[], &prefix, false), "engine-1"),
@@ -94,7 +94,7 @@
     let (id, effects) = entry.ask(Ask { prefix: prefix.to_vec(), ..Ask::default() });
     let first = sent(&effects).backend;
     entry.event(Event::Gone(id));
-    assert_eq!(pick(&mut entry, &prefix), first, "what was sent there is cached there");
+    assert_eq!(pick(&mut entry, &prefix), first, "the prefix of a sent request is assumed to be cached");
     entry.report_as(&first, Incarnation(10), 0, true);
     assert_ne!(pick(&mut entry, &prefix), first);
 }
@@ -110,7 +110,7 @@
     };
     let picked: Vec<Name> = (0..=SLOTS).map(|_| ask()).collect();
     assert!(picked[..SLOTS as usize].iter().all(|name| *name == "gate-1"), "{picked:?}");
-    assert_eq!(picked[SLOTS as usize], "gate-2", "another zone helps when this one is full");
+    assert_eq!(picked[SLOTS as usize], "gate-2", "another zone is used when this one is full");
 }
 
 #[test]
@@ -122,7 +122,7 @@
     let (_, effects) = entry.ask(Ask::default());
     assert_eq!(sent(&effects).backend, "engine-2");
     let (_, effects) = entry.ask(Ask::default());
-    assert!(sends(&effects).is_empty(), "a quarter of its slots at first");
+    assert!(sends(&effects).is_empty(), "a new engine gets only a quarter of its slots at first");
     entry.advance(Duration::from_secs(9));
     let effects = entry.report("engine-2", 1, true);
     assert_eq!(sent(&effects).backend, "engine-2");
@@ -168,7 +168,7 @@
         assert_ne!(pick(&mut entry, &[]), first.backend);
     }
     entry.report(&first.backend, 0, true);
-    assert_eq!(pick(&mut entry, &[]), first.backend, "its next report brings it back");
+    assert_eq!(pick(&mut entry, &[]), first.backend, "the next report makes it available again");
 }
 
 #[test]
@@ -184,7 +184,7 @@
     assert!(sends(&effects).is_empty());
 }
 
-/// Zone hall-b says that it holds the model.
+/// Passes in a summary of zone hall-b that offers the model at `load`, in eighths of its slots.
 fn offer(entry: &mut Entry, load: u32) {
     let offers = vec![Offer { artifact: artifact().digest(), copies: 1, load }];
     let summary = Summary {
@@ -222,7 +222,7 @@
     assert_eq!(outcome(&entry.finish(send.attempt, 0), id), Some((Code::Ok, Outcome::Answered)));
 
     let (_, effects) = entry.ask(Ask { hops: 1, ..Ask::default() });
-    assert!(sends(&effects).is_empty(), "it has come from another zone already");
+    assert!(sends(&effects).is_empty(), "a request is forwarded to another zone only once");
     let (id, effects) = entry.ask(Ask { hops: 2, ..Ask::default() });
     assert_eq!(outcome(&effects, id), Some((Code::TooManyHops, Outcome::NotRun)));
 }
@@ -234,7 +234,7 @@
     offer(&mut entry, 8);
     entry.report("engine-1", SLOTS, true);
     let (_, effects) = entry.ask(Ask::default());
-    assert!(sends(&effects).is_empty(), "the other zone is busy too");
+    assert!(sends(&effects).is_empty(), "the other zone is too busy");
     entry.now = entry.now + Duration::from_millis(1);
     offer(&mut entry, 2);
     let (_, effects) = entry.ask(Ask::default());
@@ -251,7 +251,7 @@
     offer(&mut entry, 2);
     let (id, effects) = entry.ask(Ask::default());
     let effects = entry.refuse(sent(&effects).attempt, Refusal::Busy);
-    assert!(sends(&effects).is_empty(), "it is not tried out of its tries");
+    assert!(sends(&effects).is_empty(), "the request waits here instead of using up its attempts");
     let effects = entry.report("engine-1", 0, true);
     assert_eq!(sent(&effects).attempt.request, id);
 }
@@ -264,7 +264,7 @@
     let (id, effects) = entry.ask(Ask::default());
     let effects = entry.fail(sent(&effects).attempt, Failure::Connect);
     assert!(effects.iter().any(|effect| matches!(effect, Effect::Retire(_))));
-    assert!(sends(&effects).is_empty(), "it waits for a copy here");
+    assert!(sends(&effects).is_empty(), "the request waits for a copy in this zone");
     entry.add(vm("engine-1", "hall-a", Role::Backend("writers".into())));
     let effects = entry.report("engine-1", 0, true);
     assert_eq!(sent(&effects).attempt.request, id);
--- a/core/tests/silent_connection.rs
+++ b/core/tests/silent_connection.rs
@@ -1,4 +1,4 @@
-//! Answers that do not come: how long they are waited for and what follows.
+//! Time limits for answers of back ends, and what happens when they expire.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     let mut entry = Entry::new(Settings::default(), Vec::new(), &engines, &[]);
     let _sent = entry.ask(Ask { stream: false, ..Ask::default() });
     let effects = entry.advance(Settings::default().first_byte + Duration::from_secs(1));
-    assert!(sends(&effects).is_empty(), "64 tokens are given their time");
+    assert!(sends(&effects).is_empty(), "the time limit includes the time for 64 tokens");
 }
 
 #[test]
@@ -40,9 +40,9 @@
     let mut entry = Entry::new(Settings::default(), Vec::new(), &[], &["gate-1", "gate-2"]);
     let (id, _) = entry.ask(Ask { service: true, ..Ask::default() });
     entry.advance(Settings::default().first_byte + STEP);
-    let end = entry.ended(id).expect("it ends");
+    let end = entry.ended(id).expect("the request ends");
     assert_eq!((end.code(), end.outcome()), (Code::BackendSilent, Outcome::Unknown));
-    assert_eq!(entry.sent().len(), 1, "it may have run");
+    assert_eq!(entry.sent().len(), 1, "a request that may have run is not retried");
 }
 
 #[test]
@@ -56,7 +56,7 @@
     assert!(!effects.contains(&Effect::Release(attempt)) && !effects.contains(&Effect::Cancel(attempt)));
     assert!(entry.chunk(attempt, 0).contains(&Effect::Deliver { attempt, offset: 0 }));
     entry.advance(Settings::default().idle + STEP);
-    assert_eq!(entry.sent().len(), 2, "silence after the pause counts");
+    assert_eq!(entry.sent().len(), 2, "silence after the stall is detected");
 }
 
 #[test]
--- a/core/tests/stream_resume.rs
+++ b/core/tests/stream_resume.rs
@@ -1,4 +1,4 @@
-//! Streams that break, go silent or miss an event are taken up without a gap or a repeat.
+//! Streams that break, go silent or miss an event are resumed without gaps or duplicates.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     let backend = entry.sent()[0].backend.clone();
     let again = sent(&entry.fail(first, Failure::Broken));
     assert_eq!(again.resume, Resume::Same { of: first, offset: 3 });
-    assert!(again.fresh, "on a new connection");
+    assert!(again.fresh, "it is sent on a new connection");
     assert_eq!(again.backend, backend);
     entry.head(again.attempt);
     assert!(!entry.chunk(again.attempt, 2).iter().any(|effect| matches!(effect, Effect::Deliver { .. })));
@@ -47,7 +47,7 @@
         assert_eq!(other.resume, Resume::Continue { offset: 3 });
         assert_ne!(other.backend, again.backend);
         entry.head(other.attempt);
-        assert!(entry.chunk(first, 3).is_empty(), "what comes late from before is dropped");
+        assert!(entry.chunk(first, 3).is_empty(), "late events of an earlier attempt are dropped");
         let _delivered = entry.chunk(other.attempt, 3);
         let effects = entry.finish(other.attempt, 4);
         assert_eq!(outcome(&effects, first.request), Some((Code::Ok, Outcome::Answered)));
@@ -58,7 +58,7 @@
 fn not_elsewhere() {
     let (mut entry, first) = streaming(false);
     let again = sent(&entry.fail(first, Failure::Broken));
-    assert_eq!(again.resume, Resume::Same { of: first, offset: 3 }, "nothing runs twice by that");
+    assert_eq!(again.resume, Resume::Same { of: first, offset: 3 }, "a resumption runs nothing twice");
     let effects = entry.fail(again.attempt, Failure::Forgotten);
     assert_eq!(outcome(&effects, first.request), Some((Code::Interrupted, Outcome::Unknown)));
 }
@@ -67,7 +67,7 @@
 fn gap_resumed() {
     let (mut entry, first) = streaming(true);
     let effects = entry.chunk(first, 4);
-    assert!(effects.contains(&Effect::Release(first)), "the engine keeps the answer");
+    assert!(effects.contains(&Effect::Release(first)), "the engine is not told to drop the answer");
     assert_eq!(sent(&effects).resume, Resume::Same { of: first, offset: 3 });
 }
 
@@ -84,7 +84,7 @@
     let (mut entry, first) = streaming(true);
     let address = entry.sent()[0].address;
     let effects = entry.advance(Settings::default().idle + Duration::from_millis(20));
-    assert!(effects.contains(&Effect::Retire(address)), "no other request gets such a connection");
+    assert!(effects.contains(&Effect::Retire(address)), "no other request is sent on the silent connection");
     assert!(effects.contains(&Effect::Release(first)));
     let again = sent(&effects);
     assert_eq!(again.resume, Resume::Same { of: first, offset: 3 });
--- a/core/tests/whole_path.rs
+++ b/core/tests/whole_path.rs
@@ -1,4 +1,5 @@
-//! The whole path of a request through one reducer: declared, loaded on demand, sent, streamed, ended.
+//! One request through one reducer, from the declaration of its model to the end of its stream, with a load
+//! on demand.
 
 use boragecove_core::artifact::Artifact;
 use boragecove_core::code::{Code, Outcome};
@@ -59,7 +60,8 @@
     }))
 }
 
-/// Answers the reducer's calls of the table from one in memory, until it makes no more.
+/// Answers the reducer's calls of the table from an in-memory table until there are none left. Returns the
+/// other effects.
 fn settle(state: &mut State, now: Time, rows: &mut Vec<Row>, effects: Vec<Effect>) -> Vec<Effect> {
     let mut rest = Vec::new();
     let mut pending = effects;
@@ -125,7 +127,7 @@
         hops: 0,
     };
     let effects = apply(&mut state, now, Event::Arrive(Box::new(arrival)));
-    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Send(_))), "nothing is loaded yet");
+    assert!(!effects.iter().any(|effect| matches!(effect, Effect::Send(_))), "the model is not loaded yet");
 
     let mut order = None;
     let mut raised = None;
@@ -142,7 +144,7 @@
                     assert_eq!((raised, loaded), (Some(Fence(1)), &artifact()));
                     order = Some(sent.id);
                 }
-                other => panic!("{other:?} is not called for"),
+                other => panic!("unexpected order: {other:?}"),
             }
         }
         if let Some(fence) = raised {
