--- a/core/src/error.rs
+++ b/core/src/error.rs
@@ -4,7 +4,7 @@
 
 /// A text that cannot be parsed as the requested type.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("'{text}' is no {kind}")]
+#[error("'{text}' is not a valid {kind}")]
 pub struct Malformed {
     /// Name of the requested type.
     pub kind: &'static str,
