--- a/core/src/artifact.rs
+++ b/core/src/artifact.rs
@@ -1,4 +1,4 @@
-//! What an engine can hold, a model or an adapter in one version, and how callers name it.
+//! Artifacts that engines can hold, and the targets by which callers refer to them.
 
 use std::fmt;
 use std::str::FromStr;
@@ -22,7 +22,7 @@
 }
 
 impl Artifact {
-    /// A short stand-in for it where a rare mix-up only costs time.
+    /// A short digest for uses in which a rare collision only costs time.
     #[must_use]
     pub fn digest(&self) -> u32 {
         xxh3_64(self.to_string().as_bytes()) as u32
@@ -38,14 +38,14 @@
     }
 }
 
-/// What a caller asks for: `model`, `model:adapter`, `model@version` or `model:adapter@version`.
+/// The target of a request: `model`, `model:adapter`, `model@version` or `model:adapter@version`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Target {
     /// The model's name.
     pub model: Name,
-    /// The adapter's name, if one is asked for.
+    /// The adapter's name, if one is requested.
     pub adapter: Option<Name>,
-    /// The version, if not the one the inventory serves by default.
+    /// The version; none: the default version of the inventory.
     pub version: Option<Name>,
 }
 
--- a/core/src/catalog.rs
+++ b/core/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration, arranged for look-up.
+//! Look-up tables over the accepted configuration.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
 use crate::name::Name;
 use crate::rules::{Caller, Priority};
 
-/// One declared artifact with all that holds for it.
+/// A declared artifact with the rules that apply to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
     /// The artifact.
     pub artifact: Artifact,
-    /// Its memory, in MB.
+    /// Memory of a copy, in MB.
     pub memory_mb: u64,
     /// The group whose engines may hold it.
     pub group: Name,
     /// Zones that may hold it; empty: all.
     pub zones: Vec<Name>,
-    /// Copies to keep at the least.
+    /// Minimum number of copies.
     pub copies: u32,
     /// Its rank when memory is short.
     pub priority: Priority,
@@ -49,7 +49,7 @@
 }
 
 impl Catalog {
-    /// Arranges a document that was checked before.
+    /// Builds the look-up tables of a validated document.
     pub(crate) fn new(document: &Document) -> Self {
         let mut catalog = Self::default();
         let inventory = &document.inventory;
@@ -93,7 +93,7 @@
         catalog
     }
 
-    /// The artifact that a caller's target stands for.
+    /// The declared artifact that a caller's target refers to.
     pub(crate) fn resolve(&self, target: &Target) -> Option<&Entry> {
         let index = match &target.version {
             None => self.defaults.get(&(target.model.clone(), target.adapter.clone()))?,
@@ -106,22 +106,22 @@
         self.entries.get(*index)
     }
 
-    /// What is declared of an artifact, if it is.
+    /// The entry of an artifact, if it is declared.
     pub(crate) fn entry(&self, artifact: &Artifact) -> Option<&Entry> {
         self.by_artifact.get(artifact).and_then(|index| self.entries.get(*index))
     }
 
-    /// The place of an artifact in `entries`.
+    /// The index of an artifact in `entries`.
     pub(crate) fn position(&self, artifact: &Artifact) -> Option<usize> {
         self.by_artifact.get(artifact).copied()
     }
 
-    /// The caller with a token's digest.
+    /// The caller whose token has this digest.
     pub(crate) fn caller(&self, token_sha256: &str) -> Option<&Caller> {
         self.callers.get(token_sha256)
     }
 
-    /// Whether callers are listed at all.
+    /// Whether anyone may send requests, since no callers are declared.
     pub(crate) fn is_open(&self) -> bool {
         self.callers.is_empty()
     }
--- a/core/src/check.rs
+++ b/core/src/check.rs
@@ -1,4 +1,4 @@
-//! Whether a configuration makes sense and fits into the accelerators there are, before it is accepted.
+//! Validation of a configuration before it is accepted: consistency, and memory of the engines.
 
 use std::collections::BTreeSet;
 
@@ -14,41 +14,41 @@
 
 mod fit;
 
-/// Something that speaks against a configuration.
+/// A reason to refuse a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub(crate) enum Fault {
-    /// Two things of one kind have one name.
+    /// Two items of one kind have the same name.
     #[error("{what} '{name}' is declared more than once")]
     Duplicate {
-        /// What they are.
+        /// The kind of the items.
         what: &'static str,
         /// Their name.
         name: Name,
     },
-    /// A name is empty or holds a separator.
+    /// A name is empty or contains a separator.
     #[error("{what} '{name}' needs a name that is not empty and has none of : @ /")]
     BadName {
-        /// What it names.
+        /// The kind of the named item.
         what: &'static str,
         /// The name.
         name: Name,
     },
-    /// Something refers to what is not declared.
+    /// An item refers to another that is not declared.
     #[error("{what} '{name}' refers to {kind} '{target}', which is not declared")]
     Unknown {
-        /// What refers.
+        /// The kind of the referring item.
         what: &'static str,
         /// Its name.
         name: Name,
-        /// What it refers to.
+        /// The kind of the item it refers to.
         kind: &'static str,
-        /// The name it refers to.
+        /// The name of the item it refers to.
         target: Name,
     },
-    /// A group runs the other kind of backend server.
+    /// The item's group has the other kind of backend server.
     #[error("{what} '{name}' is in group '{group}', whose members do not run it")]
     WrongKind {
-        /// What it is.
+        /// The kind of the item.
         what: &'static str,
         /// Its name.
         name: Name,
@@ -58,34 +58,34 @@
     /// A number that must be above zero is not.
     #[error("{what} '{name}' has {field} that is not above zero")]
     Zero {
-        /// What it is.
+        /// The kind of the item.
         what: &'static str,
         /// Its name.
         name: Name,
-        /// The number.
+        /// The name of the field.
         field: &'static str,
     },
     /// A model or adapter without a version.
     #[error("{what} '{name}' has no version, so nothing of it can be loaded")]
     NoVersion {
-        /// What it is.
+        /// The kind of the item.
         what: &'static str,
         /// Its name.
         name: Name,
     },
-    /// A token digest that is none.
+    /// A token digest that is not a SHA-256 in hex.
     #[error("caller '{caller}' has a token_sha256 that is not 64 lower-case hex digits")]
     Digest {
         /// The caller.
         caller: Name,
     },
-    /// A weight that cannot be weighed.
+    /// A weight that is negative, infinite or not a number.
     #[error("the weight '{field}' is negative or no number")]
     Weight {
-        /// Which.
+        /// The name of the weight.
         field: &'static str,
     },
-    /// The copies of some artifacts find no room.
+    /// The engines lack memory for the copies of some artifacts.
     #[error(
         "group '{group}' lacks {lacking_mb} MB: its artifacts need {needed_mb} MB, {engines} engines hold \
          {memory_mb} MB; the first without a place is {first} with {first_mb} MB in {zones}"
@@ -93,24 +93,26 @@
     Full {
         /// The group.
         group: Name,
-        /// Memory of the copies that found no place, in MB.
+        /// Memory of the copies that could not be placed, in MB.
         lacking_mb: u64,
-        /// Memory of all copies asked for, in MB.
+        /// Memory of all declared copies, in MB.
         needed_mb: u64,
         /// Engines of the group that are listed and not leaving.
         engines: usize,
         /// Their memory, in MB.
         memory_mb: u64,
-        /// The first artifact that found no place.
+        /// The first artifact that could not be placed.
         first: Artifact,
         /// Its memory, in MB.
         first_mb: u64,
-        /// The zones it may be in, each with its engines, their memory and the most that is free on one.
+        /// The zones that may hold it, each with the number of engines, their memory and the largest free memory
+        /// on one of them.
         zones: Name,
     },
 }
 
-/// All that speaks against `document`. Room counts only where it lacks more than under the one in force.
+/// All faults of `document`. Lack of memory counts only for groups that lack more than under the document
+/// in force, so that a change is accepted while engines are missing if it does not make the lack worse.
 pub(crate) fn document(document: &Document, in_force: &Document, fleet: &fleet::Part) -> Vec<Fault> {
     let mut faults = Vec::new();
     inventory(&document.inventory, &mut faults);
@@ -121,7 +123,7 @@
     faults
 }
 
-/// The result code for faults; none when there are none.
+/// The result code for `faults`; none if there are none.
 pub(crate) fn code(faults: &[Fault]) -> Option<Code> {
     let first = faults.first()?;
     Some(if matches!(first, Fault::Full { .. }) { Code::DoesNotFit } else { Code::InvalidConfiguration })
--- a/core/src/check/fit.rs
+++ b/core/src/check/fit.rs
@@ -1,9 +1,10 @@
-//! Whether the declared artifacts find room on the engines that are listed.
+//! Whether the declared artifacts fit into the memory of the listed engines.
 //!
-//! A trial placement: the model that takes most with its adapters first, each copy on the engine where
-//! it leaves the least room, with room for the adapters if there is such an engine. An adapter goes
-//! where its model is, or takes a further copy of its model along. Placement may do better than this
-//! trial by a hair, and then an inventory that fits is refused; it never does worse.
+//! This is a best-fit trial placement. Models that need the most memory together with their adapters come
+//! first. Each copy goes to the engine on which it leaves the least free memory, if possible one with room
+//! for the adapters too. An adapter goes where its model is, or to another engine with a further copy of its
+//! model. Real placement may find room where this trial does not, so an inventory that only just fits may be
+//! refused. The opposite does not happen: what fits here can be placed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,29 +20,29 @@
 /// The engines of one group in one zone.
 #[derive(Debug, Default)]
 struct Room {
-    /// Free memory with the engine's index, so that the least that suffices is found quickly.
+    /// Free memory and index of each engine, ordered so that the smallest sufficient one is found quickly.
     free: BTreeSet<(u64, usize)>,
     engines: usize,
     memory_mb: u64,
 }
 
-/// One trial placement.
+/// State of a trial placement.
 #[derive(Debug, Default)]
 struct Trial {
     rooms: BTreeMap<(Name, Name), Room>,
-    /// Free memory of each engine.
+    /// Free memory of each engine, in MB.
     free: Vec<u64>,
     /// The group and zone of each engine.
     place: Vec<(Name, Name)>,
     /// Engines that hold a copy of a model, by model.
     holders: BTreeMap<Name, BTreeSet<usize>>,
-    /// Copies that found no place, by group: their memory, and the first.
+    /// Copies that could not be placed, by group: their memory in MB, and the first artifact.
     lacking: BTreeMap<Name, (u64, Entry)>,
-    /// Memory asked for, by group.
+    /// Memory of all declared copies in MB, by group.
     needed: BTreeMap<Name, u64>,
 }
 
-/// Groups that lack memory, and more of it than under the document in force.
+/// Faults for the groups that lack more memory than under the document in force.
 pub(super) fn worse(document: &Document, in_force: &Document, fleet: &fleet::Part) -> Vec<Fault> {
     let after = trial(document, fleet);
     if after.lacking.is_empty() {
@@ -90,7 +91,7 @@
     trial
 }
 
-/// Memory of all adapters of each model.
+/// Memory of all adapters of each model, in MB.
 fn adapters(catalog: &Catalog) -> BTreeMap<Name, u64> {
     let mut adapters: BTreeMap<Name, u64> = BTreeMap::new();
     for entry in catalog.entries.iter().filter(|entry| entry.artifact.adapter.is_some()) {
@@ -119,8 +120,8 @@
         self.place.push((group.clone(), zone.clone()));
     }
 
-    /// Places the copies of a model's version on as many engines, if it can be with room for its
-    /// adapters beside them. Returns how many found room.
+    /// Places each copy of a version of a model on an engine of its own, preferably with room left for its
+    /// adapters. Returns how many copies could be placed.
     fn place_model(&mut self, entry: &Entry, beside_mb: u64) -> u32 {
         let mut used = BTreeSet::new();
         while (used.len() as u32) < entry.copies {
@@ -135,7 +136,8 @@
         used.len() as u32
     }
 
-    /// Places the copies of an adapter where its model is, or with a further copy of its model.
+    /// Places the copies of an adapter on engines that hold its model, or together with further copies of the
+    /// model. Returns how many copies could be placed.
     fn place_adapter(&mut self, entry: &Entry, model_mb: Option<u64>) -> u32 {
         let mut used = BTreeSet::new();
         while (used.len() as u32) < entry.copies {
@@ -163,7 +165,7 @@
         used.len() as u32
     }
 
-    /// The engine with the least room that suffices, in the zones where the artifact may be.
+    /// The engine with the least sufficient free memory, in the zones that may hold the artifact.
     fn best(&self, entry: &Entry, memory_mb: u64, used: &BTreeSet<usize>) -> Option<usize> {
         self.allowed(entry)
             .filter_map(|(_, room)| {
--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -1,7 +1,8 @@
-//! Who reads which engine's reports, and how the rest of the zone hears of them.
+//! Collection of engines' reports, and their distribution within the zone.
 //!
-//! Each engine has one collector among the live entry VMs of its zone. It passes on a report whole, at
-//! once, when more than the load changed, and the load alone with the next frame to each peer.
+//! Each engine has one collector among the live entry VMs of its zone, which polls its reports. If more than
+//! the load changed, the collector sends the full report to its zone immediately; otherwise it sends only the
+//! load, with the next frame to each peer.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -19,27 +20,27 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// What this entry VM collects.
+/// State of this module: the reports that this entry VM collects.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
-    /// Engines it is the collector of.
+    /// Engines whose collector is this entry VM.
     mine: BTreeSet<Name>,
-    /// Engines whose next poll is set.
+    /// Engines with a timer set for their next poll.
     armed: BTreeSet<Name>,
-    /// Reports as last passed on to the zone, by engine.
+    /// Reports as last sent to the zone, by engine.
     told: BTreeMap<Name, Report>,
-    /// Engines of the zone by the digest of their name; none where two have the same.
+    /// Engines of the zone by the digest of their name; none where two engines have the same digest.
     digests: BTreeMap<u32, Option<Name>>,
-    /// When a peer was last asked for whole reports.
+    /// Time at which each peer was last asked for full reports.
     wanted: BTreeMap<Name, Time>,
 }
 
-/// The digest that stands for an engine's name between entry VMs of a zone.
+/// Short digest of an engine's name, used in frames within a zone.
 fn digest(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
-/// The digest of all in a report but the load.
+/// Digest of everything in a report but the load.
 fn shape(report: &Report) -> u32 {
     let mut text = Vec::with_capacity(256);
     let mut number = |number: u64| text.extend_from_slice(&number.to_le_bytes());
@@ -64,7 +65,7 @@
     xxh3_64(&text) as u32
 }
 
-/// Works out anew which engines this entry VM collects, after engines or entry VMs came or went.
+/// Recomputes which engines this entry VM collects, after engines or entry VMs were added or removed.
 pub(crate) fn assign(state: &mut State, now: Time) {
     let live: Vec<&str> = member::live_zone(state).collect();
     let groups = &state.config.catalog.groups;
@@ -94,7 +95,7 @@
     state.collect.digests = digests;
 }
 
-/// An engine is to be asked for its report.
+/// Polls an engine's report and schedules the next poll.
 pub(crate) fn poll(state: &mut State, now: Time, engine: Name, out: &mut Vec<Effect>) {
     let backend = state.fleet.backends.get(&engine).filter(|_| state.collect.mine.contains(&engine));
     let Some(backend) = backend else {
@@ -106,7 +107,7 @@
     state.timers.set(now + state.settings.poll_every, Timer::Poll(engine));
 }
 
-/// An engine that this entry VM polled reported.
+/// Handles the report of an engine that this entry VM polled.
 pub(crate) fn polled(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
     fleet::reported(state, now, report, out);
     if !state.collect.mine.contains(&report.engine) {
@@ -120,7 +121,8 @@
     member::tell_all(state, &[Item::Report(Box::new(report.clone()))], out);
 }
 
-/// The loads reported since they were last passed on, changed or not: that a report is recent counts, too.
+/// Loads reported since the last frame. Unchanged loads are included, since they tell receivers that the
+/// report is recent.
 pub(crate) fn loads(state: &mut State) -> Option<Item> {
     let mut loads = Vec::new();
     for (engine, told) in &mut state.collect.told {
@@ -142,12 +144,12 @@
     (!loads.is_empty()).then_some(Item::Loads(loads))
 }
 
-/// All reports as last passed on, for a peer that has none.
+/// All reports as last sent to the zone, for a peer that has none.
 pub(crate) fn whole(state: &State) -> Vec<Item> {
     state.collect.told.values().map(|report| Item::Report(Box::new(report.clone()))).collect()
 }
 
-/// Loads came from a collector. Asks it for whole reports if one does not fit what is known.
+/// Handles loads from a collector. Asks it for full reports if one does not match the known report.
 pub(crate) fn heard_loads(state: &mut State, now: Time, from: &Name, loads: &[Load], out: &mut Vec<Effect>) {
     let mut missing = false;
     for load in loads {
@@ -164,7 +166,7 @@
     }
 }
 
-/// The report that a load leads to, if what is known fits.
+/// The known report with the new load; none if the load belongs to another report.
 fn apply(state: &State, load: &Load) -> Option<Report> {
     let name = state.collect.digests.get(&load.engine)?.as_ref()?;
     let known = state.fleet.backends.get(name)?.report.as_ref()?;
--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -1,7 +1,7 @@
-//! The accepted configuration: one version that only grows, for all entry VMs.
+//! The accepted configuration: a single version number for all entry VMs that only increases.
 //!
-//! The version in force is that of the row [`crate::table::Key::Config`], which each accepted change
-//! writes anew on the condition that it still has the version that the change was made over.
+//! The version in force is the version of the row [`crate::table::Key::Config`]. Each accepted change
+//! overwrites this row, on condition that the row still has the version that the change is based on.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -23,20 +23,20 @@
 pub use delta::{Delta, Patch};
 pub(crate) use spread::{Reach, adopt, answer_want, heard_steps, heard_version, history, poll, push};
 
-/// Steps that are kept for peers that are a little behind.
+/// Latest steps kept for peers that are a few versions behind.
 const STEPS_KEPT: usize = 64;
-/// Changes that an operator is shown at most.
+/// Maximum number of changes shown to an operator.
 pub(crate) const HISTORY_MAX: u64 = 100;
-/// Changes that stay in the table; older rows are removed.
+/// Changes kept in the table; older rows are removed.
 pub(crate) const HISTORY_KEPT: u64 = 1_024;
 
-/// What operators declared: the inventory and the rules on top of it.
+/// A configuration as declared by operators: the inventory and the rules that apply to it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// What exists.
+    /// Declared groups, models and services.
     pub inventory: Inventory,
-    /// What holds for it.
+    /// Callers, places, priorities and weights.
     pub rules: Rules,
 }
 
@@ -45,62 +45,62 @@
 pub struct Head {
     /// The version in force; also the version of the row.
     pub version: u64,
-    /// The operation that brought it, to settle a lost answer.
+    /// The operation that created it; tells after a lost answer whether the own write took effect.
     pub op: id::Op,
-    /// The whole document.
+    /// The full document.
     pub document: Arc<Document>,
 }
 
-/// One accepted change, kept for the history.
+/// An accepted change, kept for the history.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Change {
-    /// The version it brought.
+    /// The version it created.
     pub version: u64,
-    /// The operation that brought it.
+    /// The operation that created the version.
     pub op: id::Op,
     /// Who applied it.
     pub who: Name,
-    /// When, by the clock of the entry VM that took it.
+    /// Time of the change, by the clock of the entry VM that accepted it.
     pub at: Time,
     /// The operator's remark.
     pub note: Name,
-    /// What it changed in the version before; none in answers to operators, and where the order of a
-    /// list changed.
+    /// Difference to the version before; none in answers to operators, and where the order of a list
+    /// changed.
     #[serde(default)]
     pub delta: Option<Delta>,
 }
 
-/// One step from a version to the next, for entry VMs that have the version before.
+/// The step from one version to the next, for entry VMs that have the earlier version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Step {
-    /// The version it leads to.
+    /// The version after the step.
     pub version: u64,
-    /// The operation that brought it.
+    /// The operation that created the version.
     pub op: id::Op,
-    /// What changes.
+    /// Difference to the version before.
     pub delta: Delta,
 }
 
-/// The configuration in force at this entry VM, and changes under way.
+/// State of this module: the configuration in force at this entry VM, and changes being written.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
-    /// Its version; zero before the first.
+    /// The version in force; zero before the first.
     pub version: u64,
-    /// The operation that brought it.
+    /// The operation that created the version.
     op: Option<id::Op>,
-    /// Its document.
+    /// The document in force.
     pub document: Arc<Document>,
-    /// Its document, arranged for look-up.
+    /// Look-up tables over the document in force.
     pub catalog: Catalog,
-    /// The highest version that any peer has said to have in force.
+    /// The highest version that any peer reported as in force.
     known: u64,
-    /// The latest steps, oldest first, without a gap up to `version`.
+    /// The latest steps, oldest first, without gaps and ending at `version`.
     steps: VecDeque<Step>,
-    /// Changes that wait for the table.
+    /// Changes that wait for an answer of the table.
     pending: BTreeMap<id::Op, Pending>,
-    /// Reads of the table in a row that brought nothing.
+    /// Consecutive reads of the table that failed or found no configuration.
     misses: u32,
-    /// When a peer was last asked for what is missing.
+    /// Time at which a peer was last asked for newer versions.
     wanted: Option<Time>,
 }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The steps that lead from `version` to the one in force, if all are at hand.
+    /// The steps from `version` to the one in force; none if some of them are no longer kept.
     fn steps_from(&self, version: u64) -> Option<Vec<Step>> {
         let first = self.steps.front()?.version;
         if version == 0 || version + 1 < first || version >= self.version {
@@ -126,24 +126,24 @@
     }
 }
 
-/// What a call of the table about the configuration was for.
+/// What a table call about the configuration was for.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Wait {
-    /// The head was asked for.
+    /// Read of the head.
     Head,
-    /// The changes since the version in force were asked for.
+    /// Read of the changes above the version in force.
     Changes,
-    /// The history was asked for by an operator.
+    /// Read of the history for an operator's query.
     History(id::Ask),
-    /// A change was written; its operation.
+    /// Write of the change of this operation.
     Write(id::Op),
-    /// The rows of a change whose answer was lost were read back; its operation.
+    /// Read that checks whether the write of this operation took effect, since its answer was lost.
     ReadBack(id::Op),
-    /// Rows of old changes were removed.
+    /// Removal of old changes.
     Trim,
 }
 
-/// The table answered about the configuration.
+/// Handles the table's answer to a call about the configuration.
 pub(crate) fn answered(
     state: &mut crate::State,
     now: Time,
--- a/core/src/config/accept.rs
+++ b/core/src/config/accept.rs
@@ -1,4 +1,4 @@
-//! How a change is accepted: checked, written on condition, and settled when the answer is lost.
+//! Acceptance of a change: validation, conditional write, and recovery when the answer is lost.
 
 use std::sync::Arc;
 
@@ -14,19 +14,19 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// A change that waits for the table.
+/// A change that waits for an answer of the table.
 #[derive(Debug)]
 pub(crate) struct Pending {
     ask: id::Ask,
     head: Head,
     change: Change,
-    /// When the operator is told that it cannot be settled.
+    /// Time at which the operator is told that the outcome is unknown.
     until: Time,
-    /// Tries to settle it so far.
+    /// Attempts so far to find out whether the write took effect.
     tries: u32,
 }
 
-/// Accepts an operator's configuration, if nothing speaks against it.
+/// Validates an operator's configuration and writes it to the table, or refuses it.
 pub(crate) fn apply(state: &mut State, now: Time, ask: id::Ask, apply: Apply, out: &mut Vec<Effect>) {
     let current = state.config.version;
     if apply.base.is_some_and(|base| base < current) {
@@ -71,7 +71,7 @@
     state.call(Call::Commit(vec![head, change]), Purpose::Config(Wait::Write(op)), out);
 }
 
-/// The table answered the write of a change.
+/// Handles the table's answer to the write of a change.
 pub(super) fn written(
     state: &mut State,
     now: Time,
@@ -83,7 +83,7 @@
     match reply {
         Ok(Reply::Committed) => accept(state, now, op, out),
         Ok(Reply::Conflict(rows)) => match winner(state, op, &rows) {
-            // A commit that was delivered twice conflicts with itself.
+            // A commit that was delivered twice conflicts with its own first delivery.
             Some(winner) if winner == op => take(state, now, op, rows, out),
             Some(_) => lose(state, now, op, rows, out),
             None if sure => lose(state, now, op, rows, out),
@@ -94,7 +94,7 @@
     }
 }
 
-/// The rows of a change whose answer was lost were read back.
+/// Handles the rows read after the answer to a write was lost.
 pub(super) fn read_back(
     state: &mut State,
     now: Time,
@@ -108,7 +108,7 @@
     }
 }
 
-/// The next try to settle a lost answer is due.
+/// Reads the rows of a change whose answer was lost, or gives up after the time limit.
 pub(crate) fn settle(state: &mut State, now: Time, op: id::Op, out: &mut Vec<Effect>) {
     let Some(pending) = state.config.pending.get(&op) else {
         return;
@@ -146,8 +146,9 @@
     state.timers.set(now + wait, Timer::Settle(op));
 }
 
-/// Says from the rows of the table whether a change took effect. As long as its place is free, the
-/// first write may still arrive, so it is written again: one of the two takes effect, with the same id.
+/// Decides from the rows of the table whether a change took effect. While its version is still free, the
+/// first write may yet arrive, so it is written again: only one of the two takes effect, and both have
+/// the same operation id.
 fn judge(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
     let Some(pending) = state.config.pending.get(&op) else {
         return;
@@ -161,7 +162,7 @@
     }
 }
 
-/// The operation that brought the version which the change wants to bring, if the rows say.
+/// The operation that created the version which the change is for, if the rows contain it.
 fn winner(state: &State, op: id::Op, rows: &[Row]) -> Option<id::Op> {
     let version = state.config.pending.get(&op)?.head.version;
     rows.iter().find_map(|row| match &row.value {
@@ -200,7 +201,8 @@
     trim(state, version, out);
 }
 
-/// Removes the row of a change that has become too old. A row that is missed stays; it does no harm.
+/// Removes the row of a change that has become too old. If the removal fails, the row stays in the table,
+/// where it does no harm.
 fn trim(state: &mut State, version: u64, out: &mut Vec<Effect>) {
     let Some(old) = version.checked_sub(super::HISTORY_KEPT).filter(|old| *old > 0) else {
         return;
--- a/core/src/config/delta.rs
+++ b/core/src/config/delta.rs
@@ -1,4 +1,4 @@
-//! What one change alters in a document, so that it need not be sent whole.
+//! Difference between two documents, so that a change can be sent without the full document.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,14 +7,14 @@
 use crate::name::Name;
 use crate::rules::{Caller, Place, Precedence, Weights};
 
-/// Changes of one list of named things.
+/// Changes of one list of named items.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(bound(deserialize = "T: Deserialize<'de>"))]
 pub struct Patch<T> {
-    /// Things that are new, or replace those of the same name in their place.
+    /// New items, and items that replace those of the same name at the same position.
     #[serde(default = "Vec::new")]
     pub set: Vec<T>,
-    /// Names of things that are gone.
+    /// Names of removed items.
     #[serde(default)]
     pub gone: Vec<Name>,
 }
@@ -25,29 +25,29 @@
     }
 }
 
-/// What leads from one document to another.
+/// The difference between two documents.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Delta {
-    /// Groups.
+    /// Changed groups.
     pub groups: Patch<Group>,
-    /// Models, each with all its versions and adapters.
+    /// Changed models, each with all its versions and adapters.
     pub models: Patch<Model>,
-    /// Services.
+    /// Changed services.
     pub services: Patch<Service>,
-    /// Callers.
+    /// Changed callers.
     pub callers: Patch<Caller>,
-    /// Places, by model.
+    /// Changed places, by model.
     pub places: Patch<Place>,
-    /// Priorities, by model.
+    /// Changed priorities, by model.
     pub priorities: Patch<Precedence>,
-    /// The weights, if they changed.
+    /// The new weights, if they changed.
     pub weights: Option<Weights>,
 }
 
 impl Delta {
-    /// What leads from `old` to `new`; none when only the whole document says it, as after a change
-    /// of a list's order.
+    /// The difference from `old` to `new`; none when a delta can't express it, as after a change of a list's
+    /// order.
     #[must_use]
     pub fn between(old: &Document, new: &Document) -> Option<Self> {
         let weights = new.rules.weights;
@@ -63,7 +63,7 @@
         (delta.apply(old) == *new).then_some(delta)
     }
 
-    /// The document that `old` becomes.
+    /// Applies the changes to a copy of `old`.
     #[must_use]
     pub fn apply(&self, old: &Document) -> Document {
         let mut new = old.clone();
--- a/core/src/config/spread.rs
+++ b/core/src/config/spread.rs
@@ -1,4 +1,4 @@
-//! How the configuration in force spreads: pushed to peers, asked of peers, read from the table.
+//! Distribution of the configuration: pushed to peers, requested from peers, read from the table.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,24 +18,25 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// Time after which a peer is asked again for what is missing.
+/// Minimum time between two requests to peers for newer versions.
 const WANT_AGAIN: Duration = Duration::from_millis(500);
-/// How often the time between reads doubles before there is a configuration; the usual time is its limit.
+/// Doublings of the read interval while there is no configuration; the regular interval is its limit.
 const DOUBLINGS_MAX: u32 = 8;
-/// How often the usual time between reads doubles while the table does not answer.
+/// Doublings of the regular read interval while the table does not answer.
 const SLOWDOWN_DOUBLINGS: u32 = 2;
 
-/// Which peers a version is passed on to.
+/// The peers that a new version is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Reach {
-    /// All that this entry VM talks to.
+    /// All peers that this entry VM exchanges frames with.
     All,
-    /// Those of other zones: the sender tells its own.
+    /// Only peers of other zones, since the sender of the version informs its own zone.
     Across,
 }
 
-/// Reads the table now, and again later with jitter; less often while it does not help. One entry VM of the
-/// zone reads often, so that a zone cut off from the others hears of a change soon; the rest seldom.
+/// Reads the table and schedules the next read with jitter, later after reads without result. One entry VM
+/// of the zone reads often, so that a zone cut off from the others learns of a change soon; the others read
+/// seldom, to limit the load on the table.
 pub(crate) fn poll(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     read(state, out);
     let first = member::is_first(state, &state.me.zone);
@@ -50,7 +51,7 @@
     state.timers.set(now + wait, Timer::Config);
 }
 
-/// Asks the table for what is above the version in force.
+/// Reads the changes above the version in force, or the head if there is no configuration yet.
 pub(crate) fn read(state: &mut State, out: &mut Vec<Effect>) {
     let version = state.config.version;
     if version == 0 {
@@ -60,7 +61,7 @@
     }
 }
 
-/// The table answered a read.
+/// Handles the table's answer to a read.
 pub(super) fn answered(state: &mut State, now: Time, reply: Result<Reply, Failure>, out: &mut Vec<Effect>) {
     let Ok(Reply::Rows(rows)) = reply else {
         state.config.misses = state.config.misses.saturating_add(1);
@@ -75,7 +76,7 @@
     state.config.misses = if missed { state.config.misses.saturating_add(1) } else { 0 };
 }
 
-/// Takes over what rows of the table bring.
+/// Adopts newer versions from rows of the table.
 pub(super) fn adopt_rows(state: &mut State, now: Time, rows: Vec<Row>, out: &mut Vec<Effect>) {
     let mut missing = false;
     for row in rows {
@@ -95,14 +96,14 @@
     }
 }
 
-/// Takes a head over if it is newer than the one in force.
+/// Adopts a head if it is newer than the version in force.
 pub(crate) fn adopt(state: &mut State, now: Time, head: &Head, out: &mut Vec<Effect>) {
     let current = state.config.version;
     if head.version <= current {
         return;
     }
     state.config.known = state.config.known.max(head.version);
-    // A process that has just started does not serve what it knows to be out of date.
+    // A process that has just started does not serve a version that it knows to be outdated.
     if current == 0 && head.version < state.config.known {
         return;
     }
@@ -116,7 +117,7 @@
     }
 }
 
-/// Takes a step over if it leads on from the version in force.
+/// Adopts a step if it starts from the version in force.
 pub(super) fn adopt_step(state: &mut State, now: Time, step: Step, out: &mut Vec<Effect>) {
     if step.version != state.config.version + 1 {
         return;
@@ -141,8 +142,9 @@
     crate::index::configured(state, now, out);
 }
 
-/// Tells the peers that are not known to have the version in force, at once: the steps they lack if
-/// these are at hand, else only the version, so that they ask for the whole document.
+/// Immediately sends a frame to the peers that are not known to have the version in force. It contains the
+/// steps they lack if these are still kept, otherwise only the version, so that they ask for the full
+/// document.
 pub(crate) fn push(state: &mut State, reach: Reach, out: &mut Vec<Effect>) {
     let version = state.config.version;
     for (peer, theirs) in member::behind(state, version, reach) {
@@ -152,7 +154,7 @@
     }
 }
 
-/// A peer asks for what is above the version it has.
+/// Answers a peer that asks for changes above the version `theirs`.
 pub(crate) fn answer_want(state: &mut State, peer: &Name, theirs: u64, out: &mut Vec<Effect>) {
     if theirs >= state.config.version {
         return;
@@ -168,7 +170,7 @@
     member::tell(state, peer, items, out);
 }
 
-/// A peer said which version it has in force.
+/// Handles the version that a peer reported as in force, and asks the peer for the changes if it is newer.
 pub(crate) fn heard_version(state: &mut State, now: Time, peer: &Name, theirs: u64, out: &mut Vec<Effect>) {
     state.config.known = state.config.known.max(theirs);
     if theirs <= state.config.version {
@@ -182,7 +184,7 @@
     member::tell(state, peer, vec![item], out);
 }
 
-/// A peer sent steps.
+/// Adopts steps from a peer.
 pub(crate) fn heard_steps(state: &mut State, now: Time, steps: Vec<Step>, out: &mut Vec<Effect>) {
     if state.config.version == 0 {
         return;
@@ -192,14 +194,14 @@
     }
 }
 
-/// Asks the table for the latest changes, for an operator.
+/// Reads the latest changes from the table for an operator.
 pub(crate) fn history(state: &mut State, ask: id::Ask, out: &mut Vec<Effect>) {
     let after = state.config.version.saturating_sub(HISTORY_MAX);
     let call = Call::List(Prefix::ChangesAfter(after));
     state.call(call, Purpose::Config(Wait::History(ask)), out);
 }
 
-/// The table answered with changes for an operator.
+/// Handles the table's answer to the read of the history for an operator.
 pub(super) fn history_answered(
     state: &State,
     ask: id::Ask,
--- a/core/src/fleet.rs
+++ b/core/src/fleet.rs
@@ -1,4 +1,4 @@
-//! Backend servers as this entry VM knows them: where they are, what they hold, how busy they are.
+//! Backend servers as known to this entry VM: their addresses, copies and load.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,9 +15,10 @@
 use crate::time::Time;
 use crate::vm::{Phase, Role, Vm};
 
-/// Operators' words on back ends that are kept although the VM list does not show these.
+/// Operators' drain decisions kept before those for unlisted backend servers are dropped.
 const DRAINS_MAX: usize = 1_024;
-/// Time after which a back end that said it is leaving, and is still listed as live, is tried again.
+/// Time after which a backend server that announced it is leaving, but is still listed as live, is used
+/// again.
 const LEAVING_KEPT: Duration = Duration::from_mins(1);
 
 /// A backend server.
@@ -29,32 +30,32 @@
     pub zone: Name,
     /// Its group.
     pub group: Name,
-    /// Where it listens.
+    /// The address at which it takes requests.
     pub address: SocketAddr,
-    /// Its state in the VM list, or what it said itself.
+    /// Its phase in the VM list.
     pub phase: Phase,
     /// Its last report.
     pub report: Option<Report>,
-    /// When that came.
+    /// Time at which the last report came.
     pub reported_at: Option<Time>,
-    /// When it said itself that it is leaving; void once it starts anew.
+    /// Time at which it announced that it is leaving; cleared when it restarts.
     pub left_at: Option<Time>,
     /// Whether an operator took it out of use.
     pub drained: bool,
-    /// Artifacts that nothing more may be sent for, since they are about to be dropped.
+    /// Artifacts for which no more requests may be sent to it, since their copies are about to be dropped.
     pub closing: Vec<Artifact>,
-    /// Cache events were taken up to this number.
+    /// Number of the last prefix cache event that was processed.
     pub cache_seq: u64,
 }
 
 impl Backend {
-    /// Artifacts that it answers requests for by its last report.
+    /// Artifacts that it can serve according to its last report.
     pub(crate) fn ready(&self) -> impl Iterator<Item = &Artifact> {
         let copies = self.report.iter().flat_map(|report| &report.copies);
         copies.filter(|copy| copy.stage == Stage::Ready).map(|copy| &copy.artifact)
     }
 
-    /// Whether it is going to stop, by the VM list or its own word, or out of use by an operator's.
+    /// Whether it is leaving according to the VM list or its own announcement, or drained by an operator.
     pub(crate) fn is_leaving(&self) -> bool {
         self.phase == Phase::Leaving || self.left_at.is_some() || self.drained
     }
@@ -64,25 +65,25 @@
         !self.is_leaving() && !self.report.as_ref().is_some_and(|report| report.draining)
     }
 
-    /// Whether it reported within `limit`.
+    /// Whether its last report is younger than `limit`.
     pub(crate) fn is_heard(&self, now: Time, limit: Duration) -> bool {
         self.reported_at.is_some_and(|at| now.since(at) < limit)
     }
 }
 
-/// All backend servers, and the other entry VMs by the VM list.
+/// State of this module: all backend servers, and the entry VMs of the VM list.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     /// Backend servers by VM name.
     pub backends: BTreeMap<Name, Backend>,
     /// Entry VMs as listed.
     pub entries: BTreeMap<Name, Vm>,
-    /// What operators said last of each back end of the zone.
+    /// The latest decision of an operator on each backend server of the zone.
     drains: BTreeMap<Name, Drain>,
 }
 
 impl Part {
-    /// Takes over a VM list.
+    /// Applies a VM list.
     pub(crate) fn list(&mut self, now: Time, vms: Vec<Vm>) {
         self.entries.clear();
         let mut listed = BTreeMap::new();
@@ -126,7 +127,8 @@
         }
     }
 
-    /// Takes over a report, unless a later one of the same life is known. Returns whether it was taken.
+    /// Stores a report, unless one at least as new of the same incarnation is known. Returns whether it was
+    /// stored.
     pub(crate) fn report(&mut self, now: Time, report: Report) -> bool {
         let Some(backend) = self.backends.get_mut(&report.engine) else {
             return false;
@@ -144,7 +146,7 @@
     }
 }
 
-/// A report came, from the engine itself or by way of its collector.
+/// Handles a report, from the engine itself or forwarded by its collector.
 pub(crate) fn reported(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
     if !state.fleet.report(now, report.clone()) {
         return;
@@ -154,7 +156,7 @@
     crate::dispatch::at(state, now, &report.engine, out);
 }
 
-/// The VM list came.
+/// Handles a new VM list.
 pub(crate) fn listed(state: &mut State, now: Time, vms: Vec<Vm>, out: &mut Vec<Effect>) {
     state.fleet.list(now, vms);
     member::listed(state, now);
@@ -163,7 +165,8 @@
     crate::dispatch::all(state, now, out);
 }
 
-/// An operator takes a back end of this zone out of use, or back into it. Returns whether it is known.
+/// Takes a backend server of this zone out of use or back into it, for an operator. Returns whether it is
+/// known in this zone.
 pub(crate) fn drain(
     state: &mut State,
     now: Time,
@@ -182,7 +185,7 @@
     true
 }
 
-/// Operators' words on back ends came from a peer, or from an operator here.
+/// Applies operators' decisions on backend servers, from a peer or made at this entry VM.
 pub(crate) fn heard_drains(state: &mut State, now: Time, drains: &[Drain], out: &mut Vec<Effect>) {
     for drain in drains {
         let known = state.fleet.drains.get(&drain.backend);
@@ -196,7 +199,7 @@
     crate::dispatch::all(state, now, out);
 }
 
-/// All words of operators, for a peer that has heard none.
+/// All decisions of operators on backend servers, for a peer that has none yet.
 pub(crate) fn drains(state: &State) -> Option<Item> {
     let drains: Vec<Drain> = state.fleet.drains.values().cloned().collect();
     (!drains.is_empty()).then_some(Item::Drains(drains))
--- a/core/src/health.rs
+++ b/core/src/health.rs
@@ -1,34 +1,34 @@
-//! What is known of a back end's health: suspicion on evidence, ejection of outliers, slow start.
+//! Health of a backend server: suspicion after failed contacts, ejection of outliers, slow start.
 
 use std::time::Duration;
 
 use crate::time::Time;
 
-/// How long the first suspicion of a back end lasts; it doubles with each in a row.
+/// Duration of the first suspicion; doubles with each consecutive one.
 const SUSPICION: Duration = Duration::from_millis(500);
-/// The longest that suspicion or ejection lasts.
+/// Maximum duration of a suspicion or ejection.
 const LONGEST: Duration = Duration::from_secs(30);
-/// Failures in a row after which a back end counts as an outlier.
+/// Consecutive failures after which a backend server counts as an outlier.
 const FAULTS_MAX: u32 = 5;
-/// How long the first ejection of an outlier lasts; it doubles with each in a row.
+/// Duration of the first ejection of an outlier; doubles with each consecutive one.
 const EJECTION: Duration = Duration::from_secs(2);
-/// How long a fresh back end takes to get its full share.
+/// Time after its start until a backend server gets its full share of requests.
 const SLOW_START: Duration = Duration::from_secs(10);
-/// The share that a fresh back end gets at first.
+/// Share of a backend server that has just started.
 const SLOW_START_FLOOR: f32 = 0.25;
 
-/// Whether a back end is to get work.
+/// Whether a backend server may get requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Standing {
-    /// Yes.
+    /// Without restriction.
     Good,
-    /// One request, to see whether it answers again.
+    /// A single request, to find out whether it answers again.
     Probe,
-    /// Only if there is nothing better.
+    /// Only if no other backend server is available.
     Doubtful,
 }
 
-/// The health of one back end, as this process has found it.
+/// The health of one backend server, as observed by this process.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     doubt_until: Time,
@@ -39,13 +39,13 @@
 }
 
 impl Health {
-    /// The health of a back end that has just started.
+    /// The health of a backend server that has just started.
     #[must_use]
     pub fn fresh(now: Time) -> Self {
         Self { fresh_at: Some(now), ..Self::default() }
     }
 
-    /// Whether it is to get work, given the tries that are open there.
+    /// Whether it may get requests; `open` is the number of attempts that are open there.
     #[must_use]
     pub fn standing(&self, now: Time, open: u32) -> Standing {
         if self.strikes == 0 && self.ejections == 0 {
@@ -54,44 +54,44 @@
         if now >= self.doubt_until && open == 0 { Standing::Probe } else { Standing::Doubtful }
     }
 
-    /// Whether there is any doubt about it.
+    /// Whether it is suspected or ejected.
     #[must_use]
     pub fn is_doubted(&self) -> bool {
         self.strikes > 0 || self.ejections > 0
     }
 
-    /// No connection came about, or one went silent.
+    /// Suspects it for a while, after a connection could not be opened or became silent.
     pub fn suspect(&mut self, now: Time) {
         self.doubt_until = now + doubled(SUSPICION, self.strikes);
         self.strikes += 1;
     }
 
-    /// It failed after taking a request. Returns whether it has become an outlier.
+    /// Counts a failure after it accepted a request. Returns whether it has become an outlier.
     pub fn fault(&mut self) -> bool {
         self.faults += 1;
         self.faults >= FAULTS_MAX
     }
 
-    /// It is left out for a while, as an outlier.
+    /// Ejects it for a while, as an outlier.
     pub fn eject(&mut self, now: Time) {
         self.doubt_until = now + doubled(EJECTION, self.ejections);
         self.ejections += 1;
         self.faults = 0;
     }
 
-    /// It answered: all doubt is gone.
+    /// Clears suspicion, ejection and failures after a successful answer.
     pub fn good(&mut self) {
         self.strikes = 0;
         self.ejections = 0;
         self.faults = 0;
     }
 
-    /// It answers: it is not suspected any more, though it may still prove to fail.
+    /// Clears the suspicion since it responds. Failures stay counted, because the answer may still fail.
     pub fn alive(&mut self) {
         self.strikes = 0;
     }
 
-    /// The part of its slots that it is to be given by now.
+    /// The share of its slots that it may get at this time of its slow start, from 0 to 1.
     #[must_use]
     pub fn share(&self, now: Time) -> f32 {
         let Some(at) = self.fresh_at else {
--- a/core/src/index.rs
+++ b/core/src/index.rs
@@ -1,4 +1,4 @@
-//! Keeps the routes in step with the VM list, the reports and what tries bring to light.
+//! Updates the routes from the VM list, the engines' reports and the results of attempts.
 
 use crate::artifact::Artifact;
 use crate::attempt::{Destination, Failure, Refusal};
@@ -16,7 +16,7 @@
 use crate::state::State;
 use crate::time::Time;
 
-/// The VM list or the configuration changed.
+/// Updates all routes after the VM list or the configuration changed.
 pub(crate) fn listed(state: &mut State, now: Time) {
     let backends = &state.fleet.backends;
     let fresh = !state.routes.is_empty();
@@ -27,7 +27,8 @@
     }
 }
 
-/// Another configuration is in force.
+/// Handles a new configuration: updates the routes and removes idle queues of undeclared artifacts and
+/// services.
 pub(crate) fn configured(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     listed(state, now);
     let catalog = &state.config.catalog;
@@ -38,7 +39,7 @@
     dispatch::all(state, now, out);
 }
 
-/// What is known of one back end changed: its phase, its report or the copies that are about to be dropped.
+/// Updates the routes of one backend server after its phase, its report or its closing copies changed.
 pub(crate) fn refresh(state: &mut State, now: Time, backend: &Name) {
     if let Some(backend) = state.fleet.backends.get(backend) {
         let facts = facts(state, backend);
@@ -46,7 +47,7 @@
     }
 }
 
-/// A report was taken over.
+/// Updates the routes and the load of an engine after its report was stored.
 pub(crate) fn reported(state: &mut State, now: Time, report: &Report) {
     refresh(state, now, &report.engine);
     state.routes.report(&report.engine, report.running + report.waiting);
@@ -86,7 +87,7 @@
         .filter(|artifact| !backend.closing.contains(artifact))
 }
 
-/// An engine's prefix cache changed.
+/// Applies a change of an engine's prefix cache.
 pub(crate) fn cached(state: &mut State, update: &CacheUpdate) {
     if let Some(backend) = state.fleet.backends.get_mut(&update.engine) {
         let events = (update.stored.len() + update.evicted.len()) as u64;
@@ -95,7 +96,8 @@
     state.routes.cached(&update.engine, &update.stored, &update.evicted, update.cleared);
 }
 
-/// A back end is leaving, by its own word or a peer's. Returns whether that is news.
+/// Marks a backend server that announced, to this entry VM or a peer, that it is leaving. Returns whether
+/// that was not known before.
 pub(crate) fn left(state: &mut State, now: Time, backend: &Name) -> bool {
     let known = state.fleet.backends.get_mut(backend).filter(|known| known.left_at.is_none());
     let Some(known) = known else {
@@ -106,7 +108,7 @@
     true
 }
 
-/// Draws what follows from a failed try for the back end it was at.
+/// Applies the consequences of a failed attempt to its backend server.
 pub(crate) fn troubled(state: &mut State, now: Time, closed: &Try, trouble: Trouble, out: &mut Vec<Effect>) {
     if matches!(trouble, Trouble::Failed(Failure::Connect) | Trouble::Silent) {
         retire(state, &closed.backend, out);
--- a/core/src/inventory.rs
+++ b/core/src/inventory.rs
@@ -1,43 +1,43 @@
-//! What an operator declares to exist: models, adapters, versions, services and engine groups.
+//! The inventory declared by operators: models, adapters, versions, services and groups of engines.
 
 use serde::{Deserialize, Serialize};
 
 use crate::name::Name;
 
-/// Characters that separate the parts of what callers ask for, and that no name may have.
+/// Characters that separate the parts of a target in requests; names may not contain them.
 pub const SEPARATORS: [char; 3] = [':', '@', '/'];
 
-/// Everything declared, from the operator's asset register.
+/// All declared groups, models and services, from the operator's asset register.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Inventory {
-    /// Groups of like backend servers.
+    /// Groups of identical backend servers.
     pub groups: Vec<Group>,
     /// The models to keep reachable.
     pub models: Vec<Model>,
-    /// The plain services to route to.
+    /// The plain services that requests are routed to.
     pub services: Vec<Service>,
 }
 
-/// Backend servers that are alike, in any availability zone.
+/// Identical backend servers, in any availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// The name that the VM list gives for its members.
+    /// The group name of its members in the VM list.
     pub name: Name,
-    /// What its members run.
+    /// The kind of its members.
     pub kind: Kind,
     /// Accelerator memory of each member, in MB; zero for plain services.
     #[serde(default)]
     pub memory_mb: u64,
-    /// Requests a member works on at once; more wait in its own queue.
+    /// Requests that a member processes concurrently; further ones wait in its own queue.
     pub slots: u32,
-    /// Whether its engines refuse an order with an old fencing number.
+    /// Whether its engines refuse orders with an old fencing number.
     #[serde(default)]
     pub checks_fences: bool,
 }
 
-/// What a backend server runs.
+/// The kind of a backend server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
@@ -47,15 +47,15 @@
     Service,
 }
 
-/// A model with all its versions and adapters that are to be reachable.
+/// A model with all versions and adapters to keep reachable.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Model {
-    /// The name callers use.
+    /// The name that callers use.
     pub name: Name,
     /// The group whose engines may hold it.
     pub group: Name,
-    /// Its versions; the first is served when a caller names none.
+    /// Its versions; the first is the default if a caller names none.
     pub versions: Vec<Version>,
     /// Its adapters.
     #[serde(default)]
@@ -68,17 +68,17 @@
 pub struct Version {
     /// Its name.
     pub name: Name,
-    /// Accelerator memory it takes once loaded, in MB.
+    /// Accelerator memory used once loaded, in MB.
     pub memory_mb: u64,
 }
 
-/// An adapter on top of a model; it is loaded where a version of its model is.
+/// An adapter of a model; it is loaded on an engine that holds a version of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
     /// Its name, unique within the model.
     pub name: Name,
-    /// Its versions; the first is served when a caller names none.
+    /// Its versions; the first is the default if a caller names none.
     pub versions: Vec<Version>,
 }
 
@@ -90,7 +90,7 @@
     pub name: Name,
     /// The group whose members run it.
     pub group: Name,
-    /// Whether its calls may be repeated when the caller does not say.
+    /// Whether its calls are retried by default, if the caller does not state whether they are idempotent.
     #[serde(default)]
     pub idempotent: bool,
 }
--- a/core/src/lib.rs
+++ b/core/src/lib.rs
@@ -1,8 +1,8 @@
-//! The decisions of boragecove: one reducer over all events, with effects as data.
+//! The decision logic of boragecove: one reducer that takes events and returns effects as data.
 //!
 //! [`apply`] takes the [`State`] of one daemon process, the time and an [`event::Event`], and
-//! returns [`effect::Effect`]s to carry out. It does no I/O, reads no clock and draws no random
-//! numbers but from the seed it was given, so many processes can be driven in one test.
+//! returns [`effect::Effect`]s to carry out. It does no I/O, reads no clock and draws random
+//! numbers only from a generator with a given seed, so one test can drive many processes.
 
 mod admit;
 pub mod artifact;
--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -1,4 +1,4 @@
-//! Membership: the other entry VMs, which of them live, and what passes between them.
+//! Membership: the other entry VMs, which of them are alive, and the frames exchanged with them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -25,9 +25,10 @@
 
 pub(crate) use mesh::{behind, is_first, links, live_zone, zone_peers};
 
-/// Earlier lives of a peer that are remembered, so that their late frames are dropped.
+/// Earlier incarnations remembered for each peer, so that their late frames are dropped.
 const RETIRED_MAX: usize = 4;
-/// Time between frames to a peer, for each peer of the zone: bounds what all frames together cost.
+/// Share of the frame interval for each peer of the zone: with more peers each gets frames less often,
+/// which bounds the total cost of frames.
 const SPACING: Duration = Duration::from_millis(80);
 
 /// Another entry VM.
@@ -35,23 +36,23 @@
 pub(crate) struct Peer {
     /// Its availability zone.
     pub zone: Name,
-    /// Where it listens for peers.
+    /// The address at which it listens for peers.
     pub address: SocketAddr,
-    /// Since when the VM list does not show it.
+    /// Time since which the VM list has not shown it; none while it is listed.
     pub unlisted: Option<Time>,
-    /// The life of its process, once heard.
+    /// The incarnation of its process; none before its first frame.
     pub incarnation: Option<Incarnation>,
-    /// Its last frame's number.
+    /// Number of its last frame.
     pub seq: u64,
-    /// When it was last heard; none: never.
+    /// Time of its last frame; none before the first.
     pub heard: Option<Time>,
-    /// The configuration version in force there, as last heard.
+    /// The configuration version in force there, by its last frame.
     pub config: u64,
-    /// Whether it is stopping, by its own word or the VM list's.
+    /// Whether it is stopping, according to its frames or the VM list.
     pub stopping: bool,
-    /// Whether it is thought to have failed.
+    /// Whether it is suspected to have failed.
     pub suspected: bool,
-    /// Whether it has been told all reports that this entry VM collects.
+    /// Whether it was sent all reports that this entry VM collects.
     pub synced: bool,
     since: Time,
     lost: u32,
@@ -79,27 +80,27 @@
         }
     }
 
-    /// Whether duties of its zone may fall to it.
+    /// Whether duties of its zone may be assigned to it.
     pub(crate) fn is_fit(&self) -> bool {
         !self.suspected && !self.stopping
     }
 }
 
-/// All peers.
+/// State of this module: all peers.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     /// The other entry VMs, by VM name.
     pub peers: BTreeMap<Name, Peer>,
-    /// When anything from outside last reached this process.
+    /// Time of the last event that came from outside this process.
     pub evidence: Time,
-    /// From when on silence counts.
+    /// Start of the time in which the silence of peers counts.
     listening: Time,
-    /// When the next frames are due.
+    /// Time of the next frames.
     due: Time,
     seq: u64,
 }
 
-/// The VM list was taken over.
+/// Updates the peers from a new VM list.
 pub(crate) fn listed(state: &mut State, now: Time) {
     let part = &mut state.member;
     for peer in part.peers.values_mut() {
@@ -108,7 +109,7 @@
     for vm in state.fleet.entries.values().filter(|vm| vm.name != state.me.vm) {
         let fresh = || Peer::new(vm.zone.clone(), vm.address, now);
         let peer = part.peers.entry(vm.name.clone()).or_insert_with(fresh);
-        // A peer's own word on its address is newer than the list's.
+        // The address in a peer's own frames is newer than that in the list.
         if peer.heard.is_none() {
             peer.address = vm.address;
         }
@@ -120,13 +121,13 @@
         .retain(|_, peer| peer.unlisted.is_none() || peer.heard.is_some_and(|at| now.since(at) <= forget));
 }
 
-/// Time between the frames to each peer.
+/// Time between frames to each peer.
 pub(crate) fn interval(state: &State) -> Duration {
     let peers = zone_peers(state).count() as u32;
     state.settings.heartbeat_every.max(SPACING * peers)
 }
 
-/// Peers are to be told.
+/// Sends the frames that are due and suspects silent peers.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let interval = interval(state);
     let late = now.since(state.member.due) > interval && state.member.due > Time(0);
@@ -170,7 +171,7 @@
     }
 }
 
-/// Sends a frame with `items` to every other entry VM of the zone, at once.
+/// Immediately sends a frame with `items` to every other entry VM of the zone.
 pub(crate) fn tell_all(state: &mut State, items: &[Item], out: &mut Vec<Effect>) {
     let peers: Vec<Name> = zone_peers(state).map(|(name, _)| name.clone()).collect();
     for peer in peers {
@@ -178,7 +179,7 @@
     }
 }
 
-/// Sends a frame with `items` to one peer, if it is known where that listens.
+/// Sends a frame with `items` to one peer. Does nothing if the peer is not known.
 pub(crate) fn tell(state: &mut State, peer: &Name, items: Vec<Item>, out: &mut Vec<Effect>) {
     let Some(address) = state.member.peers.get(peer).map(|peer| peer.address) else {
         return;
@@ -197,7 +198,7 @@
     out.push(Effect::Tell { peer: peer.clone(), address, frame: Box::new(frame) });
 }
 
-/// A frame could not be brought to a peer.
+/// Handles a frame that could not be delivered to a peer.
 pub(crate) fn unheard(state: &mut State, now: Time, peer: &Name) {
     if let Some(peer) = state.member.peers.get_mut(peer) {
         peer.lost = peer.lost.saturating_add(1);
@@ -206,7 +207,7 @@
     }
 }
 
-/// A frame came.
+/// Handles a frame from another entry VM.
 pub(crate) fn heard(state: &mut State, now: Time, frame: Frame, out: &mut Vec<Effect>) {
     let own = frame.from == state.me.vm;
     let overtaken = !own && is_overtaken(state, &frame);
@@ -227,14 +228,14 @@
     config::heard_version(state, now, &frame.from, frame.config, out);
 }
 
-/// Whether a later frame of the same process came before this one. What it says of its sender is old then,
-/// but what it passes on is said once: it must not be lost with it.
+/// Whether a later frame of the same process came before this one. The sender's state in it is outdated then,
+/// but the items that it forwards are sent only once, so they must still be processed.
 fn is_overtaken(state: &State, frame: &Frame) -> bool {
     let peer = state.member.peers.get(&frame.from);
     peer.is_some_and(|peer| peer.incarnation == Some(frame.incarnation) && peer.seq > frame.seq)
 }
 
-/// Whether an item carries an order of its own, so that it can be taken late and twice.
+/// Whether an item carries its own version or sequence number, so that it may be processed late or twice.
 fn stands_alone(item: &Item) -> bool {
     match item {
         Item::Report(_) | Item::Drains(_) | Item::Summary(_) | Item::Config(_) | Item::Steps(_) => true,
@@ -249,7 +250,7 @@
     }
 }
 
-/// Takes over what a frame says of its sender. Returns false for a frame that is older than one heard.
+/// Updates the sender's state from a frame. Returns false for a frame older than one already received.
 fn admit(state: &mut State, now: Time, frame: &Frame) -> bool {
     let known = state.member.peers.get_mut(&frame.from);
     let peer = match (known, frame.address) {
@@ -258,7 +259,7 @@
             let fresh = Peer::new(frame.zone.clone(), address, now);
             state.member.peers.entry(frame.from.clone()).or_insert(fresh)
         }
-        // Its items are of use, though nothing can be sent to it before the VM list shows it.
+        // Its items are processed, though nothing can be sent to it until the VM list shows its address.
         (None, None) => return true,
     };
     let same = peer.incarnation == Some(frame.incarnation);
--- a/core/src/member/mesh.rs
+++ b/core/src/member/mesh.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom: everyone within a zone, a few between each two zones.
+//! Topology of frames: a full mesh within a zone, a few links between each pair of zones.
 
 use crate::config::Reach;
 use crate::member::Peer;
@@ -6,7 +6,7 @@
 use crate::rendezvous;
 use crate::state::State;
 
-/// Entry VMs of each zone that talk to each other zone.
+/// Entry VMs of a zone that exchange frames with each other zone.
 const LINKS: usize = 2;
 
 /// The other entry VMs of this zone.
@@ -14,7 +14,7 @@
     state.member.peers.iter().filter(|(_, peer)| peer.zone == state.me.zone)
 }
 
-/// The entry VMs of this zone that duties may fall to, among them this one unless it is stopping
+/// The entry VMs of this zone that duties may be assigned to. Includes this one unless it is stopping
 /// and others can take over.
 pub(crate) fn live_zone(state: &State) -> impl Iterator<Item = &str> {
     let others = || zone_peers(state).filter(|(_, peer)| peer.is_fit()).map(|(name, _)| name.as_str());
@@ -23,23 +23,23 @@
     me.into_iter().chain(others())
 }
 
-/// Names the pair that two zones are, the same at both.
+/// A name for the pair of two zones, independent of their order.
 fn pair(a: &str, b: &str) -> String {
     if a < b { format!("{a}/{b}") } else { format!("{b}/{a}") }
 }
 
-/// The place of this entry VM among those of its zone that talk to `zone`; zero is the first.
+/// The rank of this entry VM in its zone for the links to `zone`; zero is the first.
 fn place(state: &State, zone: &str) -> Option<usize> {
     let ranked = rendezvous::rank(live_zone(state), &pair(&state.me.zone, zone));
     ranked.iter().position(|name| *name == state.me.vm.as_str())
 }
 
-/// Whether this entry VM passes on within its zone what it hears from `zone`.
+/// Whether this entry VM forwards summaries of `zone` within its own zone.
 pub(crate) fn is_first(state: &State, zone: &str) -> bool {
     place(state, zone) == Some(0)
 }
 
-/// The entry VMs of other zones that this one talks to.
+/// The entry VMs of other zones that this one sends frames to.
 pub(crate) fn links(state: &State) -> Vec<Name> {
     let mut zones: Vec<&Name> = state.member.peers.values().map(|peer| &peer.zone).collect();
     zones.sort_unstable();
@@ -58,7 +58,7 @@
     ranked.get(place % ranked.len().max(1)).map(|name| Name::from(*name))
 }
 
-/// Peers to tell that are not known to have `version` in force, with the version last heard from each.
+/// Peers not known to have `version` in force, each with its last reported version.
 pub(crate) fn behind(state: &State, version: u64, reach: Reach) -> Vec<(Name, u64)> {
     let zone = zone_peers(state).filter(|_| reach == Reach::All).map(|(name, _)| name.clone());
     zone.chain(links(state))
--- a/core/src/member/verdict.rs
+++ b/core/src/member/verdict.rs
@@ -1,4 +1,4 @@
-//! Which peers are thought to have failed, and when this entry VM must rather doubt itself.
+//! Failure detection: which peers are suspected, and when the fault is more likely on this entry VM.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 use crate::state::State;
 use crate::time::Time;
 
-/// Intervals without a frame after which a peer is suspected, at the least.
+/// Minimum number of frame intervals without a frame before a peer is suspected.
 const SILENT_INTERVALS: u32 = 4;
-/// Frames in a row that could not be brought before a peer is suspected.
+/// Consecutive undelivered frames after which a peer is suspected.
 const LOST_MAX: u32 = 3;
 
-/// Judges all peers anew. Returns whether any verdict changed.
+/// Evaluates all peers again. Returns whether any suspicion changed.
 pub(super) fn judge(state: &mut State, now: Time, interval: Duration) -> bool {
     let patience = state.settings.suspect_after.max(interval * SILENT_INTERVALS);
     if doubts_itself(state, now, patience) {
@@ -33,19 +33,21 @@
     changed
 }
 
-/// A peer of the zone is silent when it was not heard for long enough while this process was listening.
+/// Whether a peer of the zone sent no frame for longer than `patience` while this process was able to
+/// receive frames.
 fn silent(peer: &Peer, now: Time, listening: Time, patience: Duration) -> bool {
     let last = peer.heard.unwrap_or_default().max(peer.since).max(listening);
     now.since(last) > patience
 }
 
-/// Frames to a peer get lost. It is tried again after a while.
+/// Whether frames to a peer are not delivered. This expires `patience` after the last lost frame, so that
+/// the peer is tried again.
 fn lost(peer: &Peer, now: Time, patience: Duration) -> bool {
     peer.lost >= LOST_MAX && now.since(peer.lost_at) <= patience
 }
 
-/// Whether the fault seems to be here: nothing at all comes in, or most of the zone is silent although
-/// frames to it arrive.
+/// Whether the fault seems to be on this entry VM: it receives nothing at all, or most of the zone is
+/// silent although frames to the zone are delivered.
 fn doubts_itself(state: &State, now: Time, patience: Duration) -> bool {
     if now.since(state.member.evidence) > patience {
         return true;
@@ -58,7 +60,7 @@
     mute >= 2 && mute * 2 > zone().count()
 }
 
-/// A peer that listens at `address` takes the place of any other that was known there.
+/// Suspects all other peers known at `address`: the VM of `name` has taken over that address.
 pub(super) fn displace(state: &mut State, name: &Name, address: SocketAddr) {
     for (other, peer) in &mut state.member.peers {
         if other != name && peer.address == address {
--- a/core/src/operator.rs
+++ b/core/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a daemon and what it answers.
+//! Queries of operators and the daemon's answers.
 
 use std::sync::Arc;
 
@@ -13,52 +13,52 @@
 use crate::name::Name;
 use crate::vm::Phase;
 
-/// An operator's question.
+/// An operator's query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Query {
-    /// Accept a configuration.
+    /// Applies a configuration.
     Apply(Box<Apply>),
-    /// The configuration in force here.
+    /// The configuration in force at this entry VM.
     Config,
     /// The latest changes of the configuration.
     History,
-    /// The deployment in short.
+    /// Status of the deployment.
     Status,
-    /// Every artifact and where it is.
+    /// All artifacts with their copies.
     Models,
-    /// Why a model is where it is.
+    /// Why the copies of a model are where they are.
     Explain(Name),
-    /// Every engine of this zone.
+    /// All engines of this zone.
     Engines,
-    /// The entry VMs as known here.
+    /// The entry VMs known to this one.
     Members,
-    /// The latest records of control decisions.
+    /// The latest control decisions.
     Moves,
-    /// How requests ended here, and why tries were repeated, since the process started.
+    /// Counts of ended requests and of retries at this entry VM since its process started.
     Counts,
-    /// Take a back end out of use, or back into it, at this entry VM's whole zone.
+    /// Takes a backend server out of use, or back into it, for the whole zone of this entry VM.
     Drain {
         /// The backend server's VM name.
         backend: Name,
-        /// Whether to take it out.
+        /// Whether to take it out of use.
         out: bool,
     },
 }
 
-/// A configuration to accept.
+/// A configuration to apply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Apply {
-    /// The whole document.
+    /// The full document.
     pub document: Document,
-    /// The version it was made from; none: whatever is in force.
+    /// The version that the document was edited from; none: the version in force.
     pub base: Option<u64>,
     /// Who applies it.
     pub who: Name,
     /// A remark for the history.
     #[serde(default)]
     pub note: Name,
-    /// Only say what would happen.
+    /// Whether only to validate it.
     #[serde(default)]
     pub dry_run: bool,
 }
@@ -67,9 +67,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    /// Refused or failed.
+    /// The query was refused or failed.
     Error(Refusal),
-    /// Accepted, or would be.
+    /// The configuration was accepted, or would be.
     Applied(Applied),
     /// The configuration in force.
     Config {
@@ -80,32 +80,32 @@
     },
     /// The latest changes, newest first.
     History(Vec<Change>),
-    /// The deployment in short.
+    /// Status of the deployment.
     Status(Box<Status>),
-    /// Artifacts.
+    /// Artifacts with their copies.
     Models(Vec<Model>),
-    /// Why a model is where it is.
+    /// Why the copies of a model are where they are.
     Explanation(Vec<Name>),
     /// Engines.
     Engines(Vec<Engine>),
     /// Entry VMs.
     Members(Vec<Member>),
-    /// Decisions of control, newest first.
+    /// Control decisions, newest first.
     Moves(Vec<Record>),
-    /// How requests ended.
+    /// Counts of ended requests and retries.
     Counts(Counts),
-    /// Done, with nothing to say.
+    /// The query was carried out; there is nothing to return.
     Done,
 }
 
-/// Why an operator's question was refused.
+/// Why an operator's query was refused.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Refusal {
     /// The result code.
     pub code: Code,
-    /// What is wrong, each with its numbers.
+    /// The reasons, each with its numbers.
     pub reasons: Vec<Name>,
-    /// What to do about it.
+    /// What the operator can do about it.
     pub hint: Name,
     /// The version in force, where that matters.
     pub version: Option<u64>,
@@ -114,68 +114,68 @@
 /// An accepted configuration.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Applied {
-    /// The version it has, or would have.
+    /// Its version, or the version it would get.
     pub version: u64,
-    /// The operation that brought it.
+    /// The operation that wrote it.
     pub op: id::Op,
 }
 
-/// The deployment in short.
+/// Status of the deployment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
     /// The entry VM that answers.
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub ready: bool,
     /// The configuration version in force.
     pub config: u64,
-    /// The holder of the zone's lease, as last read.
+    /// VM name of the zone's lease holder, as last read from the table.
     pub lease_holder: Option<Name>,
     /// Whether the platform's table answers.
     pub table_up: bool,
-    /// Requests open here.
+    /// Open requests at this entry VM.
     pub open: u32,
-    /// Requests waiting here.
+    /// Waiting requests at this entry VM.
     pub queued: u32,
-    /// Declared artifacts.
+    /// Number of declared artifacts.
     pub artifacts: u32,
-    /// Declared artifacts with a ready copy in this zone or another.
+    /// Number of declared artifacts with a ready copy in any zone.
     pub reachable: u32,
-    /// Engines of the zone.
+    /// Number of engines of the zone.
     pub engines: u32,
-    /// Orders under way.
+    /// Number of orders under way.
     pub moves_under_way: u32,
 }
 
-/// An artifact and where it is.
+/// An artifact and its copies.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Model {
     /// The artifact.
     pub artifact: Artifact,
     /// Its memory, in MB.
     pub memory_mb: u64,
-    /// The engines of this zone that hold it, and how far each is.
+    /// Its copies on engines of this zone.
     pub copies: Vec<Held>,
-    /// Other zones that hold it ready.
+    /// Other zones with a ready copy.
     pub zones: Vec<Name>,
-    /// Requests a second, as forecast by this entry VM.
+    /// Requests per second, as forecast by this entry VM.
     pub demand: f64,
-    /// Requests that wait for it here.
+    /// Requests that wait for it at this entry VM.
     pub waiting: u32,
 }
 
-/// One copy.
+/// One copy of an artifact.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Held {
     /// The engine's VM name.
     pub engine: Name,
-    /// How far it is.
+    /// Its stage of loading.
     pub stage: Stage,
 }
 
-/// An engine.
+/// An engine and its last report.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Engine {
     /// Its VM name.
@@ -184,49 +184,49 @@
     pub group: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Its state in the VM list.
+    /// Whether it is in use or leaving.
     pub phase: Phase,
-    /// Its role.
+    /// Its role in answering requests.
     pub role: Role,
     /// Its memory, in MB.
     pub memory_mb: u64,
-    /// Memory that copies and orders take, in MB.
+    /// Memory reserved by copies and orders, in MB.
     pub reserved_mb: u64,
-    /// Requests running there by its last report.
+    /// Running requests, by its last report.
     pub running: u32,
-    /// Requests waiting there by its last report.
+    /// Requests in its own queue, by its last report.
     pub waiting: u32,
     /// Age of its last report, in milliseconds; none before the first.
     pub report_age_ms: Option<u64>,
-    /// Copies there.
+    /// Number of copies it holds, by its last report.
     pub copies: u32,
     /// Whether it is suspected to have failed.
     pub suspected: bool,
 }
 
-/// An entry VM.
+/// An entry VM as seen by the one that answers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Member {
     /// Its VM name.
     pub name: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Whether it is thought alive.
+    /// Whether it is believed to be alive.
     pub alive: bool,
     /// Whether it is stopping or leaving.
     pub leaving: bool,
-    /// The configuration version in force there, as last heard.
+    /// The last reported configuration version in force there.
     pub config: u64,
-    /// Time since it was last heard, in milliseconds; none: never.
+    /// Time since its last sign of life, in milliseconds; none if there was none.
     pub heard_ms: Option<u64>,
 }
 
-/// How requests ended at an entry VM since its process started. What never happened is left out.
+/// Counts at an entry VM since its process started. Zero counts are left out.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
     /// Ended requests, by result code.
     pub ended: Vec<Ended>,
-    /// Tries that were followed by another, by reason.
+    /// Attempts that were followed by a retry, by reason.
     pub retried: Vec<Retried>,
 }
 
@@ -235,15 +235,15 @@
 pub struct Ended {
     /// The result code.
     pub code: Code,
-    /// How many.
+    /// Their number.
     pub count: u64,
 }
 
-/// Tries that were followed by another for one reason.
+/// Attempts that were followed by a retry for one reason.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Retried {
-    /// The reason, as the counter's label has it.
+    /// The reason, as in the label of the metric.
     pub reason: Name,
-    /// How many.
+    /// Their number.
     pub count: u64,
 }
--- a/core/src/peer.rs
+++ b/core/src/peer.rs
@@ -1,4 +1,4 @@
-//! What entry VMs tell each other.
+//! Messages between entry VMs.
 
 use std::net::SocketAddr;
 
@@ -17,83 +17,83 @@
     pub from: Name,
     /// The sender's availability zone.
     pub zone: Name,
-    /// The life of the sender's process.
+    /// The incarnation of the sender's process.
     pub incarnation: Incarnation,
-    /// Grows with each frame from the sender.
+    /// Sequence number; increases with each frame from the sender.
     pub seq: u64,
-    /// Where the sender listens for peers, for receivers whose VM list does not show it yet.
+    /// The sender's address for peers, for receivers whose VM list does not show it yet.
     pub address: Option<SocketAddr>,
     /// The configuration version in force at the sender.
     pub config: u64,
     /// Whether the sender is stopping.
     pub stopping: bool,
-    /// What it has to say.
+    /// The content.
     pub items: Vec<Item>,
 }
 
-/// One thing said in a frame. A receiver skips those it does not know.
+/// One item of a frame. A receiver skips items of a kind that it does not know.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Item {
-    /// An engine's report, from its collector to its zone.
+    /// A full report of an engine, from its collector to the zone.
     Report(Box<Report>),
-    /// Load of engines whose reports changed in nothing else, from their collector to its zone.
+    /// Loads of engines whose reports changed in nothing else, from their collector to the zone.
     Loads(Vec<Load>),
-    /// The receiver's reports are wanted whole: one of the sender's did not fit its loads.
+    /// Asks the receiver for full reports, since a load did not match the report known to the sender.
     WantReports,
-    /// A back end that refuses new work because it is leaving.
+    /// A backend server that refuses new work because it is leaving.
     Leaving(Name),
-    /// Back ends that operators took out of use or back into it.
+    /// Backend servers that operators took out of use or back into it.
     Drains(Vec<Drain>),
-    /// What a zone offers to the others; from there, or passed on within the receiver's zone.
+    /// Summary of a zone for the other zones, sent by that zone or forwarded within the receiver's zone.
     Summary(Box<Summary>),
     /// Requests for a model that arrived at the sender, for its zone's lease holder.
     Demand(Vec<Demand>),
-    /// A copy that is about to be dropped: send nothing more to it and acknowledge.
+    /// A copy is about to be dropped: the receiver must send no more requests to it and acknowledge.
     Close(Closing),
-    /// Nothing more goes from the sender to that copy, and nothing of its own runs there.
+    /// Acknowledgement: the sender sends no more requests to the copy and has none running there.
     Closed(Closing),
-    /// The copy is to be used again.
+    /// The copy may be used again.
     Reopen(Closing),
-    /// Steps that lead to a newer configuration, oldest first.
+    /// Steps to a newer configuration, oldest first.
     Steps(Vec<config::Step>),
-    /// A newer configuration, whole.
+    /// A newer configuration in full.
     Config(Box<config::Head>),
-    /// The receiver is behind or ahead: send what is above this version.
+    /// Asks the receiver for configuration changes above this version, which the sender has in force.
     WantConfig(u64),
 }
 
-/// An engine's load since a report that differs in nothing else.
+/// New load of an engine, relative to an earlier report that is equal in everything else.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The digest of the engine's VM name.
+    /// Digest of the engine's VM name.
     pub engine: u32,
-    /// The digest of all else in the report.
+    /// Digest of everything in the report but the load.
     pub shape: u32,
-    /// The number of the report that it is from.
+    /// Sequence number of the report that the load was taken from.
     pub seq: u64,
-    /// Requests being worked on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests in the engine's own queue.
+    /// Requests waiting in the engine's own queue.
     pub waiting: u32,
-    /// Tokens generated a second.
+    /// Tokens generated per second.
     pub tokens_per_second: u32,
-    /// Requests on each copy, in the report's order.
+    /// Requests on each copy, in the order of the report's copies.
     pub requests: Vec<u32>,
 }
 
-/// An operator's word on a back end.
+/// An operator's decision whether a backend server is in use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Drain {
     /// The backend server's VM name.
     pub backend: Name,
     /// Whether it is out of use.
     pub out: bool,
-    /// Grows with each word on it; the higher one holds.
+    /// Increases with each decision; the one with the highest number applies.
     pub stamp: u64,
 }
 
-/// Names a copy that is about to be dropped.
+/// Identifies a copy that is about to be dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Closing {
     /// The engine's VM name.
@@ -102,36 +102,36 @@
     pub artifact: Artifact,
 }
 
-/// A zone in short, for the other zones.
+/// Summary of a zone for the other zones.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Summary {
     /// The zone.
     pub zone: Name,
-    /// The life of the process that made it.
+    /// Incarnation of the process that created it.
     pub by: Incarnation,
-    /// Grows with each one made by that process.
+    /// Sequence number; increases with each summary of that process.
     pub seq: u64,
-    /// How far `offers` go.
+    /// Which artifacts `offers` covers.
     pub extent: Extent,
-    /// What the zone holds ready.
+    /// Artifacts that the zone holds ready.
     pub offers: Vec<Offer>,
-    /// Memory that no copy takes, in MB, over all engines.
+    /// Memory not used by copies, in MB, over all engines.
     pub free_mb: u64,
-    /// The lowest configuration version in force at the zone's live entry VMs.
+    /// Lowest configuration version in force at the zone's live entry VMs.
     pub config: u64,
-    /// Entry VMs of the zone that are not heard there, or are stopping.
+    /// Entry VMs of the zone that are suspected there or are stopping.
     pub silent: Vec<Name>,
 }
 
-/// How far the offers of a summary go.
+/// Which artifacts the offers of a summary cover.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Extent {
-    /// They are all there are.
+    /// All artifacts that the zone holds.
     All,
-    /// They are all of this share, and what else changed.
+    /// All artifacts of this share, and those of other shares that changed.
     Share(u32),
-    /// They are what changed.
+    /// Only artifacts that changed.
     #[default]
     Changes,
 }
@@ -139,9 +139,9 @@
 /// One artifact that a zone holds ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
-    /// The artifact's digest.
+    /// Digest of the artifact.
     pub artifact: u32,
-    /// Copies that answer; zero when there are none any more.
+    /// Ready copies; zero when the zone no longer holds any.
     pub copies: u32,
     /// Load of the engines that hold it, in eighths of their slots.
     pub load: u32,
@@ -154,6 +154,6 @@
     pub artifact: Artifact,
     /// Requests that arrived since the last frame.
     pub arrivals: u32,
-    /// Requests that wait for a copy now.
+    /// Requests that wait for a copy.
     pub waiting: u32,
 }
--- a/core/src/rules.rs
+++ b/core/src/rules.rs
@@ -1,4 +1,4 @@
-//! What an operator lays down on top of the inventory: who comes first, what may run where, what weighs more.
+//! Rules declared by operators for the inventory: callers, allowed zones, priorities and placement weights.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,57 +8,57 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Who may call. Empty: anyone may, as one caller with the defaults.
+    /// The allowed callers. If empty, anyone may send requests, as one caller with the default settings.
     pub callers: Vec<Caller>,
-    /// Limits on where models may run; a model without a rule may run anywhere its group is.
+    /// Zones in which models may run; a model without a rule may run wherever its group has engines.
     pub places: Vec<Place>,
-    /// Models that come before others when memory is short.
+    /// Ranks of models when memory is short.
     pub priorities: Vec<Precedence>,
-    /// What placement weighs.
+    /// Weights of placement.
     pub weights: Weights,
 }
 
-/// How urgent a request is; the order is the order of service.
+/// Priority of a request. Variants are in the order of service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Before everything else.
+    /// Served before all others.
     Urgent,
-    /// Someone waits at the screen for it.
+    /// For interactive use.
     High,
     /// The default.
     #[default]
     Normal,
-    /// Gives way to all others and comes back.
+    /// Served after all others.
     Deferrable,
 }
 
-/// One caller and what it may do.
+/// A caller with its permissions and limits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Caller {
-    /// Its name in logs and status.
+    /// Its name in logs and answers to operators.
     pub name: Name,
     /// SHA-256 of its bearer token, in lower-case hex.
     pub token_sha256: Name,
-    /// The priority of its requests that name none; also the most urgent it may name.
+    /// The default priority of its requests, and the most urgent one that it may request.
     #[serde(default)]
     pub priority: Priority,
-    /// Its share against other callers of the same priority.
+    /// Its relative share among callers of the same priority.
     #[serde(default = "one")]
     pub weight: u32,
-    /// Requests it may have open at each entry VM; none: only the process's own limit.
+    /// Maximum number of its open requests at each entry VM; none: the process's default limit.
     #[serde(default)]
     pub open_limit: Option<u32>,
-    /// Models and services it may reach; empty: all.
+    /// Models and services that it may use; empty: all.
     #[serde(default)]
     pub reach: Vec<Name>,
 }
 
-/// Digits of a SHA-256 in hex.
+/// Number of hex digits of a SHA-256.
 const DIGEST_DIGITS: usize = 64;
 
-/// Whether a text has the form of a caller's `token_sha256`.
+/// Whether `text` is a valid `token_sha256` of a caller.
 #[must_use]
 pub fn is_digest(text: &str) -> bool {
     text.len() == DIGEST_DIGITS && text.bytes().all(|byte| matches!(byte, b'0'..=b'9' | b'a'..=b'f'))
@@ -68,7 +68,7 @@
     1
 }
 
-/// Where a model may run.
+/// The zones in which a model may run, and its minimum number of copies.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Place {
@@ -76,12 +76,12 @@
     pub model: Name,
     /// The availability zones that may hold it.
     pub zones: Vec<Name>,
-    /// Copies to keep at the least, over all zones.
+    /// Minimum number of copies over all zones.
     #[serde(default = "one")]
     pub copies: u32,
 }
 
-/// A model's rank when memory is short.
+/// The rank of a model when memory is short.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Precedence {
@@ -91,7 +91,8 @@
     pub priority: Priority,
 }
 
-/// What a placement plan minimises: missed targets times `attainment` plus moves times `moves`.
+/// Weights of the cost that a placement plan minimises: missed targets times `attainment` plus moves times
+/// `moves`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
@@ -99,9 +100,9 @@
     pub attainment: f64,
     /// Cost of one load, unload or role change, in missed targets.
     pub moves: f64,
-    /// First token target, in milliseconds.
+    /// Target for the time to the first token, in milliseconds.
     pub first_token_ms: u32,
-    /// Target for the gap between tokens, in milliseconds.
+    /// Target for the time between tokens, in milliseconds.
     pub token_gap_ms: u32,
 }
 
--- a/core/src/settings.rs
+++ b/core/src/settings.rs
@@ -1,45 +1,45 @@
-//! Limits and intervals of a process. They are set once, at its start.
+//! Limits and intervals of a process, fixed at its start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What the reducer goes by besides the accepted configuration.
+/// Parameters of the reducer besides the accepted configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Where this process listens for peers, told to those whose VM list does not show it yet.
+    /// This process's address for peers; frames contain it for receivers whose VM list does not show it yet.
     pub address: Option<SocketAddr>,
-    /// Requests open at once.
+    /// Maximum number of open requests.
     pub open_max: u32,
-    /// Requests waiting at once for one model or service.
+    /// Maximum number of requests waiting for one model or service.
     pub queue_max: u32,
-    /// Requests of one caller open at once, where no rule says otherwise and callers are named.
+    /// Maximum number of open requests of one caller, if callers are declared and the caller has no limit of
+    /// its own.
     pub caller_open_max: u32,
-    /// Tries of one request that may fail in a row, without any progress in between.
+    /// Consecutive attempts of one request that may fail without progress.
     pub attempts_max: u16,
-    /// Retries allowed, as a share of recent successes.
+    /// Retry budget, as a share of recent successes.
     pub retry_ratio: f64,
-    /// Retries allowed beyond that share, a second.
+    /// Retries per second allowed in addition to that share.
     pub retry_floor: f64,
-    /// Retries allowed in a row when none were used for long: enough for all that one engine works on.
+    /// Retries allowed at once after a time without any: enough for all requests running on one engine.
     pub retry_burst: f64,
-    /// Upper bound of the first wait before a retry; it doubles with each.
+    /// Upper bound of the delay before the first retry; it doubles with each further one.
     pub backoff_base: Duration,
-    /// Upper bound of any wait before a retry.
+    /// Upper bound of the delay before any retry.
     pub backoff_max: Duration,
-    /// Time to the head of an answer, beyond the predicted wait, before a try counts as silent.
+    /// Time to the head of an answer, beyond the predicted wait, after which an attempt counts as silent.
     pub first_byte: Duration,
-    /// Time between two events of a stream before it counts as silent.
+    /// Time without an event after which a stream counts as silent.
     pub idle: Duration,
     /// Time between reads of the VM list.
     pub list_every: Duration,
-    /// Time between reads of the configuration's changes by the one entry VM of a zone that reads most often,
-    /// on average.
+    /// Mean time between reads of the configuration's changes by the one entry VM of a zone that reads often.
     pub config_first: Duration,
-    /// Time between reads of the configuration's changes by the others, on average.
+    /// Mean time between reads of the configuration's changes by the other entry VMs of the zone.
     pub config_every: Duration,
-    /// Time between tries to settle a change whose answer was lost, on average.
+    /// Mean time between reads that check whether a change whose answer was lost took effect.
     pub settle_every: Duration,
-    /// Time after which an operator is told that a change could not be settled.
+    /// Time after which an operator is told that the outcome of a change is unknown.
     pub settle_limit: Duration,
     /// Time between reads of an engine's report by its collector.
     pub poll_every: Duration,
@@ -47,30 +47,30 @@
     pub heartbeat_every: Duration,
     /// Time without a frame after which a peer is suspected.
     pub suspect_after: Duration,
-    /// How long a lease lasts without renewal.
+    /// Time until a lease expires without renewal.
     pub lease_length: Duration,
-    /// Time between renewals, and between looks at someone else's lease.
+    /// Time between renewals of an own lease, and between reads of another holder's lease.
     pub lease_renew: Duration,
-    /// Loads a second that the weight store allows, over all zones.
+    /// Loads per second that the weight store allows, over all zones.
     pub store_rate: f64,
-    /// Loads at once that the weight store serves at full speed, over all zones.
+    /// Concurrent loads that the weight store serves at full speed, over all zones.
     pub store_slots: u32,
-    /// Time between placement plans of a lease holder.
+    /// Time between two placement plans of a lease holder.
     pub plan_every: Duration,
-    /// Time that claims wait for others to share a write with.
+    /// Time for which a claim waits for others to be written with it.
     pub claim_linger: Duration,
-    /// Rows in one write of claims.
+    /// Maximum number of rows in one write of claims.
     pub claim_batch: usize,
-    /// Time between two writes of claims at the least, so that the daemons together stay within what the
-    /// platform's table takes.
+    /// Minimum time between two writes of claims, so that all daemons together stay within the capacity of the
+    /// platform's table.
     pub claim_every: Duration,
-    /// How long a claim holds its key.
+    /// Time for which a claim keeps its idempotency key.
     pub claim_keep: Duration,
-    /// Time between `/ready` turning to 503 and the end of the listener, for the balancer to see it.
+    /// Time between `/ready` returning 503 and the end of the listener, for the balancer to notice.
     pub balancer_grace: Duration,
-    /// Cached prompt blocks that are remembered, over all engines; each takes four bytes.
+    /// Number of cached prompt blocks remembered over all engines; each takes four bytes.
     pub prefix_blocks: usize,
-    /// Records of control decisions kept for operators.
+    /// Number of control decisions kept for operators.
     pub records_kept: usize,
 }
 
--- a/core/src/state.rs
+++ b/core/src/state.rs
@@ -1,4 +1,4 @@
-//! All that one daemon process knows, as one struct of parts.
+//! The state of one daemon process, composed of the state of each module.
 
 use rustc_hash::FxHashMap;
 
@@ -27,14 +27,14 @@
 use crate::time::Time;
 use crate::timer::{Timer, Timers};
 
-/// Who this process is.
+/// Identity of a daemon process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Identity {
     /// Its VM's name in the VM list.
     pub vm: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Drawn anew at each start.
+    /// Chosen at random at each start of the process.
     pub incarnation: id::Incarnation,
 }
 
@@ -63,13 +63,13 @@
     pub(crate) drain: drain::Part,
     pub(crate) audit: audit::Part,
     pub(crate) table_up: bool,
-    /// When this process last went on after a pause.
+    /// Time at which this process last resumed after a stall; its start if it never stalled.
     pub(crate) resumed: Time,
     calls: FxHashMap<id::Op, Purpose>,
     seq: u64,
 }
 
-/// Which module waits for a call of the table, and for what.
+/// Which module waits for the answer to a table call, and what the call was for.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Purpose {
     /// The configuration.
@@ -83,7 +83,7 @@
 }
 
 impl State {
-    /// A process that has just started. The seed decides every random choice it will make.
+    /// The state of a process that has just started. All its random choices depend only on the seed.
     #[must_use]
     pub fn new(me: Identity, settings: Settings, seed: u64, now: Time) -> Self {
         let mut timers = Timers::default();
@@ -126,7 +126,7 @@
         &self.counters
     }
 
-    /// What is under way now.
+    /// Current numbers of requests, attempts, claims and timers.
     #[must_use]
     pub fn gauges(&self) -> Gauges {
         Gauges {
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Who this process is.
+    /// Identity of this process.
     #[must_use]
     pub const fn identity(&self) -> &Identity {
         &self.me
@@ -149,12 +149,12 @@
         self.seq
     }
 
-    /// Draws the id of an operation.
+    /// Returns a new operation id.
     pub(crate) fn next_op(&mut self) -> id::Op {
         id::Op { by: self.me.incarnation, seq: self.next() }
     }
 
-    /// Draws the id of an order.
+    /// Returns a new order id.
     pub(crate) fn next_order(&mut self) -> id::Order {
         id::Order { by: self.me.incarnation, seq: self.next() }
     }
@@ -165,7 +165,7 @@
         self.call_as(op, call, purpose, out);
     }
 
-    /// Calls the table under an id drawn before.
+    /// Calls the table with the operation id `op`.
     pub(crate) fn call_as(&mut self, op: id::Op, call: table::Call, purpose: Purpose, out: &mut Vec<Effect>) {
         match &call {
             table::Call::Get(_) | table::Call::List(_) => self.counters.table_reads += 1,
@@ -176,7 +176,7 @@
         out.push(Effect::Table { op, call });
     }
 
-    /// Takes what a call was for, when its answer comes.
+    /// Removes and returns the purpose of a table call, once it is answered.
     pub(crate) fn settle(&mut self, op: id::Op) -> Option<Purpose> {
         self.calls.remove(&op)
     }
--- a/core/src/status.rs
+++ b/core/src/status.rs
@@ -1,4 +1,4 @@
-//! Answers to operators' questions from what this entry VM knows.
+//! Answers to operators' queries from the state of this entry VM.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::time::Time;
 use crate::vm::Phase;
 
-/// An operator asks.
+/// Handles an operator's query.
 pub(crate) fn asked(state: &mut State, now: Time, ask: id::Ask, query: Query, out: &mut Vec<Effect>) {
     let answer = match query {
         Query::Apply(apply) => return config::apply(state, now, ask, *apply, out),
@@ -153,7 +153,8 @@
         .collect()
 }
 
-/// Whether a backend server is an engine of this zone. One of a group that is not declared is known by its reports.
+/// Whether a backend server is an engine of this zone. If its group is not declared, it counts as an engine
+/// once it has reported.
 fn is_engine(state: &State, backend: &Backend) -> bool {
     let is_engine = match state.config.catalog.groups.get(&backend.group) {
         Some(group) => group.kind == Kind::Engine,
@@ -183,7 +184,7 @@
     members
 }
 
-/// An entry VM of this zone, as heard from itself.
+/// An entry VM of this zone, by its own frames.
 fn neighbour(now: Time, name: &Name, peer: &Peer) -> Member {
     Member {
         name: name.clone(),
@@ -195,7 +196,7 @@
     }
 }
 
-/// An entry VM of another zone, as that zone's summary has it.
+/// An entry VM of another zone, by the last summary of that zone.
 fn distant(state: &State, now: Time, name: &Name, peer: &Peer) -> Member {
     let zone = summary::zones(state, now).find(|(zone, _)| **zone == peer.zone).map(|(_, zone)| zone);
     let silent = zone.is_none_or(|zone| zone.silent.contains(name));
--- a/core/src/summary.rs
+++ b/core/src/summary.rs
@@ -1,8 +1,8 @@
-//! What each zone offers to the others, in short: which artifacts it holds ready and how busy they are.
+//! Summaries that zones send each other: which artifacts a zone holds ready, and their load.
 //!
-//! A summary states, for each artifact it names, how things are: with every frame those whose copies
-//! changed, now and then also those whose load did, and a share of the rest, so that one that got lost is
-//! made good before long. Load that changes little is not told.
+//! A summary contains the current state of some artifacts. Every summary has those whose number of copies
+//! changed. Every few summaries, one also has those whose load changed considerably, and a share of the
+//! others, so that the content of a lost summary is sent again within a limited time.
 
 use std::collections::BTreeMap;
 
@@ -16,38 +16,38 @@
 use crate::state::State;
 use crate::time::Time;
 
-/// Shares of all artifacts, one of which goes out with each summary that tells load.
+/// Number of shares that artifacts are divided into; each summary with loads contains one share in full.
 const SHARES: u32 = 16;
-/// Every so many summaries one tells load as well.
+/// One summary in this many contains loads.
 const LOAD_EVERY: u32 = 8;
-/// Change of load that is worth telling, in parts of an engine's slots.
+/// Smallest change of load that is sent, in eighths of an engine's slots.
 const LOAD_STEP: u32 = 2;
-/// Intervals without a summary after which a zone's offers count no more.
+/// Frame intervals without a summary after which a zone's offers are ignored.
 const EXPIRY_INTERVALS: u32 = 8;
-/// The unit of load, as parts of an engine's slots.
+/// Units of load that a full engine has: load is counted in eighths of an engine's slots.
 const LOAD_PARTS: u32 = 8;
 
-/// Another zone, as last heard.
+/// Another zone, by its last summary.
 #[derive(Debug, Default)]
 pub(crate) struct Zone {
-    /// When it was last heard of.
+    /// Time of its last summary.
     pub heard: Time,
-    /// Memory that no copy takes, in MB.
+    /// Memory not used by copies, in MB.
     pub free_mb: u64,
-    /// The lowest configuration version in force at its live entry VMs.
+    /// Lowest configuration version in force at its live entry VMs.
     pub config: u64,
-    /// Entry VMs that are not heard there, or are stopping.
+    /// Entry VMs that are suspected there or are stopping.
     pub silent: Vec<Name>,
     by: Incarnation,
     seq: u64,
     offers: BTreeMap<u32, Offer>,
-    /// What was passed on of it within this zone, and when it was last heard then.
+    /// Offers already forwarded within this zone, and the time of the last summary that was forwarded.
     told: Told,
     passed: Time,
 }
 
 impl Zone {
-    /// A summary of it that `by` passes on.
+    /// A summary of it that `by` forwards.
     fn item(&self, zone: Name, by: Incarnation, seq: u64, extent: Extent, offers: Vec<Offer>) -> Item {
         Item::Summary(Box::new(Summary {
             zone,
@@ -62,16 +62,16 @@
     }
 }
 
-/// What was told to someone of a zone's offers.
+/// Offers of a zone already sent to one receiver.
 #[derive(Debug, Default)]
 struct Told {
     offers: BTreeMap<u32, Offer>,
-    /// Summaries told so far; none before the first.
+    /// Number of summaries sent so far.
     count: u32,
 }
 
 impl Told {
-    /// The offers to tell next, and how far they go.
+    /// The offers for the next summary, and which artifacts they cover.
     fn next(&mut self, current: &BTreeMap<u32, Offer>) -> (Vec<Offer>, Extent) {
         let whole = self.count == 0;
         let with_load = whole || self.count.is_multiple_of(LOAD_EVERY);
@@ -104,33 +104,33 @@
     }
 }
 
-/// The other zones, and what was told to them.
+/// State of this module: the other zones, and what was sent to them.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     zones: BTreeMap<Name, Zone>,
-    /// What was told to each entry VM of another zone.
+    /// What was sent to each linked entry VM of another zone.
     told: BTreeMap<Name, Told>,
     seq: u64,
 }
 
-/// What a zone holds of one artifact.
+/// The copies of one artifact in another zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Elsewhere<'a> {
     /// The zone.
     pub zone: &'a Name,
-    /// Copies that answer.
+    /// Number of ready copies.
     pub copies: u32,
     /// Load of the engines that hold it, in eighths of their slots.
     pub load: u32,
 }
 
-/// The other zones that were heard of lately.
+/// The other zones whose last summary has not expired.
 pub(crate) fn zones(state: &State, now: Time) -> impl Iterator<Item = (&Name, &Zone)> {
     let expiry = member::interval(state) * EXPIRY_INTERVALS;
     state.summary.zones.iter().filter(move |(_, zone)| now.since(zone.heard) <= expiry)
 }
 
-/// The other zones that hold an artifact ready, the least busy first.
+/// The other zones that hold an artifact ready, the least loaded first.
 pub(crate) fn elsewhere<'a>(state: &'a State, now: Time, artifact: &Artifact) -> Vec<Elsewhere<'a>> {
     let digest = artifact.digest();
     let mut found: Vec<Elsewhere> = zones(state, now)
@@ -143,7 +143,8 @@
     found
 }
 
-/// What this zone offers now. Others may drop copies for the sake of these, so silent engines offer nothing.
+/// The artifacts that this zone holds ready now. Engines without a recent report are left out, because other
+/// zones may drop their copies in reliance on these.
 fn offers(state: &State, now: Time) -> BTreeMap<u32, Offer> {
     #[derive(Default)]
     struct Sum {
@@ -211,7 +212,7 @@
         .sum()
 }
 
-/// A summary came, from the zone itself or passed on within this one.
+/// Handles a summary, sent by the other zone itself or forwarded within this one.
 pub(crate) fn heard(state: &mut State, now: Time, summary: &Summary) {
     if summary.zone == state.me.zone {
         return;
@@ -240,8 +241,8 @@
     zone.seq = summary.seq;
 }
 
-/// What this entry VM passes on within its zone with the next frames: the zones it was told of since the
-/// last, if it is the one that passes them on.
+/// Summaries to forward within this zone with the next frames: those of zones that sent a new summary since
+/// the last frames and that this entry VM is the forwarder for.
 pub(crate) fn pass_on(state: &mut State) -> Vec<Item> {
     let names: Vec<Name> = state.summary.zones.keys().cloned().collect();
     let first: Vec<Name> = names.into_iter().filter(|name| member::is_first(state, name)).collect();
@@ -260,7 +261,7 @@
     items
 }
 
-/// The same whole, for a peer that has heard nothing of it.
+/// The last summaries of the same zones in full, for a peer that has received none.
 pub(crate) fn passed_on(state: &mut State) -> Vec<Item> {
     state.summary.seq += 1;
     let (by, seq) = (state.me.incarnation, state.summary.seq);
--- a/core/src/table.rs
+++ b/core/src/table.rs
@@ -1,4 +1,4 @@
-//! The platform's transactional table as the reducer sees it: typed rows, conditional writes, reads by prefix.
+//! Interface to the platform's transactional table: typed rows, conditional writes, reads by prefix.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,12 +8,12 @@
 use crate::ledger;
 use crate::name::Name;
 
-/// A row's version: grows by one with each write; zero stands for a row that is absent.
+/// A row's version: increases by one with each write; zero stands for an absent row.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Version(pub u64);
 
-/// Names a row.
+/// The key of a row.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Key {
@@ -34,12 +34,12 @@
     Claim {
         /// The caller's name.
         caller: Name,
-        /// The key as the caller gave it.
+        /// The key that the caller sent.
         key: Name,
     },
 }
 
-/// All rows of one kind; for ledgers, of one availability zone.
+/// A set of rows to list: all rows of one kind, for ledgers those of one availability zone.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Prefix {
@@ -85,7 +85,7 @@
     pub key: Key,
     /// The version the row must have; zero: it must be absent.
     pub expect: Version,
-    /// The new content; none removes the row.
+    /// The new content; none to remove the row.
     pub value: Option<Value>,
 }
 
@@ -93,46 +93,46 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Call {
-    /// Read some rows.
+    /// Reads rows by key.
     Get(Vec<Key>),
-    /// Read all rows under a prefix.
+    /// Reads all rows of a prefix.
     List(Prefix),
-    /// Write a few rows, all or none.
+    /// Writes a few rows atomically.
     Commit(Vec<Write>),
-    /// Write many rows, each by itself.
+    /// Writes many rows independently of each other.
     Each(Vec<Write>),
 }
 
-/// What the table answered.
+/// The table's answer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// The rows that exist of those asked for.
+    /// The requested rows that exist.
     Rows(Vec<Row>),
     /// The commit took effect.
     Committed,
-    /// The commit did not take effect; these rows had another version (absent ones are left out).
+    /// The commit did not take effect; these rows have another version (absent ones are left out).
     Conflict(Vec<Row>),
-    /// For each write in order, whether it took effect.
+    /// The result of each write, in order.
     Each(Vec<Done>),
 }
 
-/// What became of one write of many.
+/// Result of one of several independent writes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Done {
-    /// It took effect.
+    /// The write took effect.
     Written,
-    /// It did not; the row as it is, if it exists.
+    /// The write did not take effect; contains the current row, if it exists.
     Kept(Option<Row>),
 }
 
-/// Why there is no answer.
+/// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Failure {
-    /// The call certainly had no effect: it was refused, or no connection came about.
+    /// The call had no effect: it was refused, or no connection could be opened.
     Unavailable,
-    /// The call may have taken effect: its answer was lost or is late.
+    /// The call may have taken effect: its answer was lost or did not come in time.
     Unknown,
 }
--- a/core/src/vm.rs
+++ b/core/src/vm.rs
@@ -1,4 +1,4 @@
-//! The platform's list of virtual machines, as it lags behind.
+//! The platform's list of virtual machines, which may be out of date.
 
 use std::net::SocketAddr;
 
@@ -13,15 +13,15 @@
     pub name: Name,
     /// Its availability zone.
     pub zone: Name,
-    /// Where its process listens: for an entry VM the address for peers, else for requests and orders.
+    /// The address of its process: for an entry VM that for peers, otherwise that for requests and orders.
     pub address: SocketAddr,
-    /// What it is for.
+    /// Its role.
     pub role: Role,
-    /// Whether it is on its way out.
+    /// Whether it is in use or leaving.
     pub phase: Phase,
 }
 
-/// What a virtual machine is for.
+/// The role of a virtual machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
@@ -31,12 +31,12 @@
     Backend(Name),
 }
 
-/// A virtual machine's state in the list.
+/// The state of a virtual machine in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Phase {
     /// In use.
     Live,
-    /// Leaving: it takes no new work.
+    /// Leaving: it accepts no new requests.
     Leaving,
 }
