--- a/core/src/demand.rs
+++ b/core/src/demand.rs
@@ -1,4 +1,5 @@
-//! Demand per artifact: counted where requests arrive, gathered by the zone's lease holder, forecast with its trend.
+//! Demand per artifact. Each entry VM counts the requests that arrive there, and the lease holder of the zone
+//! adds the counts up and forecasts demand from its level and trend.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,24 +15,24 @@
 use crate::state::State;
 use crate::time::Time;
 
-/// Arrivals are folded into the forecast in windows of this length.
+/// Length of the windows in which arrivals are counted for the forecast.
 const WINDOW: Duration = Duration::from_secs(10);
-/// Weight of a window in the level.
+/// Weight of the latest window in the smoothed request rate.
 const LEVEL_WEIGHT: f64 = 0.25;
-/// Weight of a window in the trend.
+/// Weight of the latest window in the smoothed trend.
 const TREND_WEIGHT: f64 = 0.08;
-/// How far ahead placement looks: some loads, one after the other.
+/// How far ahead placement forecasts demand: the time of several loads, one after the other.
 pub(crate) const AHEAD: Duration = Duration::from_mins(2);
-/// A trend may at the most multiply or divide the level by this within [`AHEAD`].
+/// Largest factor by which the trend may multiply or divide the request rate within [`AHEAD`].
 const TREND_MAX: f64 = 2.0;
-/// Time a request takes of an engine's slot while nothing is known of it, in seconds.
+/// Time that a request is assumed to occupy a slot before it can be estimated, in seconds.
 const HOLD_DEFAULT: f64 = 2.0;
-/// Weight of a second's sample in the number of requests under way.
+/// Weight of the latest sample in the smoothed number of running requests.
 const BUSY_WEIGHT: f64 = 0.05;
-/// Windows in which nothing was forgotten of an artifact that nobody asked for.
+/// Request rate per second at or below which an artifact is forgotten.
 const IDLE_RATE: f64 = 1e-6;
 
-/// Demand for one artifact in this zone.
+/// Estimated demand for one artifact in this zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Track {
     arrivals: u32,
@@ -44,18 +45,18 @@
 }
 
 impl Track {
-    /// Requests a second now.
+    /// Returns the smoothed request rate per second.
     pub(crate) fn rate(&self) -> f64 {
         self.level
     }
 
-    /// Requests a second at the end of the time that placement looks ahead.
+    /// Returns the request rate per second that is forecast for [`AHEAD`] from now.
     pub(crate) fn forecast(&self) -> f64 {
         let ahead = self.level + self.trend * AHEAD.as_secs_f64();
         ahead.clamp(self.level / TREND_MAX, self.level * TREND_MAX).max(0.0)
     }
 
-    /// Time that a request takes of an engine's slot, in seconds: requests under way by their rate.
+    /// Returns the time that a request occupies a slot, in seconds: running requests divided by the request rate.
     pub(crate) fn hold(&self) -> f64 {
         if self.level < 0.01 || self.busy < 0.01 {
             return HOLD_DEFAULT;
@@ -63,7 +64,7 @@
         (self.busy / self.level).clamp(0.05, 60.0)
     }
 
-    /// Slots that the forecast demand takes.
+    /// Returns the number of slots that the forecast demand occupies, with one for each waiting request.
     pub(crate) fn load(&self) -> f64 {
         self.forecast() * self.hold() + f64::from(self.waiting)
     }
@@ -72,7 +73,8 @@
         let seen = f64::from(self.arrivals) / seconds;
         self.arrivals = 0;
         self.windows = self.windows.saturating_add(1);
-        // The first windows weigh as much as all before them, so that a start is not taken for growth.
+        // The first windows are averaged with equal weights. Otherwise the rise from zero after a start would be
+        // taken for growth.
         let weight = LEVEL_WEIGHT.max(1.0 / f64::from(self.windows));
         let before = self.level;
         let expected = before + self.trend * seconds;
@@ -84,7 +86,7 @@
     }
 }
 
-/// Demand as counted here, and as gathered from the zone.
+/// Demand counted by this entry VM and, at the lease holder, demand of the whole zone.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     own: BTreeMap<Artifact, u32>,
@@ -94,7 +96,7 @@
 }
 
 impl Part {
-    /// A request for an artifact was admitted here.
+    /// Counts a request for an artifact that was admitted here.
     pub(crate) fn arrived(&mut self, artifact: &Artifact) {
         match self.own.get_mut(artifact) {
             Some(arrivals) => *arrivals += 1,
@@ -104,13 +106,13 @@
         }
     }
 
-    /// What is known of the demand for an artifact in this zone.
+    /// Returns the estimated demand for an artifact in this zone.
     pub(crate) fn track(&self, artifact: &Artifact) -> Track {
         self.tracks.get(artifact).copied().unwrap_or_default()
     }
 }
 
-/// Passes what was counted here on to the holder, or takes it in if that is this process.
+/// Sends the counts of this entry VM to the lease holder, or adds them to the estimates if it holds the lease.
 pub(crate) fn tick(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let waiting = state.flow.wanted().into_iter().filter_map(|work| match &work {
         Work::Artifact(artifact) => Some((artifact.clone(), state.flow.waiting(&work) as u32)),
@@ -140,7 +142,7 @@
     }
 }
 
-/// An entry VM of the zone told of its demand.
+/// Adds the demand that an entry VM of the zone counted.
 pub(crate) fn heard(state: &mut State, from: &Name, items: Vec<peer::Demand>) {
     let mut waiting = Vec::new();
     for item in items {
@@ -155,7 +157,7 @@
     state.demand.waiting.insert(from.clone(), waiting);
 }
 
-/// Brings the forecast up to date.
+/// Updates the estimates with the waiting and running requests, and at the end of a window with its arrivals.
 fn gather(state: &mut State, now: Time) {
     let part = &mut state.demand;
     let members = &state.member.peers;
@@ -180,7 +182,8 @@
         return;
     }
     part.folded = now;
-    // After a pause, or as a new holder, what was counted belongs to an unknown time.
+    // After a pause, or when this process has just taken the lease, it is not known how long the arrivals
+    // were counted, so they give no rate.
     if elapsed > WINDOW * 3 {
         for track in part.tracks.values_mut() {
             track.arrivals = 0;
--- a/core/src/lease.rs
+++ b/core/src/lease.rs
@@ -1,4 +1,4 @@
-//! The lease of an availability zone: who plans placement for its engines.
+//! The lease of an availability zone. The entry VM that holds it plans placement for the zone's engines.
 
 use std::time::Duration;
 
@@ -14,47 +14,47 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-/// Share of a lease by which its holder stops early, so that a clock running fast by less than this
-/// does not let an observer take over while the holder still plans.
+/// Fraction of the lease length by which the holder stops early. Without it, an observer whose clock
+/// runs fast could take over while the holder still plans. It covers clocks that differ by up to 10%.
 const MARGIN: f64 = 0.1;
 
-/// A lease as it stands in the table. An observer takes it over only after it saw the row unchanged
-/// for the whole of `length_ms` on its own clock, so clocks need not agree.
+/// The row of a lease in the table. An observer takes the lease over only after it has seen the row
+/// unchanged for `length_ms` on its own clock, so the clocks of entry VMs need not agree.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The entry VM that holds it; none when handed back.
+    /// The process that holds the lease; none after it was released.
     pub holder: Option<Holder>,
-    /// Grows by one with each new holder.
+    /// Fencing number of the lease. It grows by one with each new holder.
     pub fence: Fence,
-    /// Grows with each renewal, so that observers see the row change.
+    /// Number of renewals under this fence. Observers see by it that the holder is alive.
     pub renewal: u64,
-    /// How long it lasts without renewal, in milliseconds.
+    /// Time after which the lease expires if it is not renewed, in milliseconds.
     pub length_ms: u64,
 }
 
-/// Who holds a lease.
+/// The process that holds a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holder {
-    /// The entry VM's name.
+    /// Name of the entry VM.
     pub vm: Name,
-    /// The life of its process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
 }
 
-/// What this entry VM knows of its zone's lease.
+/// State of this entry VM about the lease of its zone.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
-    /// The row as last read or written, with its version.
+    /// The row as last read or written here, with its version.
     seen: Option<(table::Version, Row)>,
-    /// Since when the row has looked like that, on this process's clock.
+    /// When the row was first seen at this version, on the clock of this process.
     since: Time,
-    /// Until when this process holds it; counted from before the write that renewed it.
+    /// When the lease held by this process expires, counted from the time before its last renewal was sent.
     held_until: Option<Time>,
-    /// The fence this process held last, whether or not it still does.
+    /// The fence under which this process holds or last held the lease.
     last: Option<Fence>,
-    /// A write whose answer has not come, or was lost and is to be read back.
+    /// A write that was not answered yet, or whose answer was lost so that the row has to be read back.
     pending: Option<Pending>,
-    /// Whether the lease was handed back for good.
+    /// Whether this process has released the lease and will not take it again.
     done: bool,
 }
 
@@ -65,42 +65,42 @@
     over: table::Version,
     at: Time,
     lost: bool,
-    /// Whether it was sent again; the next look then waits its time.
+    /// Whether it was sent a second time. If that answer is lost too, the row is read at the next regular check.
     again: bool,
     cause: Cause,
 }
 
 impl Part {
-    /// The fence of the lease while this process holds it.
+    /// Returns the fence of the lease while this process holds it.
     pub(crate) fn fence(&self, now: Time) -> Option<Fence> {
         let until = self.held_until?;
         self.last.filter(|_| now < until)
     }
 
-    /// The fence of a lease that this process held last and that, as far as it can know, nobody has
-    /// taken over since.
+    /// Returns the fence of a lease that this process held until it expired, if the row as last read shows
+    /// no later holder.
     pub(crate) fn lapsed(&self, now: Time) -> Option<Fence> {
         let (_, row) = self.seen.as_ref()?;
         self.last.filter(|last| self.fence(now).is_none() && !self.done && row.fence == *last)
     }
 
-    /// Who holds it, as last read.
+    /// Returns the holder according to the row as last read or written here.
     pub(crate) fn holder(&self) -> Option<&Name> {
         self.seen.as_ref().and_then(|(_, row)| row.holder.as_ref()).map(|holder| &holder.vm)
     }
 
-    /// Whether nothing remains to be done before the process may end.
+    /// Returns whether the lease is released and no write is pending, so that the process may exit.
     pub(crate) fn is_handed_back(&self) -> bool {
         self.done && self.pending.is_none()
     }
 }
 
-/// Steps that wait for the table.
+/// Calls of the table about the lease.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
-    /// The row was asked for.
+    /// Reads the row.
     Read,
-    /// The row was written.
+    /// Writes the row.
     Write,
 }
 
@@ -108,7 +108,7 @@
     table::Key::Lease(state.me.zone.clone())
 }
 
-/// The lease is to be renewed, or someone else's looked at.
+/// Renews the lease if this process holds it, and reads its row otherwise.
 pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let wait = state.settings.lease_renew.mul_f64(0.9 + 0.2 * state.rng.f64());
     state.timers.set(now + wait, Timer::Lease);
@@ -133,7 +133,7 @@
     state.call(table::Call::Get(vec![key]), Purpose::Lease(Step::Read), out);
 }
 
-/// Notes that the time of a lease held here ran out.
+/// Gives up the lease held here once its time is over.
 fn expire(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.lease.held_until.is_some_and(|until| until <= now) {
         leave(state, now, Cause::Expired, out);
@@ -162,7 +162,7 @@
     state.call(table::Call::Commit(vec![write]), Purpose::Lease(Step::Write), out);
 }
 
-/// Hands the lease back on a planned stop. Nothing more is planned here from now on.
+/// Releases the lease on a planned stop. This process plans nothing from then on.
 pub(crate) fn hand_back(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.lease.done {
         return;
@@ -176,7 +176,7 @@
     }
 }
 
-/// The table answered about the lease.
+/// Handles the table's answer to a call about the lease.
 pub(crate) fn answered(
     state: &mut State,
     now: Time,
@@ -188,7 +188,7 @@
         (Step::Read, Ok(table::Reply::Rows(rows))) => looked(state, now, rows.into_iter().next(), out),
         (Step::Write, Ok(table::Reply::Committed)) => committed(state, now, out),
         (Step::Write, Err(table::Failure::Unavailable)) => state.lease.pending = None,
-        // A lease that cannot be handed back lapses by itself: the process need not stay for it.
+        // A lease that cannot be released expires by itself, so the process need not wait for it.
         (Step::Read | Step::Write, Err(_)) if state.lease.done => state.lease.pending = None,
         (Step::Read, _) => {}
         (Step::Write, Ok(_) | Err(table::Failure::Unknown)) => {
@@ -206,7 +206,7 @@
     }
 }
 
-/// The pending write took effect.
+/// Applies the pending write, which took effect in the table.
 fn committed(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let Some(Pending { row, over, at, cause, .. }) = state.lease.pending.take() else {
         return;
@@ -239,7 +239,7 @@
     row.holder.as_ref().is_some_and(|holder| holder.incarnation == state.me.incarnation)
 }
 
-/// The row was read: settle a lost answer by it, or take a lease that is free.
+/// Handles the row that was read: resolves a write whose answer was lost, or takes the lease if it is free.
 fn looked(state: &mut State, now: Time, found: Option<table::Row>, out: &mut Vec<Effect>) {
     let (version, row) = match found {
         Some(table::Row { version, value: table::Value::Lease(row), .. }) => (version, Some(row)),
@@ -273,7 +273,7 @@
     take(state, now, version, known, out);
 }
 
-/// Takes the lease if nobody holds it, or its holder let it lapse.
+/// Takes the lease if nobody holds it or if it has expired.
 fn take(state: &mut State, now: Time, over: table::Version, seen: Option<Row>, out: &mut Vec<Effect>) {
     let length_ms = state.settings.lease_length.as_millis() as u64;
     let holder = Some(Holder { vm: state.me.vm.clone(), incarnation: state.me.incarnation });
@@ -296,7 +296,7 @@
     write(state, now, over, row, cause, out);
 }
 
-/// Decides by the row whether a write whose answer was lost took effect.
+/// Decides by the row that was read whether a write whose answer was lost took effect.
 fn settle(
     state: &mut State,
     now: Time,
@@ -313,7 +313,8 @@
         state.lease.pending = None;
         return;
     }
-    // The write may still arrive: the same row over the same version lets either of the two win.
+    // The lost write may still reach the table. Writing the same row over the same version again is safe:
+    // whichever of the two comes first takes effect, and the other one fails.
     let write = table::Write {
         key: key(state),
         expect: pending.over,
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -1,9 +1,9 @@
-//! The ledger of an engine's memory: what is resident and what any order may still bring about.
+//! The ledger of an engine's memory: the copies that it holds and the orders that may still change them.
 //!
-//! An order is recorded in the engine's row before it is sent, and sent once. It counts until a
-//! report of the engine's present life lists its end, or the engine refuses it. An order whose fate
-//! is not known is cancelled: an order under the same id that asks for nothing uses the id up, so
-//! that a copy which arrives later has no effect.
+//! An order is recorded in the engine's row before it is sent, and it is sent once. It counts as open until a
+//! report of the engine's current incarnation lists it as ended, or the engine refuses it. An order whose
+//! outcome is not known is cancelled: an order under the same id that asks for nothing makes the engine ignore
+//! the original one if that arrives later.
 
 mod book;
 mod sync;
@@ -25,43 +25,44 @@
 pub(crate) use book::{Step, answered, intend, intend_unrecorded};
 pub(crate) use sync::tick;
 
-/// Orders that may be open at one engine. They stay well below the number of ended orders that a report lists, so
-/// that no end passes unseen.
+/// Orders that may be open at one engine. The limit is well below the 64 ended orders that a report lists, so
+/// that no ended order is dropped from the list before it was seen here.
 const OPEN_MAX: usize = 16;
 
-/// Orders kept that are meant for other lives of an engine than the one reported last: those of two lives.
+/// Orders kept for other incarnations of an engine than the one reported last: enough for two incarnations.
 const OTHERS_MAX: usize = 2 * OPEN_MAX;
 
-/// Orders sent to an engine between two of its reports.
+/// Orders that may be sent to an engine between two of its reports.
 const UNREPORTED_MAX: u32 = 24;
 
-/// An engine's ledger as it stands in the table. Only orders recorded here are ever sent.
+/// The row of an engine's ledger in the table. Orders are recorded in it before they are sent, except for loads
+/// while the table cannot be reached.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The fence of the holder that wrote it last; a holder with a lower one may not write.
+    /// The fence of the lease holder that wrote the row last. A holder with a lower one may not write it.
     pub fence: Fence,
-    /// The life of the engine that was reported last, and that new orders are weighed against.
+    /// The incarnation of the engine that was reported last. New orders are meant for it.
     pub incarnation: id::Incarnation,
-    /// Orders that may still take effect, oldest first. Those that are meant for another life than the one reported
-    /// last are kept too: that report may be older than they are.
+    /// Orders that may still take effect, oldest first. Those for another incarnation than the one reported last
+    /// are kept too, since that report may be older than they are.
     pub intents: Vec<Intent>,
 }
 
-/// An order recorded before it is sent.
+/// An order as recorded before it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// The order's id.
+    /// Id of the order.
     pub order: id::Order,
-    /// The fence it was made under.
+    /// Fence of the lease under which it was made.
     pub fence: Fence,
-    /// The engine's life that it is meant for; another refuses it.
+    /// Incarnation of the engine that it is meant for. Any other incarnation refuses it.
     pub meant_for: id::Incarnation,
-    /// What it asks for.
+    /// What it asks the engine to do.
     pub action: Action,
 }
 
 impl Row {
-    /// Strikes an order that can have no further effect in this life of the engine.
+    /// Removes an order that can no longer take effect. Returns whether the row contained it.
     fn strike(&mut self, order: id::Order) -> bool {
         let Some(at) = self.intents.iter().position(|intent| intent.order == order) else {
             return false;
@@ -70,7 +71,8 @@
         true
     }
 
-    /// Turns to another life of the engine, which refuses every order that is meant for an earlier one.
+    /// Switches to another incarnation of the engine, which refuses orders for earlier ones. Of the orders for
+    /// other incarnations only the latest [`OTHERS_MAX`] are kept.
     fn restart(&mut self, incarnation: id::Incarnation) {
         self.incarnation = incarnation;
         let others = self.intents.iter().filter(|intent| intent.meant_for != incarnation).count();
@@ -82,43 +84,43 @@
         });
     }
 
-    /// Orders that may still take effect in the life that was reported last.
+    /// Returns the orders that may still take effect in the incarnation that was reported last.
     pub(crate) fn open(&self) -> impl Iterator<Item = &Intent> {
         self.intents.iter().filter(|intent| intent.meant_for == self.incarnation)
     }
 }
 
-/// The ledgers of this zone's engines, as the lease holder knows them.
+/// The ledgers of this zone's engines, as known to the lease holder.
 #[derive(Debug, Default)]
 pub(crate) struct Part {
-    /// Rows with their versions, by engine; absent before they are read.
+    /// Rows with their versions, by engine. Empty before they are read.
     pub rows: BTreeMap<Name, (table::Version, Row)>,
     desks: BTreeMap<Name, Desk>,
-    /// The fence under which they were read; older knowledge does not count.
+    /// The fence under which the rows were read. Rows read under an earlier fence are not used.
     read_under: Option<Fence>,
     reading: bool,
 }
 
-/// What this process has to do about one engine's row.
+/// State of this process about one engine's row.
 #[derive(Debug, Default)]
 struct Desk {
-    /// Whether the row was written under the present fence, so that no predecessor can write it.
+    /// Whether the row was written under the current fence, so that no earlier holder can write it any more.
     claimed: bool,
-    /// A write whose effect is not known yet.
+    /// A write that may or may not have taken effect.
     writing: Option<Writing>,
-    /// Whether orders were struck since the row was written.
+    /// Whether the row has changed here since it was last written.
     dirty: bool,
-    /// How far the engine is known.
+    /// The barrier that was or is to be sent to the engine.
     sync: Option<Sync>,
-    /// Orders to be cancelled, with whether a cancelling order was sent.
+    /// Orders to be cancelled, each with whether a cancelling order was sent.
     doubtful: BTreeMap<id::Order, bool>,
-    /// Orders that ended while the row was being written.
+    /// Orders that ended while the row that contains them was being written.
     struck: BTreeSet<id::Order>,
-    /// Orders sent since the last report.
+    /// Orders sent since the engine's last report.
     unreported: u32,
 }
 
-/// A write of a row, and what to send once it took effect.
+/// A write of a row, and the orders to send once it took effect.
 #[derive(Clone, Debug)]
 struct Writing {
     row: Row,
@@ -127,18 +129,19 @@
     lost: bool,
 }
 
-/// Whether a report made after this holder took over, of the engine's present life, is at hand.
+/// The barrier by which a holder knows that a report of the engine's current incarnation was made after it
+/// took the lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Sync {
     incarnation: id::Incarnation,
     fence: Fence,
-    /// An order that asks for nothing: a report that shows its end was made after it.
+    /// Id of an order that asks for nothing. A report that lists it as ended was made after it arrived.
     barrier: id::Order,
     done: bool,
 }
 
 impl Part {
-    /// Orders that may still take effect at an engine, including those being recorded.
+    /// Returns the orders that may still take effect at an engine, including those being recorded.
     pub(crate) fn open<'a>(&'a self, engine: &str) -> impl Iterator<Item = &'a Intent> {
         let written = self.rows.get(engine).map(|(_, row)| row);
         let writing = self.desks.get(engine).and_then(|desk| desk.writing.as_ref());
@@ -149,13 +152,14 @@
         written.into_iter().flat_map(Row::open).chain(fresh.filter(move |intent| !known(intent)))
     }
 
-    /// Whether an order to drop the artifact may still take effect there.
+    /// Returns whether an order to unload the artifact may still take effect at the engine.
     pub(crate) fn may_drop(&self, engine: &str, artifact: &Artifact) -> bool {
         self.open(engine)
             .any(|intent| matches!(&intent.action, Action::Unload { artifact: other } if other == artifact))
     }
 
-    /// Whether the engine is known as of this holder's own time, and may be given orders.
+    /// Returns whether a report of this incarnation has passed the barrier of this holder, so that orders may be
+    /// sent to the engine.
     pub(crate) fn is_ready(&self, report: &Report, fence: Fence) -> bool {
         let Some(desk) = self.desks.get(&report.engine) else {
             return false;
@@ -167,7 +171,7 @@
         synced && desk.claimed && self.read_under == Some(fence)
     }
 
-    /// Orders that may be added at the engine now.
+    /// Returns how many orders may be added at the engine now.
     pub(crate) fn room(&self, engine: &str) -> usize {
         let Some(desk) = self.desks.get(engine) else {
             return 0;
@@ -179,8 +183,8 @@
         OPEN_MAX.saturating_sub(self.open(engine).count()).min(unreported)
     }
 
-    /// Memory at a reporting engine that is free for an artifact, in MB: neither held, nor to be taken
-    /// by an open order. What the artifact itself already takes counts as free for it.
+    /// Returns the memory of an engine that is free for an artifact, in MB: neither held by other artifacts nor
+    /// to be taken by open orders for them. Memory that the artifact itself already takes counts as free.
     pub(crate) fn free_for(&self, report: &Report, artifact: &Artifact) -> u64 {
         let mut taken = coming(self.open(&report.engine));
         for copy in &report.copies {
@@ -192,7 +196,7 @@
     }
 }
 
-/// Memory that is taken or may still be taken at an engine, in MB.
+/// Returns the memory of an engine that is taken or may still be taken by open orders, in MB.
 pub(crate) fn reserved(report: &Report, row: &Row) -> u64 {
     reserved_by(report, row.open())
 }
@@ -206,7 +210,7 @@
     held + coming(open).into_iter().map(beyond).sum::<u64>()
 }
 
-/// What loads could bring, with the memory of each.
+/// Returns the artifacts that open orders may load, with the memory of each in MB.
 fn coming<'a>(open: impl Iterator<Item = &'a Intent>) -> BTreeMap<&'a Artifact, u64> {
     let mut coming: BTreeMap<&Artifact, u64> = BTreeMap::new();
     for intent in open {
@@ -218,7 +222,7 @@
     coming
 }
 
-/// An engine answered an order, or no answer came.
+/// Handles an engine's answer to an order; `None` if the answer was lost.
 pub(crate) fn ordered(state: &mut State, order: id::Order, engine: &Name, receipt: Option<&Receipt>) {
     let Some(desk) = state.ledger.desks.get_mut(engine) else {
         return;
@@ -231,9 +235,9 @@
                 desk.doubtful.entry(order).or_insert(false);
             }
         }
-        // An engine that refuses the number, or has restarted, refuses every copy of the order.
+        // An engine that refuses the fence, or has restarted, refuses the order also if it arrives again.
         Some(Receipt::Stale { .. } | Receipt::Restarted) => strike(state, engine, &[order]),
-        // After a cancelling order it is not known which of the two was refused.
+        // If a cancelling order was sent under the same id, this may be the answer to either of them.
         Some(Receipt::Full { .. } | Receipt::Busy | Receipt::Invalid) if cancelled != Some(true) => {
             strike(state, engine, &[order]);
         }
@@ -241,7 +245,7 @@
     }
 }
 
-/// Strikes the orders that a report shows to have ended.
+/// Handles an engine's report: removes the orders that it lists as ended.
 pub(crate) fn reported(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
     if !state.ledger.desks.contains_key(&report.engine) {
         return;
--- a/core/src/ledger/book.rs
+++ b/core/src/ledger/book.rs
@@ -1,4 +1,4 @@
-//! Writing ledgers to the table: claims by a new holder, intents, and settling of lost answers.
+//! Writes ledger rows to the table, and resolves writes whose answers were lost.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +12,14 @@
 
 use super::{Desk, Intent, Row, Writing};
 
-/// Steps that wait for the table.
+/// Calls of the table about ledgers.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
-    /// All rows of the zone were asked for.
+    /// Reads all rows of the zone, under this fence of the lease.
     Read(Fence),
-    /// The rows of these engines were written.
+    /// Writes the rows of these engines.
     Write(Vec<Name>),
-    /// The rows of these engines were asked for, since an answer was lost.
+    /// Reads the rows of these engines, since the answer to a write was lost.
     Check(Vec<Name>),
 }
 
@@ -27,7 +27,7 @@
     table::Key::Ledger { zone: state.me.zone.clone(), engine: engine.clone() }
 }
 
-/// Asks for the rows of this zone.
+/// Reads all rows of this zone.
 pub(super) fn read(state: &mut State, fence: Fence, out: &mut Vec<Effect>) {
     if state.ledger.reading {
         return;
@@ -37,7 +37,8 @@
     state.call(call, Purpose::Ledger(Step::Read(fence)), out);
 }
 
-/// Records orders before they are sent: those of all engines in one call of the table.
+/// Records orders before they are sent, for all engines in one call of the table. Rows that have changed here
+/// are written too.
 pub(crate) fn intend(
     state: &mut State,
     fence: Fence,
@@ -75,8 +76,8 @@
     Intent { order: order.id, fence: order.fence, meant_for: order.meant_for, action: order.action.clone() }
 }
 
-/// Sends a load that the table, which is down, cannot record. Safe only at an engine that checks
-/// fences: the next holder raises the number there and plans from a report made after that.
+/// Sends a load without recording it, while the table cannot be reached. This is safe only at an engine that
+/// checks fences: the next holder raises the fence there and plans from a report made after that.
 pub(crate) fn intend_unrecorded(
     state: &mut State,
     now: Time,
@@ -98,7 +99,7 @@
     send(state, now, engine, order, cause, out);
 }
 
-/// Writes the pending rows of these engines in one call.
+/// Writes the pending rows of these engines in one call of the table.
 pub(super) fn write(state: &mut State, engines: Vec<Name>, out: &mut Vec<Effect>) {
     if engines.is_empty() {
         return;
@@ -117,7 +118,7 @@
     state.call(table::Call::Each(writes), Purpose::Ledger(Step::Write(engines)), out);
 }
 
-/// Reads back the rows whose writes have no answer.
+/// Reads the rows whose writes were not answered.
 pub(super) fn check(state: &mut State, out: &mut Vec<Effect>) {
     let lost = |desk: &Desk| desk.writing.as_ref().is_some_and(|writing| writing.lost);
     let engines: Vec<Name> =
@@ -129,7 +130,7 @@
     state.call(table::Call::Get(keys), Purpose::Ledger(Step::Check(engines)), out);
 }
 
-/// The table answered about ledgers.
+/// Handles the table's answer to a call about ledgers.
 pub(crate) fn answered(
     state: &mut State,
     now: Time,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Marks the writes that are not settled, to be read back when the next plan is due.
+/// Marks the writes that are still pending as lost, so that the next tick reads their rows.
 fn doubt(state: &mut State, engines: &[Name]) {
     for engine in engines {
         let desk = state.ledger.desks.get_mut(engine);
@@ -180,7 +181,7 @@
     }
 }
 
-/// A write certainly had no effect: its orders were never recorded, so they are never sent.
+/// Drops a write that certainly had no effect. Its orders were not recorded, so they are not sent.
 fn drop_write(state: &mut State, engine: &Name) {
     if let Some(desk) = state.ledger.desks.get_mut(engine) {
         desk.writing = None;
@@ -189,7 +190,7 @@
     }
 }
 
-/// Takes over what a new holder reads.
+/// Replaces all ledgers by the rows that this process read as the new lease holder.
 fn adopt_all(state: &mut State, fence: Fence, rows: Vec<table::Row>) {
     state.ledger.rows.clear();
     for desk in state.ledger.desks.values_mut() {
@@ -203,7 +204,7 @@
     }
 }
 
-/// Takes a row over as another holder left it: none of its orders is known to have ended.
+/// Adopts a row that another holder wrote. None of its orders is known to have ended, so all are to be cancelled.
 fn adopt(state: &mut State, engine: &Name, version: table::Version, row: Row) {
     let doubtful = row.intents.iter().map(|intent| (intent.order, false)).collect();
     let sync = state.ledger.desks.remove(engine).and_then(|desk| desk.sync);
@@ -212,7 +213,7 @@
     state.ledger.rows.insert(engine.clone(), (version, row));
 }
 
-/// The pending write took effect: what it recorded may be sent, if the lease still holds.
+/// Applies a write that took effect, and sends the orders that it recorded if this process still holds the lease.
 fn committed(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
     let Some(desk) = state.ledger.desks.get_mut(engine) else {
         return;
@@ -242,7 +243,7 @@
     }
 }
 
-/// Decides by the row whether a write took effect.
+/// Decides by the row in the table whether a pending write took effect.
 fn settle(state: &mut State, now: Time, engine: &Name, found: Option<table::Row>, out: &mut Vec<Effect>) {
     let Some(writing) = state.ledger.desks.get(engine).and_then(|desk| desk.writing.clone()) else {
         return;
@@ -252,7 +253,8 @@
         _ => (table::Version(0), None),
     };
     if version == writing.over {
-        // The lost write may still arrive: the same row over the same version lets either win.
+        // The lost write may still reach the table. `rewrite` writes the same row over the same version again,
+        // and whichever of the two comes first takes effect.
         return;
     }
     if version.0 == writing.over.0 + 1 && row.as_ref() == Some(&writing.row) {
@@ -268,7 +270,7 @@
     }
 }
 
-/// Writes again what reading back did not settle.
+/// Repeats the writes that are still pending after their rows were read.
 fn rewrite(state: &mut State, engines: &[Name], out: &mut Vec<Effect>) {
     let mut due = Vec::new();
     for engine in engines {
@@ -299,7 +301,7 @@
     dispatch(state, engine, order, out);
 }
 
-/// Brings an order on its way.
+/// Sends an order to its engine. If the engine is not known, the order is to be cancelled later.
 pub(super) fn dispatch(state: &mut State, engine: &Name, order: Order, out: &mut Vec<Effect>) {
     let Some(desk) = state.ledger.desks.get_mut(engine) else {
         return;
--- a/core/src/ledger/sync.rs
+++ b/core/src/ledger/sync.rs
@@ -1,4 +1,5 @@
-//! Bringing a holder up to date with its engines: claims, barriers and cancelled orders.
+//! Synchronizes a lease holder with the engines of its zone: claims their rows, sends barriers and cancels
+//! orders whose outcome is not known.
 
 use crate::audit::{self, Act, Cause};
 use crate::effect::Effect;
@@ -12,7 +13,8 @@
 
 use super::{Row, Sync, Writing, book};
 
-/// Does what is due for the ledgers of a zone whose lease this process holds.
+/// Reads or claims the ledgers of the zone and sends due barriers and cancellations, if this process holds
+/// the lease.
 pub(crate) fn tick(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let Some(fence) = state.lease.fence(now) else {
         return;
@@ -32,7 +34,7 @@
     }
 }
 
-/// The engines of this zone.
+/// Returns the engines of this zone.
 fn engines(state: &State) -> Vec<Name> {
     let is_engine =
         |group: &Name| state.config.catalog.groups.get(group).is_some_and(|group| group.kind == Kind::Engine);
@@ -43,8 +45,8 @@
         .collect()
 }
 
-/// Writes this holder's fence into every row that does not have it, so that a predecessor can record
-/// nothing more.
+/// Writes this holder's fence into every row that has a lower one, so that an earlier holder can record no more
+/// orders.
 fn claim(state: &mut State, fence: Fence, out: &mut Vec<Effect>) {
     let mut due = Vec::new();
     for engine in engines(state) {
@@ -62,7 +64,8 @@
     book::write(state, due, out);
 }
 
-/// Notes the life of an engine that a report shows, and begins anew with another one.
+/// Starts a new barrier if a report shows another incarnation of the engine, or if the fence is new. For another
+/// incarnation the row is switched to it and the orders meant for it are to be cancelled.
 fn follow(state: &mut State, report: &Report, fence: Fence) {
     let claimed = state.ledger.desks.get(&report.engine).is_some_and(|desk| desk.claimed);
     if !claimed || state.ledger.read_under != Some(fence) {
@@ -89,7 +92,7 @@
     }
 }
 
-/// Sends what an engine has not answered yet: the barrier and the cancelled orders.
+/// Sends the barrier and the cancelling orders that an engine has not yet reported as ended.
 fn nudge(state: &mut State, now: Time, engine: &Name, fence: Fence, out: &mut Vec<Effect>) {
     let checks = checks(state, engine);
     let Some(desk) = state.ledger.desks.get_mut(engine).filter(|desk| desk.claimed) else {
@@ -111,7 +114,7 @@
         let Some(sent) = desk.doubtful.get_mut(&intent.order) else {
             continue;
         };
-        // The barrier alone does away with a predecessor's orders where numbers are checked.
+        // Where fences are checked, the barrier alone makes the engine refuse an earlier holder's orders.
         if checks && intent.fence < fence {
             continue;
         }
@@ -135,7 +138,7 @@
     group.and_then(|group| state.config.catalog.groups.get(group)).is_some_and(|group| group.checks_fences)
 }
 
-/// A report came: see whether it was made after this holder's barrier.
+/// Handles an engine's report: checks whether it was made after this holder's barrier.
 pub(super) fn reported(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
     let Some(fence) = state.lease.fence(now) else {
         return;
@@ -171,7 +174,7 @@
     state.ledger.desks.get(engine).and_then(|desk| desk.sync.as_ref()).map(|sync| sync.barrier)
 }
 
-/// Strikes a predecessor's orders at an engine that refuses them from now on.
+/// Removes the orders of earlier holders at an engine that refuses them from now on.
 fn strike_older(state: &mut State, engine: &Name, fence: Fence) {
     let Some((_, row)) = state.ledger.rows.get(engine) else {
         return;
