--- a/cli/tests/client/examples_fit.rs
+++ b/cli/tests/client/examples_fit.rs
@@ -41,11 +41,11 @@
     let incarnation = id::Incarnation(1);
     let me = Identity { vm: "entry-1".into(), zone: vms[0].zone.clone(), incarnation };
     let mut state = State::new(me, Settings::default(), 1, NOW);
-    let _listed = boragecove_core::apply(&mut state, NOW, Event::Listed(vms));
+    let _listed = boragecove_core::apply(&mut state, NOW, Event::VmsListed(vms));
     let apply = Apply { document, base: Some(0), who: "astrid".into(), note: "".into(), dry_run: true };
     let ask = id::Ask { by: incarnation, seq: 1 };
     let query = Box::new(Query::Apply(Box::new(apply)));
-    let effects = boragecove_core::apply(&mut state, NOW, Event::Asked { ask, query });
+    let effects = boragecove_core::apply(&mut state, NOW, Event::QueryReceived { ask, query });
     let answer = effects.into_iter().find_map(|effect| match effect {
         Effect::Answer { answer, .. } => Some(*answer),
         _ => None,
--- a/cli/tests/client/fake.rs
+++ b/cli/tests/client/fake.rs
@@ -10,7 +10,7 @@
 use boragecove_cli::environment::Environment;
 use boragecove_cli::error::Class;
 use boragecove_core::artifact::Artifact;
-use boragecove_core::audit::{Act, Cause, Record};
+use boragecove_core::audit::{Cause, Decision, Record};
 use boragecove_core::code::Code;
 use boragecove_core::config::{Change, Document};
 use boragecove_core::engine::{Role, Stage};
@@ -273,7 +273,7 @@
         config: 3,
         vm: "entry-2".into(),
         zone: "hall-a".into(),
-        act: Act::Load { order, engine: "engine-a".into(), artifact: artifact() },
+        act: Decision::Load { order, engine: "engine-a".into(), artifact: artifact() },
         cause: Cause::Demand,
     }
 }
--- a/core/benches/capacity/fleet.rs
+++ b/core/benches/capacity/fleet.rs
@@ -215,7 +215,7 @@
         let ask = id::Ask { by: Incarnation(0), seq: edition };
         let query = Box::new(Query::Apply(Box::new(apply)));
         let wait = if edition == 1 { Duration::from_secs(3) } else { HOP };
-        self.push(wait, 0, Event::Asked { ask, query });
+        self.push(wait, 0, Event::QueryReceived { ask, query });
     }
 
     fn push(&mut self, wait: Duration, to: usize, event: Event) {
@@ -275,7 +275,7 @@
                 self.nodes[at].wake = time;
                 return;
             }
-            Effect::Tell { peer, frame, .. } => {
+            Effect::SendFrame { peer, frame, .. } => {
                 let began = Instant::now();
                 let packed = rmp_serde::to_vec(&frame).expect("a frame packs");
                 cost[CODING] += micros(began);
@@ -295,10 +295,10 @@
                 let unpacked = rmp_serde::from_slice(&packed).expect("it unpacks");
                 cost[CODING] += micros(began);
                 cost[RECEIVED] += bytes;
-                self.push(HOP, to, Event::Heard(unpacked));
+                self.push(HOP, to, Event::FrameReceived(unpacked));
                 return;
             }
-            Effect::List => {
+            Effect::ListVms => {
                 let entries = self
                     .names
                     .iter()
@@ -307,20 +307,20 @@
                     entries.chain(self.engines.iter().map(|engine| engine.vm.clone())).collect();
                 let (vms, bytes) = copied(&vms);
                 cost[LIST_BYTES] += bytes;
-                Event::Listed(vms)
+                Event::VmsListed(vms)
             }
             Effect::Poll { engine, .. } => {
                 let report = self.engines[self.engine_names[&engine]].report();
                 let (report, bytes) = copied(&report);
                 cost[REPORTS] += 1.0;
                 cost[REPORT_BYTES] += bytes;
-                Event::Reported(Box::new(report))
+                Event::ReportReceived(Box::new(report))
             }
             Effect::Order { engine, order, .. } => {
                 let backend = &mut self.engines[self.engine_names[&engine]];
                 let receipt = Some(backend.order(&order));
                 backend.loaded(&order);
-                Event::Ordered { order: order.id, engine, receipt }
+                Event::OrderAnswered { order: order.id, engine, receipt }
             }
             Effect::Table { op, call } => {
                 match &call {
@@ -332,7 +332,7 @@
                 cost[TABLE_BYTES] += serde_json::to_vec(&call).expect("a call packs").len() as f64;
                 let (reply, bytes) = copied(&self.table.call(&call));
                 cost[TABLE_BYTES] += bytes;
-                Event::Table { op, reply: Ok(reply) }
+                Event::TableAnswered { op, reply: Ok(reply) }
             }
             Effect::Send(send) => {
                 let attempt = send.attempt;
@@ -341,7 +341,7 @@
                 return;
             }
             Effect::Record(record) => {
-                if let boragecove_core::audit::Act::Configured(version) = record.act {
+                if let boragecove_core::audit::Decision::Configured(version) = record.act {
                     self.nodes[at].version = version;
                 }
                 return;
@@ -376,11 +376,11 @@
 
 fn class(event: &Event) -> usize {
     match event {
-        Event::Reported(_) | Event::Unreported(_) | Event::Cached(_) => 0,
-        Event::Heard(_) | Event::Unheard { .. } => 1,
-        Event::Table { .. } | Event::Ordered { .. } | Event::Asked { .. } => 2,
+        Event::ReportReceived(_) | Event::ReportFailed(_) | Event::CacheChanged(_) => 0,
+        Event::FrameReceived(_) | Event::FrameFailed { .. } => 1,
+        Event::TableAnswered { .. } | Event::OrderAnswered { .. } | Event::QueryReceived { .. } => 2,
         Event::Wake | Event::Stop => 3,
-        Event::Listed(_) | Event::Unlisted => 4,
+        Event::VmsListed(_) | Event::VmListFailed => 4,
         _ => 5,
     }
 }
--- a/core/benches/capacity/state.rs
+++ b/core/benches/capacity/state.rs
@@ -30,7 +30,7 @@
     let op = id::Op { by: Incarnation(9), seq: 1 };
     let head = Head { version: 1, op, document: document(models, 1).into() };
     let frame = frame(1, vec![Item::Config(Box::new(head))]);
-    drop(apply(&mut state, NOW, Event::Heard(Box::new(frame))));
+    drop(apply(&mut state, NOW, Event::FrameReceived(Box::new(frame))));
     state
 }
 
@@ -79,9 +79,9 @@
     let role = || Role::Backend("brief-writer".into());
     let listed = (0..here + away)
         .map(|at| vm(format!("engine-{at:04}"), usize::from(at >= here), 20_000 + at, role()));
-    drop(apply(state, NOW, Event::Listed(listed.collect())));
+    drop(apply(state, NOW, Event::VmsListed(listed.collect())));
     for at in 0..here {
-        drop(apply(state, NOW, Event::Reported(Box::new(report(at, models)))));
+        drop(apply(state, NOW, Event::ReportReceived(Box::new(report(at, models)))));
     }
 }
 
@@ -120,9 +120,9 @@
         held(|| {
             let mut state = configured(100);
             let listed = (0..n).map(|at| vm(format!("entry-{at:03}"), at / 29, at, Role::Entry));
-            drop(apply(&mut state, NOW, Event::Listed(listed.collect())));
+            drop(apply(&mut state, NOW, Event::VmsListed(listed.collect())));
             for at in 2..n {
-                drop(apply(&mut state, NOW, Event::Heard(Box::new(frame(at, Vec::new())))));
+                drop(apply(&mut state, NOW, Event::FrameReceived(Box::new(frame(at, Vec::new())))));
             }
             state
         })
@@ -165,7 +165,7 @@
             with_engines(&mut state, 120, 0, n);
             let op = id::Op { by: Incarnation(9), seq: 2 };
             let head = Head { version: 2, op, document: document(n, 2).into() };
-            (state, Event::Heard(Box::new(frame(3, vec![Item::Config(Box::new(head))]))))
+            (state, Event::FrameReceived(Box::new(frame(3, vec![Item::Config(Box::new(head))]))))
         };
         (n as f64, micros(change))
     });
--- a/core/benches/claims.rs
+++ b/core/benches/claims.rs
@@ -67,7 +67,7 @@
                         self.calls += 1;
                         self.rows += rows as u64;
                         let reply = Ok(Reply::Each(vec![Done::Written; rows]));
-                        self.later.push_back((now + TABLE_MS, Event::Table { op, reply }));
+                        self.later.push_back((now + TABLE_MS, Event::TableAnswered { op, reply }));
                     }
                 }
                 Effect::Send(send) => {
--- a/core/benches/node/mod.rs
+++ b/core/benches/node/mod.rs
@@ -90,7 +90,7 @@
 
     fn configured(&mut self, document: Document, vms: Vec<Vm>) {
         let head = Head { version: 1, op: id::Op { by: ME, seq: 0 }, document: document.into() };
-        for effect in apply(&mut self.state, self.now, Event::Listed(vms)) {
+        for effect in apply(&mut self.state, self.now, Event::VmsListed(vms)) {
             let Effect::Table { op, call } = effect else {
                 continue;
             };
@@ -99,8 +99,11 @@
             }
             let value = Value::Config(Box::new(head.clone()));
             let row = Row { key: boragecove_core::table::Key::Config, version: RowVersion(1), value };
-            let _effects =
-                apply(&mut self.state, self.now, Event::Table { op, reply: Ok(Reply::Rows(vec![row])) });
+            let _effects = apply(
+                &mut self.state,
+                self.now,
+                Event::TableAnswered { op, reply: Ok(Reply::Rows(vec![row])) },
+            );
         }
     }
 
@@ -130,7 +133,7 @@
             stage: Stage::Ready,
             requests: 0,
         });
-        Event::Reported(Box::new(Report {
+        Event::ReportReceived(Box::new(Report {
             engine: format!("engine-{engine}").into(),
             incarnation: Incarnation(9),
             seq: self.reports,
--- a/core/benches/place.rs
+++ b/core/benches/place.rs
@@ -57,7 +57,7 @@
     for _ in 0..2 {
         let reports: Vec<_> = world.engines.values_mut().map(world::Engine::report).collect();
         for report in reports {
-            world.step(0, Event::Reported(Box::new(report)));
+            world.step(0, Event::ReportReceived(Box::new(report)));
         }
         world.run(SECOND * 2);
     }
--- a/core/benches/policy.rs
+++ b/core/benches/policy.rs
@@ -267,7 +267,7 @@
             let (stored, evicted) = (stored.clone(), evicted.to_vec());
             let engine = format!("engine-{engine}").into();
             let update = CacheUpdate { engine, seq: 0, stored, evicted, cleared: false };
-            self.event(entry, Event::Cached(Box::new(update)));
+            self.event(entry, Event::CacheChanged(Box::new(update)));
         }
     }
 
--- a/core/benches/route.rs
+++ b/core/benches/route.rs
@@ -4,7 +4,7 @@
 
 use boragecove_core::artifact::Artifact;
 use boragecove_core::name::Name;
-use boragecove_core::route::{Choice, Facts, Routes, Wanted, Work};
+use boragecove_core::route::{Choice, Description, Query, Routes, Work};
 use boragecove_core::rules::Priority;
 use boragecove_core::time::Time;
 use divan::Bencher;
@@ -48,22 +48,22 @@
             (first..first + HELD).map(|number| works[number % artifacts].clone()).collect();
         held.sort_unstable();
         let name: Name = format!("engine-{engine}").into();
-        let facts = Facts {
+        let facts = Description {
             name: name.clone(),
             address: ([127, 0, 0, 1], 9_000).into(),
             local: true,
             slots: SLOTS,
-            takes_work: true,
+            accepts_work: true,
             incarnation: None,
             works: held,
         };
         routes.set(Time::from_millis(1), facts, false);
-        routes.report(&name, rng.u32(..SLOTS));
+        routes.record_load(&name, rng.u32(..SLOTS));
     }
     for (number, work) in works.iter().enumerate() {
-        let wanted = Wanted { work, prefix: &[], avoid: &[], priority: Priority::Normal };
-        if let Choice::Site(site) = routes.pick(&mut rng, Time::from_millis(2), &wanted) {
-            routes.open_try(site, work, &prefix(number));
+        let wanted = Query { work, prefix: &[], avoid: &[], priority: Priority::Normal };
+        if let Choice::Backend(site) = routes.pick(&mut rng, Time::from_millis(2), &wanted) {
+            routes.attempt_sent(site, work, &prefix(number));
         }
     }
     Fleet { routes, works, rng }
@@ -79,7 +79,7 @@
     bencher.bench_local(|| {
         at = (at + 7) % fleet.works.len();
         let wanted =
-            Wanted { work: &fleet.works[at], prefix: &prefixes[at], avoid: &[], priority: Priority::Normal };
+            Query { work: &fleet.works[at], prefix: &prefixes[at], avoid: &[], priority: Priority::Normal };
         fleet.routes.pick(&mut fleet.rng, now, &wanted)
     });
 }
--- a/core/src/admit.rs
+++ b/core/src/admit.rs
@@ -52,7 +52,7 @@
 
 /// Admits or refuses a request. A request that cannot be answered before its deadline is refused at once.
 pub(crate) fn admit(state: &State, now: Time, arrival: &Arrival) -> Result<Admitted, Refused> {
-    if state.drain.stopping() {
+    if state.drain.is_stopping() {
         return Err(Code::Stopping.into());
     }
     if state.config.version == 0 {
@@ -63,7 +63,7 @@
     }
     let catalog = &state.config.catalog;
     let caller = arrival.token_sha256.as_deref().and_then(|token| catalog.caller(token));
-    if caller.is_none() && !catalog.is_open() {
+    if caller.is_none() && !catalog.allows_any_caller() {
         return Err(Code::Unauthenticated.into());
     }
     let (work, idempotent) = subject(catalog, caller, &arrival.subject)?;
@@ -96,7 +96,7 @@
 /// Latest time to send a request to meet the first-token target.
 fn due(state: &State, now: Time, arrival: &Arrival, work: &Work) -> Time {
     let target = Duration::from_millis(state.config.document.rules.weights.first_token_ms.into());
-    let head = state.flow.lanes.get(work).and_then(|lane| lane.head.mean()).unwrap_or_default();
+    let head = state.flow.lanes.get(work).and_then(|lane| lane.head_latency.mean()).unwrap_or_default();
     (now + target.saturating_sub(head)).min(arrival.deadline)
 }
 
@@ -138,10 +138,10 @@
         return Ok(());
     };
     let limit = caller.open_limit.unwrap_or(state.settings.caller_open_max);
-    if state.flow.open_of(&caller.name) < limit {
+    if state.flow.open_by_caller(&caller.name) < limit {
         return Ok(());
     }
-    let pace = state.flow.lanes.get(work).and_then(|lane| lane.pace.mean());
+    let pace = state.flow.lanes.get(work).and_then(|lane| lane.latency.mean());
     let retry_after = pace.map_or(RETRY_AFTER, |pace| clamp(pace / limit.max(1)));
     Err(Refused { code: Code::CallerLimit, retry_after })
 }
@@ -149,10 +149,10 @@
 /// Refuses a request whose expected wait exceeds its deadline. There is no estimate while no attempt is
 /// open, for example while the model is being loaded; the request is then admitted.
 fn in_time(lane: &Lane, now: Time, ticket: &Ticket) -> Result<(), Refused> {
-    let Some(wait) = lane.wait(lane.queue.ahead(ticket.priority)) else {
+    let Some(wait) = lane.expected_wait(lane.queue.ahead(ticket.priority)) else {
         return Ok(());
     };
-    let needed = wait + lane.pace.least();
+    let needed = wait + lane.latency.lower_bound();
     let left = ticket.deadline.since(now);
     if needed <= left {
         return Ok(());
@@ -162,14 +162,14 @@
 
 /// Refusal of a request that found the queue full. The retry-after is the expected time to serve half of
 /// the queue.
-pub(crate) fn full(lane: &Lane) -> Refused {
-    let wait = lane.wait(lane.queue.len() / 2);
+pub(crate) fn queue_full(lane: &Lane) -> Refused {
+    let wait = lane.expected_wait(lane.queue.len() / 2);
     Refused { code: Code::QueueFull, retry_after: wait.map_or(RETRY_AFTER, clamp) }
 }
 
 /// Retry-after of a preempted request: the expected time to serve all waiting requests.
-pub(crate) fn preempted(lane: &Lane) -> Duration {
-    lane.wait(lane.queue.len()).map_or(RETRY_AFTER, clamp)
+pub(crate) fn preempted_retry_after(lane: &Lane) -> Duration {
+    lane.expected_wait(lane.queue.len()).map_or(RETRY_AFTER, clamp)
 }
 
 fn clamp(wait: Duration) -> Duration {
--- a/core/src/attempt.rs
+++ b/core/src/attempt.rs
@@ -20,7 +20,7 @@
     /// Address at which the back end listens.
     pub address: SocketAddr,
     /// Kind of back end.
-    pub to: Destination,
+    pub destination: Destination,
     /// Position in the answer at which to begin.
     pub resume: Resume,
     /// Time after which an answer is of no use to the caller.
@@ -28,7 +28,7 @@
     /// Priority, for engines that schedule by priority.
     pub priority: Priority,
     /// Whether it must be sent on a new connection instead of a pooled one.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 /// Kind of back end that an attempt is sent to.
--- a/core/src/audit.rs
+++ b/core/src/audit.rs
@@ -27,7 +27,7 @@
     /// The availability zone it concerns.
     pub zone: Name,
     /// What was decided.
-    pub act: Act,
+    pub act: Decision,
     /// Why.
     pub cause: Cause,
 }
@@ -35,7 +35,7 @@
 /// What was decided.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Act {
+pub enum Decision {
     /// A zone's lease was taken.
     LeaseTaken(Fence),
     /// A zone's lease was given back or lost.
@@ -112,7 +112,7 @@
     Operator,
 }
 
-impl fmt::Display for Act {
+impl fmt::Display for Decision {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::LeaseTaken(fence) => write!(f, "took the lease, fence {}", fence.0),
@@ -169,7 +169,7 @@
 }
 
 /// Keeps a record of a decision about this zone, and has it logged.
-pub(crate) fn record(state: &mut State, now: Time, act: Act, cause: Cause, out: &mut Vec<Effect>) {
+pub(crate) fn record(state: &mut State, now: Time, act: Decision, cause: Cause, out: &mut Vec<Effect>) {
     let config = state.config.version;
     let record = Record { at: now, config, vm: state.me.vm.clone(), zone: state.me.zone.clone(), act, cause };
     state.audit.records.push_back(record.clone());
--- a/core/src/catalog.rs
+++ b/core/src/catalog.rs
@@ -29,7 +29,7 @@
 
 impl Entry {
     /// Whether the zone may hold it.
-    pub(crate) fn allows(&self, zone: &str) -> bool {
+    pub(crate) fn allows_zone(&self, zone: &str) -> bool {
         self.zones.is_empty() || self.zones.iter().any(|each| each == zone)
     }
 }
@@ -122,7 +122,7 @@
     }
 
     /// Whether anyone may send requests, since no callers are declared.
-    pub(crate) fn is_open(&self) -> bool {
+    pub(crate) fn allows_any_caller(&self) -> bool {
         self.callers.is_empty()
     }
 }
--- a/core/src/check.rs
+++ b/core/src/check.rs
@@ -113,12 +113,12 @@
 
 /// All faults of `document`. Lack of memory counts only for groups that lack more than under the document
 /// in force, so that a change is accepted while engines are missing if it does not make the lack worse.
-pub(crate) fn document(document: &Document, in_force: &Document, fleet: &fleet::Part) -> Vec<Fault> {
+pub(crate) fn validate(document: &Document, in_force: &Document, fleet: &fleet::Part) -> Vec<Fault> {
     let mut faults = Vec::new();
     inventory(&document.inventory, &mut faults);
     rules(&document.rules, &document.inventory, &mut faults);
     if faults.is_empty() {
-        faults = fit::worse(document, in_force, fleet);
+        faults = fit::worsened_shortages(document, in_force, fleet);
     }
     faults
 }
--- a/core/src/check/fit.rs
+++ b/core/src/check/fit.rs
@@ -43,7 +43,11 @@
 }
 
 /// Faults for the groups that lack more memory than under the document in force.
-pub(super) fn worse(document: &Document, in_force: &Document, fleet: &fleet::Part) -> Vec<Fault> {
+pub(super) fn worsened_shortages(
+    document: &Document,
+    in_force: &Document,
+    fleet: &fleet::Part,
+) -> Vec<Fault> {
     let after = trial(document, fleet);
     if after.lacking.is_empty() {
         return Vec::new();
@@ -178,7 +182,7 @@
     fn allowed<'a>(&'a self, entry: &'a Entry) -> impl Iterator<Item = (&'a Name, &'a Room)> {
         let rooms = self.rooms.iter();
         rooms
-            .filter(|((group, zone), _)| *group == entry.group && entry.allows(zone))
+            .filter(|((group, zone), _)| *group == entry.group && entry.allows_zone(zone))
             .map(|((_, zone), room)| (zone, room))
     }
 
--- a/core/src/claim.rs
+++ b/core/src/claim.rs
@@ -17,11 +17,11 @@
 use crate::code::{Code, Outcome};
 use crate::dispatch;
 use crate::effect::Effect;
-use crate::end::{End, Exposure};
+use crate::end::{End, Execution};
 use crate::flow::{self, Stage};
 use crate::id;
 use crate::name::Name;
-use crate::request::Past;
+use crate::request::Completion;
 use crate::state::{Purpose, State};
 use crate::table::{Call, Done, Failure, Key, Reply, Value, Version, Write};
 use crate::time::Time;
@@ -53,7 +53,8 @@
     /// Deadline of the request; it no longer runs after that.
     pub deadline: Time,
     /// How the request ended; `None` while it may be running.
-    pub past: Option<Past>,
+    #[serde(rename = "past")]
+    pub completion: Option<Completion>,
 }
 
 /// Claim of an open request.
@@ -136,7 +137,7 @@
         return;
     };
     let key = Key::Claim { caller: flow.ticket.caller.clone(), key };
-    let row = Row { request, digest, at: now, deadline: flow.ticket.deadline, past: None };
+    let row = Row { request, digest, at: now, deadline: flow.ticket.deadline, completion: None };
     flow.stage = Stage::Claiming;
     if let Some(holder) = state.claim.held.get(&key) {
         let first = state.flow.flows.get(holder).and_then(|flow| flow.claim.as_ref());
@@ -261,7 +262,7 @@
     if !state.claim.openings.is_empty() || !state.claim.closings.is_empty() {
         schedule(state, now);
     }
-    crate::drain::settle(state, now, out);
+    crate::drain::exit_if_idle(state, now, out);
 }
 
 fn lost(openings: Vec<Opening>) -> Vec<Opening> {
@@ -284,7 +285,7 @@
         if closing.tries < TRIES_MAX {
             close(state, closing);
         } else {
-            state.counters.claims_left += 1;
+            state.counters.claims_unwritten += 1;
         }
     }
 }
@@ -293,12 +294,12 @@
     if state.claim.closings.len() < CLOSINGS_MAX {
         state.claim.closings.push_back(closing);
     } else {
-        state.counters.claims_left += 1;
+        state.counters.claims_unwritten += 1;
     }
 }
 
 fn refuse(state: &mut State, now: Time, request: id::Request, out: &mut Vec<Effect>) {
-    let exposure = state.flow.flows.get(&request).map(|flow| flow.exposure);
+    let exposure = state.flow.flows.get(&request).map(|flow| flow.execution);
     if let Some(exposure) = exposure {
         let end = End::failed(exposure, Code::PlatformDown, Some(RETRY_AFTER));
         flow::end(state, now, request, end, out);
@@ -320,8 +321,8 @@
 fn mine(state: &mut State, now: Time, opening: Opening, version: Version, out: &mut Vec<Effect>) {
     let Opening { request, key, .. } = opening;
     let Some(flow) = state.flow.flows.get_mut(&request) else {
-        let past = Some(Past { outcome: Outcome::NotRun, code: Code::CallerGone });
-        let row = Row { request, digest: Name::default(), at: now, deadline: now, past };
+        let past = Some(Completion { outcome: Outcome::NotRun, code: Code::CallerGone });
+        let row = Row { request, digest: Name::default(), at: now, deadline: now, completion: past };
         close(state, Closing { key, over: version, row, tries: 0 });
         return;
     };
@@ -355,7 +356,7 @@
         return;
     };
     let expired = now >= first.at + state.settings.claim_keep;
-    let free = first.past.as_ref().is_some_and(|past| past.outcome == Outcome::NotRun);
+    let free = first.completion.as_ref().is_some_and(|past| past.outcome == Outcome::NotRun);
     if expired || free {
         state.claim.openings.push_back(Opening { over: version, ..opening });
         return;
@@ -367,14 +368,14 @@
 /// Ends a request whose key another request holds, with the outcome of that request if it is known.
 fn repeated(state: &mut State, now: Time, own: &Row, first: &Row, out: &mut Vec<Effect>) {
     let end = if first.digest != own.digest {
-        End::failed(Exposure::default(), Code::KeyReused, None)
-    } else if let Some(past) = &first.past {
-        End::repeated(Code::Duplicate, past.outcome, None)
+        End::failed(Execution::default(), Code::KeyReused, None)
+    } else if let Some(past) = &first.completion {
+        End::duplicate(Code::Duplicate, past.outcome, None)
     } else if now < first.deadline {
         let wait = first.deadline.since(now).min(RETRY_AFTER);
-        End::repeated(Code::InProgress, Outcome::Unknown, Some(wait))
+        End::duplicate(Code::InProgress, Outcome::Unknown, Some(wait))
     } else {
-        End::repeated(Code::Duplicate, Outcome::Unknown, None)
+        End::duplicate(Code::Duplicate, Outcome::Unknown, None)
     };
     flow::end(state, now, own.request, end, out);
 }
@@ -389,8 +390,8 @@
     let Some(over) = claim.version else {
         return;
     };
-    let past = Past { outcome: end.outcome(), code: end.code() };
-    let row = Row { past: Some(past), ..claim.row };
+    let past = Completion { outcome: end.outcome(), code: end.code() };
+    let row = Row { completion: Some(past), ..claim.row };
     close(state, Closing { key: claim.key, over, row, tries: 0 });
     schedule(state, now + CLOSING_LINGER);
 }
--- a/core/src/close.rs
+++ b/core/src/close.rs
@@ -14,11 +14,11 @@
 use crate::effect::Effect;
 use crate::engine::Report;
 use crate::id::Incarnation;
-use crate::index;
 use crate::member;
 use crate::name::Name;
 use crate::peer::{Closing, Item};
 use crate::route::Work;
+use crate::route_sync;
 use crate::state::State;
 use crate::time::Time;
 
@@ -94,7 +94,7 @@
     out: &mut Vec<Effect>,
 ) {
     let closing = Closing { engine: engine.clone(), artifact: artifact.clone() };
-    member::tell_all(state, &[item(closing)], out);
+    member::send_to_zone(state, &[item(closing)], out);
 }
 
 /// Cancels the close of a copy, so that it is used again.
@@ -132,7 +132,7 @@
             unmark(state, now, &copy);
             continue;
         }
-        if state.ledger.may_drop(engine, artifact) {
+        if state.ledger.has_open_unload(engine, artifact) {
             mark(state, now, copy, None);
             continue;
         }
@@ -165,9 +165,11 @@
 /// later report shows no running request.
 fn settled(state: &mut State, now: Time, copy: &Copy, report: &Report) -> Option<Cause> {
     let (engine, artifact) = copy;
-    let own = state.routes.open(engine, &Work::Artifact(artifact.clone()));
-    let peers: Vec<Name> =
-        member::zone_peers(state).filter(|(_, peer)| peer.is_fit()).map(|(name, _)| name.clone()).collect();
+    let own = state.routes.open_attempts_for(engine, &Work::Artifact(artifact.clone()));
+    let peers: Vec<Name> = member::zone_peers(state)
+        .filter(|(_, peer)| peer.is_available())
+        .map(|(name, _)| name.clone())
+        .collect();
     let pending = state.close.pending.get_mut(copy)?;
     let all = own == 0 && peers.iter().all(|peer| pending.acked.contains(peer));
     if !all && now.since(pending.since) < PATIENCE {
@@ -190,7 +192,7 @@
     }
     let engine = copy.0.clone();
     state.close.marks.insert(copy, Mark { until: now + MARK_LENGTH, owed });
-    index::refresh(state, now, &engine);
+    route_sync::refresh(state, now, &engine);
 }
 
 fn unmark(state: &mut State, now: Time, copy: &Copy) {
@@ -198,7 +200,7 @@
     if let Some(backend) = state.fleet.backends.get_mut(&copy.0) {
         backend.closing.retain(|artifact| *artifact != copy.1);
     }
-    index::refresh(state, now, &copy.0);
+    route_sync::refresh(state, now, &copy.0);
 }
 
 /// Sends the acknowledgements that are due, and removes expired marks so that the copies are used again.
@@ -226,18 +228,18 @@
 }
 
 fn acknowledge(state: &mut State, copy: &Copy, out: &mut Vec<Effect>) {
-    if state.routes.open(&copy.0, &Work::Artifact(copy.1.clone())) > 0 {
+    if state.routes.open_attempts_for(&copy.0, &Work::Artifact(copy.1.clone())) > 0 {
         return;
     }
     let Some(peer) = state.close.marks.get_mut(copy).and_then(|mark| mark.owed.take()) else {
         return;
     };
     let closing = Closing { engine: copy.0.clone(), artifact: copy.1.clone() };
-    member::tell(state, &peer, vec![Item::Closed(closing)], out);
+    member::send(state, &peer, vec![Item::Closed(closing)], out);
 }
 
 /// Handles a close message of the lease holder.
-pub(crate) fn heard_close(
+pub(crate) fn receive_close(
     state: &mut State,
     now: Time,
     from: &Name,
@@ -250,13 +252,13 @@
 }
 
 /// Handles an acknowledgement of an entry VM.
-pub(crate) fn heard_closed(state: &mut State, from: &Name, closing: Closing) {
+pub(crate) fn receive_closed(state: &mut State, from: &Name, closing: Closing) {
     if let Some(pending) = state.close.pending.get_mut(&(closing.engine, closing.artifact)) {
         pending.acked.insert(from.clone());
     }
 }
 
 /// Handles a message that a copy is to be used again.
-pub(crate) fn heard_reopen(state: &mut State, now: Time, closing: Closing) {
+pub(crate) fn receive_reopen(state: &mut State, now: Time, closing: Closing) {
     unmark(state, now, &(closing.engine, closing.artifact));
 }
--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -66,8 +66,8 @@
 }
 
 /// Recomputes which engines this entry VM collects, after engines or entry VMs were added or removed.
-pub(crate) fn assign(state: &mut State, now: Time) {
-    let live: Vec<&str> = member::live_zone(state).collect();
+pub(crate) fn assign_collectors(state: &mut State, now: Time) {
+    let live: Vec<&str> = member::available_in_zone(state).collect();
     let groups = &state.config.catalog.groups;
     let engines = state.fleet.backends.values().filter(|backend| {
         backend.zone == state.me.zone
@@ -108,8 +108,8 @@
 }
 
 /// Handles the report of an engine that this entry VM polled.
-pub(crate) fn polled(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
-    fleet::reported(state, now, report, out);
+pub(crate) fn poll_answered(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
+    fleet::report_received(state, now, report, out);
     if !state.collect.mine.contains(&report.engine) {
         return;
     }
@@ -118,12 +118,12 @@
         return;
     }
     state.collect.told.insert(report.engine.clone(), report.clone());
-    member::tell_all(state, &[Item::Report(Box::new(report.clone()))], out);
+    member::send_to_zone(state, &[Item::Report(Box::new(report.clone()))], out);
 }
 
 /// Loads reported since the last frame. Unchanged loads are included, since they tell receivers that the
 /// report is recent.
-pub(crate) fn loads(state: &mut State) -> Option<Item> {
+pub(crate) fn take_load_updates(state: &mut State) -> Option<Item> {
     let mut loads = Vec::new();
     for (engine, told) in &mut state.collect.told {
         let report = state.fleet.backends.get(engine).and_then(|backend| backend.report.as_ref());
@@ -132,7 +132,7 @@
         };
         loads.push(Load {
             engine: digest(engine),
-            shape: shape(report),
+            report_digest: shape(report),
             seq: report.seq,
             running: report.running,
             waiting: report.waiting,
@@ -145,24 +145,30 @@
 }
 
 /// All reports as last sent to the zone, for a peer that has none.
-pub(crate) fn whole(state: &State) -> Vec<Item> {
+pub(crate) fn all_reports(state: &State) -> Vec<Item> {
     state.collect.told.values().map(|report| Item::Report(Box::new(report.clone()))).collect()
 }
 
 /// Handles loads from a collector. Asks it for full reports if one does not match the known report.
-pub(crate) fn heard_loads(state: &mut State, now: Time, from: &Name, loads: &[Load], out: &mut Vec<Effect>) {
+pub(crate) fn loads_received(
+    state: &mut State,
+    now: Time,
+    from: &Name,
+    loads: &[Load],
+    out: &mut Vec<Effect>,
+) {
     let mut missing = false;
     for load in loads {
         match apply(state, load) {
-            Some(report) => fleet::reported(state, now, &report, out),
+            Some(report) => fleet::report_received(state, now, &report, out),
             None => missing = true,
         }
     }
-    let interval = member::interval(state);
+    let interval = member::frame_interval(state);
     let asked = state.collect.wanted.get(from).is_some_and(|at| now.since(*at) < interval);
     if missing && !asked {
         state.collect.wanted.insert(from.clone(), now);
-        member::tell(state, from, vec![Item::WantReports], out);
+        member::send(state, from, vec![Item::WantReports], out);
     }
 }
 
@@ -170,7 +176,7 @@
 fn apply(state: &State, load: &Load) -> Option<Report> {
     let name = state.collect.digests.get(&load.engine)?.as_ref()?;
     let known = state.fleet.backends.get(name)?.report.as_ref()?;
-    if shape(known) != load.shape || known.copies.len() != load.requests.len() {
+    if shape(known) != load.report_digest || known.copies.len() != load.requests.len() {
         return None;
     }
     let mut report = known.clone();
--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -19,9 +19,11 @@
 mod delta;
 mod spread;
 
-pub(crate) use accept::{Pending, apply, settle};
+pub(crate) use accept::{Pending, apply, settle_due};
 pub use delta::{Delta, Patch};
-pub(crate) use spread::{Reach, adopt, answer_want, heard_steps, heard_version, history, poll, push};
+pub(crate) use spread::{
+    Audience, adopt, answer_request, poll, push, request_history, steps_received, version_received,
+};
 
 /// Latest steps kept for peers that are a few versions behind.
 const STEPS_KEPT: usize = 64;
@@ -93,15 +95,15 @@
     /// Look-up tables over the document in force.
     pub catalog: Catalog,
     /// The highest version that any peer reported as in force.
-    known: u64,
+    highest_known: u64,
     /// The latest steps, oldest first, without gaps and ending at `version`.
     steps: VecDeque<Step>,
     /// Changes that wait for an answer of the table.
     pending: BTreeMap<id::Op, Pending>,
     /// Consecutive reads of the table that failed or found no configuration.
-    misses: u32,
+    failed_reads: u32,
     /// Time at which a peer was last asked for newer versions.
-    wanted: Option<Time>,
+    requested_at: Option<Time>,
 }
 
 impl Part {
@@ -128,7 +130,7 @@
 
 /// What a table call about the configuration was for.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Wait {
+pub(crate) enum TableCall {
     /// Read of the head.
     Head,
     /// Read of the changes above the version in force.
@@ -144,18 +146,18 @@
 }
 
 /// Handles the table's answer to a call about the configuration.
-pub(crate) fn answered(
+pub(crate) fn table_answered(
     state: &mut crate::State,
     now: Time,
-    wait: &Wait,
+    wait: &TableCall,
     reply: Result<crate::table::Reply, crate::table::Failure>,
     out: &mut Vec<crate::effect::Effect>,
 ) {
     match wait {
-        Wait::Head | Wait::Changes => spread::answered(state, now, reply, out),
-        Wait::History(ask) => spread::history_answered(state, *ask, reply, out),
-        Wait::Write(op) => accept::written(state, now, *op, reply, out),
-        Wait::ReadBack(op) => accept::read_back(state, now, *op, reply, out),
-        Wait::Trim => {}
+        TableCall::Head | TableCall::Changes => spread::read_answered(state, now, reply, out),
+        TableCall::History(ask) => spread::history_answered(state, *ask, reply, out),
+        TableCall::Write(op) => accept::write_answered(state, now, *op, reply, out),
+        TableCall::ReadBack(op) => accept::read_back_answered(state, now, *op, reply, out),
+        TableCall::Trim => {}
     }
 }
--- a/core/src/config/accept.rs
+++ b/core/src/config/accept.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use super::{Change, Delta, Head, Reach, Step, Wait, spread};
+use super::{Audience, Change, Delta, Head, Step, TableCall, spread};
 use crate::check;
 use crate::code::Code;
 use crate::effect::Effect;
@@ -33,7 +33,7 @@
         conflict(ask, current, out);
         return;
     }
-    let faults = check::document(&apply.document, &state.config.document, &state.fleet);
+    let faults = check::validate(&apply.document, &state.config.document, &state.fleet);
     if let Some(code) = check::code(&faults) {
         let reasons = faults.iter().map(|fault| Name::from(fault.to_string())).collect();
         let hint = "correct what is listed and apply again";
@@ -68,11 +68,11 @@
         expect: Version(0),
         value: Some(Value::Change(Box::new(pending.change.clone()))),
     };
-    state.call(Call::Commit(vec![head, change]), Purpose::Config(Wait::Write(op)), out);
+    state.call(Call::Commit(vec![head, change]), Purpose::Config(TableCall::Write(op)), out);
 }
 
 /// Handles the table's answer to the write of a change.
-pub(super) fn written(
+pub(super) fn write_answered(
     state: &mut State,
     now: Time,
     op: id::Op,
@@ -95,7 +95,7 @@
 }
 
 /// Handles the rows read after the answer to a write was lost.
-pub(super) fn read_back(
+pub(super) fn read_back_answered(
     state: &mut State,
     now: Time,
     op: id::Op,
@@ -109,7 +109,7 @@
 }
 
 /// Reads the rows of a change whose answer was lost, or gives up after the time limit.
-pub(crate) fn settle(state: &mut State, now: Time, op: id::Op, out: &mut Vec<Effect>) {
+pub(crate) fn settle_due(state: &mut State, now: Time, op: id::Op, out: &mut Vec<Effect>) {
     let Some(pending) = state.config.pending.get(&op) else {
         return;
     };
@@ -129,7 +129,7 @@
         return;
     }
     let keys = vec![Key::Config, Key::Change(pending.head.version)];
-    state.call(Call::Get(keys), Purpose::Config(Wait::ReadBack(op)), out);
+    state.call(Call::Get(keys), Purpose::Config(TableCall::ReadBack(op)), out);
 }
 
 fn settle_later(state: &mut State, now: Time, op: id::Op, out: &mut Vec<Effect>) {
@@ -138,7 +138,7 @@
     };
     pending.tries += 1;
     if pending.tries == 1 {
-        settle(state, now, op, out);
+        settle_due(state, now, op, out);
         return;
     }
     let base = state.settings.settle_every;
@@ -197,7 +197,7 @@
         }
         _ => spread::adopt(state, now, &pending.head, out),
     }
-    spread::push(state, Reach::All, out);
+    spread::push(state, Audience::All, out);
     trim(state, version, out);
 }
 
@@ -208,7 +208,7 @@
         return;
     };
     let write = Write { key: Key::Change(old), expect: Version(1), value: None };
-    state.call(Call::Each(vec![write]), Purpose::Config(Wait::Trim), out);
+    state.call(Call::Each(vec![write]), Purpose::Config(TableCall::Trim), out);
 }
 
 fn lose(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
@@ -216,7 +216,7 @@
         return;
     };
     spread::adopt_rows(state, now, rows, out);
-    spread::push(state, Reach::All, out);
+    spread::push(state, Audience::All, out);
     conflict(pending.ask, state.config.version, out);
 }
 
--- a/core/src/config/spread.rs
+++ b/core/src/config/spread.rs
@@ -3,8 +3,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::{Change, Delta, HISTORY_MAX, Head, Step, Wait};
-use crate::audit::{self, Act, Cause};
+use super::{Change, Delta, HISTORY_MAX, Head, Step, TableCall};
+use crate::audit::{self, Cause, Decision};
 use crate::catalog::Catalog;
 use crate::code::Code;
 use crate::effect::Effect;
@@ -27,11 +27,11 @@
 
 /// The peers that a new version is sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reach {
+pub(crate) enum Audience {
     /// All peers that this entry VM exchanges frames with.
     All,
     /// Only peers of other zones, since the sender of the version informs its own zone.
-    Across,
+    OtherZones,
 }
 
 /// Reads the table and schedules the next read with jitter, later after reads without result. One entry VM
@@ -39,9 +39,9 @@
 /// seldom, to limit the load on the table.
 pub(crate) fn poll(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     read(state, out);
-    let first = member::is_first(state, &state.me.zone);
+    let first = member::is_forwarder(state, &state.me.zone);
     let every = if first { state.settings.config_first } else { state.settings.config_every };
-    let misses = state.config.misses;
+    let misses = state.config.failed_reads;
     let base = if state.config.version == 0 {
         every.min(state.settings.settle_every * (1 << misses.min(DOUBLINGS_MAX)))
     } else {
@@ -55,25 +55,30 @@
 pub(crate) fn read(state: &mut State, out: &mut Vec<Effect>) {
     let version = state.config.version;
     if version == 0 {
-        state.call(Call::Get(vec![Key::Config]), Purpose::Config(Wait::Head), out);
+        state.call(Call::Get(vec![Key::Config]), Purpose::Config(TableCall::Head), out);
     } else {
-        state.call(Call::List(Prefix::ChangesAfter(version)), Purpose::Config(Wait::Changes), out);
+        state.call(Call::List(Prefix::ChangesAfter(version)), Purpose::Config(TableCall::Changes), out);
     }
 }
 
 /// Handles the table's answer to a read.
-pub(super) fn answered(state: &mut State, now: Time, reply: Result<Reply, Failure>, out: &mut Vec<Effect>) {
+pub(super) fn read_answered(
+    state: &mut State,
+    now: Time,
+    reply: Result<Reply, Failure>,
+    out: &mut Vec<Effect>,
+) {
     let Ok(Reply::Rows(rows)) = reply else {
-        state.config.misses = state.config.misses.saturating_add(1);
+        state.config.failed_reads = state.config.failed_reads.saturating_add(1);
         return;
     };
     let before = state.config.version;
     adopt_rows(state, now, rows, out);
     if state.config.version > before {
-        push(state, Reach::All, out);
+        push(state, Audience::All, out);
     }
     let missed = state.config.version == 0;
-    state.config.misses = if missed { state.config.misses.saturating_add(1) } else { 0 };
+    state.config.failed_reads = if missed { state.config.failed_reads.saturating_add(1) } else { 0 };
 }
 
 /// Adopts newer versions from rows of the table.
@@ -92,7 +97,7 @@
         }
     }
     if missing && state.config.version > 0 {
-        state.call(Call::Get(vec![Key::Config]), Purpose::Config(Wait::Head), out);
+        state.call(Call::Get(vec![Key::Config]), Purpose::Config(TableCall::Head), out);
     }
 }
 
@@ -102,9 +107,9 @@
     if head.version <= current {
         return;
     }
-    state.config.known = state.config.known.max(head.version);
+    state.config.highest_known = state.config.highest_known.max(head.version);
     // A process that has just started does not serve a version that it knows to be outdated.
-    if current == 0 && head.version < state.config.known {
+    if current == 0 && head.version < state.config.highest_known {
         return;
     }
     let delta = (head.version == current + 1)
@@ -131,31 +136,31 @@
     let first = state.config.version == 0;
     state.config.version = head.version;
     state.config.op = Some(head.op);
-    state.config.known = state.config.known.max(head.version);
+    state.config.highest_known = state.config.highest_known.max(head.version);
     state.config.catalog = Catalog::new(&head.document);
     state.config.document = head.document;
-    audit::record(state, now, Act::Configured(head.version), Cause::Operator, out);
-    if first && !state.drain.leaving() {
+    audit::record(state, now, Decision::Configured(head.version), Cause::Operator, out);
+    if first && !state.drain.is_leaving() {
         out.push(Effect::Ready(true));
     }
-    crate::collect::assign(state, now);
-    crate::index::configured(state, now, out);
+    crate::collect::assign_collectors(state, now);
+    crate::route_sync::config_changed(state, now, out);
 }
 
 /// Immediately sends a frame to the peers that are not known to have the version in force. It contains the
 /// steps they lack if these are still kept, otherwise only the version, so that they ask for the full
 /// document.
-pub(crate) fn push(state: &mut State, reach: Reach, out: &mut Vec<Effect>) {
+pub(crate) fn push(state: &mut State, reach: Audience, out: &mut Vec<Effect>) {
     let version = state.config.version;
-    for (peer, theirs) in member::behind(state, version, reach) {
+    for (peer, theirs) in member::outdated_peers(state, version, reach) {
         let steps = state.config.steps_from(theirs);
         let items = steps.map(Item::Steps).into_iter().collect();
-        member::tell(state, &peer, items, out);
+        member::send(state, &peer, items, out);
     }
 }
 
 /// Answers a peer that asks for changes above the version `theirs`.
-pub(crate) fn answer_want(state: &mut State, peer: &Name, theirs: u64, out: &mut Vec<Effect>) {
+pub(crate) fn answer_request(state: &mut State, peer: &Name, theirs: u64, out: &mut Vec<Effect>) {
     if theirs >= state.config.version {
         return;
     }
@@ -167,25 +172,31 @@
         }
         (None, None) => return,
     };
-    member::tell(state, peer, items, out);
+    member::send(state, peer, items, out);
 }
 
 /// Handles the version that a peer reported as in force, and asks the peer for the changes if it is newer.
-pub(crate) fn heard_version(state: &mut State, now: Time, peer: &Name, theirs: u64, out: &mut Vec<Effect>) {
-    state.config.known = state.config.known.max(theirs);
+pub(crate) fn version_received(
+    state: &mut State,
+    now: Time,
+    peer: &Name,
+    theirs: u64,
+    out: &mut Vec<Effect>,
+) {
+    state.config.highest_known = state.config.highest_known.max(theirs);
     if theirs <= state.config.version {
         return;
     }
-    if state.config.wanted.is_some_and(|at| now.since(at) < WANT_AGAIN) {
+    if state.config.requested_at.is_some_and(|at| now.since(at) < WANT_AGAIN) {
         return;
     }
-    state.config.wanted = Some(now);
+    state.config.requested_at = Some(now);
     let item = Item::WantConfig(state.config.version);
-    member::tell(state, peer, vec![item], out);
+    member::send(state, peer, vec![item], out);
 }
 
 /// Adopts steps from a peer.
-pub(crate) fn heard_steps(state: &mut State, now: Time, steps: Vec<Step>, out: &mut Vec<Effect>) {
+pub(crate) fn steps_received(state: &mut State, now: Time, steps: Vec<Step>, out: &mut Vec<Effect>) {
     if state.config.version == 0 {
         return;
     }
@@ -195,10 +206,10 @@
 }
 
 /// Reads the latest changes from the table for an operator.
-pub(crate) fn history(state: &mut State, ask: id::Ask, out: &mut Vec<Effect>) {
+pub(crate) fn request_history(state: &mut State, ask: id::Ask, out: &mut Vec<Effect>) {
     let after = state.config.version.saturating_sub(HISTORY_MAX);
     let call = Call::List(Prefix::ChangesAfter(after));
-    state.call(call, Purpose::Config(Wait::History(ask)), out);
+    state.call(call, Purpose::Config(TableCall::History(ask)), out);
 }
 
 /// Handles the table's answer to the read of the history for an operator.
--- a/core/src/count.rs
+++ b/core/src/count.rs
@@ -73,7 +73,7 @@
     /// Requests that wait for a back end.
     pub waiting: usize,
     /// Open attempts at back ends.
-    pub tries: usize,
+    pub attempts: usize,
     /// Claims on idempotency keys that are held, to be written or in flight.
     pub claims: usize,
     /// Active timers.
@@ -90,9 +90,9 @@
     /// Answers dropped because they carried the id of another attempt.
     pub foreign: u64,
     /// Streamed events dropped because they had been delivered already.
-    pub repeated: u64,
+    pub duplicate_events: u64,
     /// Outcomes that were not written to their claims. The keys count as used until they expire.
-    pub claims_left: u64,
+    pub claims_unwritten: u64,
     /// Orders sent to engines.
     pub orders: u64,
     /// Write calls to the platform's table.
@@ -108,8 +108,8 @@
             retries: [0; Reason::ALL.len()],
             stale: 0,
             foreign: 0,
-            repeated: 0,
-            claims_left: 0,
+            duplicate_events: 0,
+            claims_unwritten: 0,
             orders: 0,
             table_writes: 0,
             table_reads: 0,
--- a/core/src/demand.rs
+++ b/core/src/demand.rs
@@ -22,7 +22,7 @@
 /// Weight of the latest window in the smoothed trend.
 const TREND_WEIGHT: f64 = 0.08;
 /// How far ahead placement forecasts demand: the time of several loads, one after the other.
-pub(crate) const AHEAD: Duration = Duration::from_mins(2);
+pub(crate) const HORIZON: Duration = Duration::from_mins(2);
 /// Largest factor by which the trend may multiply or divide the request rate within [`AHEAD`].
 const TREND_MAX: f64 = 2.0;
 /// Time that a request is assumed to occupy a slot before it can be estimated, in seconds.
@@ -34,7 +34,7 @@
 
 /// Estimated demand for one artifact in this zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(crate) struct Track {
+pub(crate) struct Estimate {
     arrivals: u32,
     level: f64,
     trend: f64,
@@ -44,7 +44,7 @@
     pub waiting: u32,
 }
 
-impl Track {
+impl Estimate {
     /// Returns the smoothed request rate per second.
     pub(crate) fn rate(&self) -> f64 {
         self.level
@@ -52,12 +52,12 @@
 
     /// Returns the request rate per second that is forecast for [`AHEAD`] from now.
     pub(crate) fn forecast(&self) -> f64 {
-        let ahead = self.level + self.trend * AHEAD.as_secs_f64();
+        let ahead = self.level + self.trend * HORIZON.as_secs_f64();
         ahead.clamp(self.level / TREND_MAX, self.level * TREND_MAX).max(0.0)
     }
 
     /// Returns the time that a request occupies a slot, in seconds: running requests divided by the request rate.
-    pub(crate) fn hold(&self) -> f64 {
+    pub(crate) fn service_time(&self) -> f64 {
         if self.level < 0.01 || self.busy < 0.01 {
             return HOLD_DEFAULT;
         }
@@ -66,7 +66,7 @@
 
     /// Returns the number of slots that the forecast demand occupies, with one for each waiting request.
     pub(crate) fn load(&self) -> f64 {
-        self.forecast() * self.hold() + f64::from(self.waiting)
+        self.forecast() * self.service_time() + f64::from(self.waiting)
     }
 
     fn fold(&mut self, seconds: f64) {
@@ -90,14 +90,14 @@
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     own: BTreeMap<Artifact, u32>,
-    tracks: FxHashMap<Artifact, Track>,
+    tracks: FxHashMap<Artifact, Estimate>,
     waiting: BTreeMap<Name, Vec<(Artifact, u32)>>,
     folded: Time,
 }
 
 impl Part {
     /// Counts a request for an artifact that was admitted here.
-    pub(crate) fn arrived(&mut self, artifact: &Artifact) {
+    pub(crate) fn record_arrival(&mut self, artifact: &Artifact) {
         match self.own.get_mut(artifact) {
             Some(arrivals) => *arrivals += 1,
             None => {
@@ -107,14 +107,14 @@
     }
 
     /// Returns the estimated demand for an artifact in this zone.
-    pub(crate) fn track(&self, artifact: &Artifact) -> Track {
+    pub(crate) fn estimate(&self, artifact: &Artifact) -> Estimate {
         self.tracks.get(artifact).copied().unwrap_or_default()
     }
 }
 
 /// Sends the counts of this entry VM to the lease holder, or adds them to the estimates if it holds the lease.
 pub(crate) fn tick(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let waiting = state.flow.wanted().into_iter().filter_map(|work| match &work {
+    let waiting = state.flow.queued_work().into_iter().filter_map(|work| match &work {
         Work::Artifact(artifact) => Some((artifact.clone(), state.flow.waiting(&work) as u32)),
         Work::Service(_) => None,
     });
@@ -135,15 +135,15 @@
     }
     let items: Vec<peer::Demand> = items.into_values().collect();
     if holder == me {
-        heard(state, &me, items);
+        receive(state, &me, items);
         gather(state, now);
     } else if !items.is_empty() {
-        member::tell(state, &holder, vec![Item::Demand(items)], out);
+        member::send(state, &holder, vec![Item::Demand(items)], out);
     }
 }
 
 /// Adds the demand that an entry VM of the zone counted.
-pub(crate) fn heard(state: &mut State, from: &Name, items: Vec<peer::Demand>) {
+pub(crate) fn receive(state: &mut State, from: &Name, items: Vec<peer::Demand>) {
     let mut waiting = Vec::new();
     for item in items {
         if state.config.catalog.entry(&item.artifact).is_none() {
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -6,10 +6,10 @@
 use crate::code::Code;
 use crate::effect::Effect;
 use crate::end::End;
-use crate::flow::{self, Stage, Try};
+use crate::flow::{self, OpenAttempt, Stage};
 use crate::id;
 use crate::name::Name;
-use crate::route::{Choice, Site, Wanted, Work};
+use crate::route::{Choice, Index, Query, Work};
 use crate::spill::{self, Peer};
 use crate::state::State;
 use crate::time::Time;
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 enum Target {
     /// A back end that this entry VM sends to directly.
-    Site(Site),
+    Site(Index),
     /// An entry VM of another availability zone.
     Peer(Peer),
 }
@@ -33,12 +33,12 @@
     let Some(work) = state.flow.flows.get(&id).map(|flow| flow.work.clone()) else {
         return;
     };
-    state.flow.push(id);
+    state.flow.enqueue(id);
     lane(state, now, &work, out);
 }
 
 /// Queues a request again after its backoff.
-pub(crate) fn retry(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
+pub(crate) fn retry_due(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
     let paused = state.flow.flows.get(&id).is_some_and(|flow| matches!(flow.stage, Stage::Paused(_)));
     if paused {
         enqueue(state, now, id, out);
@@ -47,17 +47,17 @@
 
 /// Sends waiting requests for all models and services.
 pub(crate) fn all(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    for work in state.flow.wanted() {
+    for work in state.flow.queued_work() {
         lane(state, now, &work, out);
     }
 }
 
 /// Sends waiting requests for the models and services of one back end, the most urgent first.
-pub(crate) fn at(state: &mut State, now: Time, backend: &Name, out: &mut Vec<Effect>) {
+pub(crate) fn to_backend(state: &mut State, now: Time, backend: &Name, out: &mut Vec<Effect>) {
     if state.flow.queued() == 0 {
         return;
     }
-    let Some(facts) = state.routes.site(backend).and_then(|site| state.routes.facts(site)) else {
+    let Some(facts) = state.routes.index(backend).and_then(|site| state.routes.description(site)) else {
         return;
     };
     let mut wanted: Vec<_> = facts
@@ -77,7 +77,7 @@
     while let Some(id) = state.flow.lanes.get(work).and_then(|lane| lane.queue.peek()) {
         match target(state, now, id) {
             Ok(target) => {
-                state.flow.serve(id);
+                state.flow.dequeue(id);
                 send(state, now, id, &target, out);
             }
             Err(Some(code)) => refuse(state, now, id, code, out),
@@ -97,10 +97,10 @@
         let Some(flow) = state.flow.flows.get(&id) else {
             continue;
         };
-        if flow.tries == 0 && lane.is_hopeless(now, &flow.ticket) {
+        if flow.attempts == 0 && lane.misses_deadline(now, &flow.ticket) {
             refuse(state, now, id, Code::DeadlineUnreachable, out);
         } else {
-            lane.queue.delay(&flow.ticket);
+            lane.queue.mark_late(&flow.ticket);
         }
     }
 }
@@ -113,23 +113,23 @@
     let Some(lane) = state.flow.lanes.get(&flow.work) else {
         return Err(None);
     };
-    if flow.tries == 0 && now + lane.pace.least() >= flow.ticket.deadline {
+    if flow.attempts == 0 && now + lane.latency.lower_bound() >= flow.ticket.deadline {
         return Err(Some(Code::DeadlineUnreachable));
     }
     if now >= flow.ticket.deadline {
         return Err(Some(Code::DeadlinePassed));
     }
     let wanted =
-        Wanted { work: &flow.work, prefix: &flow.prefix, avoid: &flow.avoid, priority: flow.ticket.priority };
+        Query { work: &flow.work, prefix: &flow.prefix, avoid: &flow.avoid, priority: flow.ticket.priority };
     let choice = state.routes.pick(&mut state.rng, now, &wanted);
     match (choice, &flow.work) {
-        (Choice::Site(site), _) => Ok(Target::Site(site)),
-        (Choice::Full | Choice::Absent, Work::Artifact(_)) => {
-            let absent = choice == Choice::Absent;
+        (Choice::Backend(site), _) => Ok(Target::Site(site)),
+        (Choice::Full | Choice::NoBackend, Work::Artifact(_)) => {
+            let absent = choice == Choice::NoBackend;
             spill::peer(state, now, flow, absent).map(Target::Peer).ok_or(None)
         }
         (Choice::Full, Work::Service(_)) => Err(None),
-        (Choice::Absent, Work::Service(_)) => Err(Some(Code::NoBackend)),
+        (Choice::NoBackend, Work::Service(_)) => Err(Some(Code::NoBackend)),
     }
 }
 
@@ -137,27 +137,27 @@
     let Some(flow) = state.flow.flows.get(&id) else {
         return;
     };
-    let mean = state.flow.lanes.get(&flow.work).and_then(|lane| lane.pace.mean());
+    let mean = state.flow.lanes.get(&flow.work).and_then(|lane| lane.latency.mean());
     let wait = mean.filter(|_| code == Code::DeadlineUnreachable).unwrap_or(crate::admit::RETRY_AFTER);
-    let end = End::failed(flow.exposure, code, Some(wait));
+    let end = End::failed(flow.execution, code, Some(wait));
     flow::end(state, now, id, end, out);
 }
 
 /// Resumes an answer at the back end that holds it, without queueing. Queues the request if that back end
 /// is no longer known.
 pub(crate) fn resume(state: &mut State, now: Time, id: id::Request, backend: &Name, out: &mut Vec<Effect>) {
-    if let Some(site) = state.routes.site(backend) {
+    if let Some(site) = state.routes.index(backend) {
         send(state, now, id, &Target::Site(site), out);
         return;
     }
     if let Some(flow) = state.flow.flows.get_mut(&id) {
-        flow.resume = elsewhere(flow.delivered);
+        flow.resume = resume_point(flow.delivered);
     }
     enqueue(state, now, id, out);
 }
 
 /// Position at which an attempt at another back end begins.
-pub(crate) const fn elsewhere(delivered: u64) -> Resume {
+pub(crate) const fn resume_point(delivered: u64) -> Resume {
     if delivered == 0 { Resume::Start } else { Resume::Continue { offset: delivered } }
 }
 
@@ -167,7 +167,7 @@
     };
     let (backend, address, to) = match target {
         Target::Site(site) => {
-            let Some(facts) = state.routes.facts(*site) else {
+            let Some(facts) = state.routes.description(*site) else {
                 return;
             };
             let to = match &flow.work {
@@ -182,40 +182,40 @@
     lane.open += 1;
     let mut patience = state.settings.first_byte;
     if let Target::Site(site) = target {
-        patience += lane.pace.mean().unwrap_or_default().mul_f32(state.routes.excess(*site));
-        state.routes.open_try(*site, &flow.work, &flow.prefix);
+        patience += lane.latency.mean().unwrap_or_default().mul_f32(state.routes.excess(*site));
+        state.routes.attempt_sent(*site, &flow.work, &flow.prefix);
     }
     if !flow.stream && !matches!(to, Destination::Service(_)) {
         let gap_ms = state.config.document.rules.weights.token_gap_ms;
         patience += Duration::from_millis(u64::from(gap_ms)) * TOKEN_GAPS * flow.max_tokens;
     }
-    flow.tries += 1;
-    flow.exposure.send();
-    let attempt = id::Attempt { request: id, n: flow.tries };
+    flow.attempts += 1;
+    flow.execution.attempt_sent();
+    let attempt = id::Attempt { request: id, n: flow.attempts };
     let takes_up = match flow.resume {
         Resume::Same { of, .. } => Some(of),
         Resume::Start | Resume::Continue { .. } => None,
     };
-    flow.stage = Stage::Open(Try {
+    flow.stage = Stage::Open(OpenAttempt {
         attempt,
         backend: backend.clone(),
-        to: to.clone(),
-        sent: now,
-        progress: now,
-        headed: false,
-        takes_up,
-        from: flow.delivered,
-        patience,
-        watch: state.timers.set(now + patience, Timer::Silence(attempt)),
+        destination: to.clone(),
+        sent_at: now,
+        last_progress: now,
+        head_received: false,
+        resumes: takes_up,
+        start_offset: flow.delivered,
+        head_timeout: patience,
+        silence_timer: state.timers.set(now + patience, Timer::Silence(attempt)),
     });
     out.push(Effect::Send(Box::new(Send {
         attempt,
         backend,
         address,
-        to,
+        destination: to,
         resume: flow.resume,
         deadline: flow.ticket.deadline,
         priority: flow.ticket.priority,
-        fresh: takes_up.is_some(),
+        new_connection: takes_up.is_some(),
     })));
 }
--- a/core/src/drain.rs
+++ b/core/src/drain.rs
@@ -27,37 +27,37 @@
 
 impl Part {
     /// Whether new requests are refused.
-    pub(crate) fn stopping(&self) -> bool {
+    pub(crate) fn is_stopping(&self) -> bool {
         matches!(self.stage, Stage::Finishing | Stage::Over)
     }
 
     /// Whether a stop was requested.
-    pub(crate) fn leaving(&self) -> bool {
+    pub(crate) fn is_leaving(&self) -> bool {
         self.stage != Stage::Serving
     }
 }
 
 /// Starts a graceful stop.
 pub(crate) fn stop(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    if state.drain.leaving() {
+    if state.drain.is_leaving() {
         return;
     }
     state.drain.stage = Stage::Grace;
     out.push(Effect::Ready(false));
-    crate::collect::assign(state, now);
-    state.timers.set(now + state.settings.balancer_grace, Timer::Grace);
+    crate::collect::assign_collectors(state, now);
+    state.timers.set(now + state.settings.balancer_grace, Timer::BalancerGrace);
 }
 
 /// Ends the grace period of the balancer.
-pub(crate) fn grace(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn grace_ended(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.drain.stage == Stage::Grace {
         state.drain.stage = Stage::Finishing;
-        settle(state, now, out);
+        exit_if_idle(state, now, out);
     }
 }
 
 /// Exits once no request is open, no outcome is to be written and the lease is handed back.
-pub(crate) fn settle(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn exit_if_idle(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.drain.stage != Stage::Finishing || state.flow.open() > 0 || !state.claim.is_quiet() {
         return;
     }
--- a/core/src/effect.rs
+++ b/core/src/effect.rs
@@ -41,9 +41,9 @@
         end: End,
     },
     /// Close all pooled connections to an address, so that the next attempt opens a new one.
-    Retire(SocketAddr),
+    CloseConnections(SocketAddr),
     /// Read the list of VMs from the platform.
-    List,
+    ListVms,
     /// Read the report of an engine, with the cache events from a sequence number on.
     Poll {
         /// The engine's VM name.
@@ -70,7 +70,7 @@
         call: table::Call,
     },
     /// Send a frame to another entry VM.
-    Tell {
+    SendFrame {
         /// The entry VM's name.
         peer: Name,
         /// Address at which it listens for peers.
--- a/core/src/end.rs
+++ b/core/src/end.rs
@@ -8,24 +8,24 @@
 
 /// Number of attempts of a request, and of those proven not to have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Exposure {
+pub struct Execution {
     sent: u16,
     disproved: u16,
 }
 
-impl Exposure {
+impl Execution {
     /// Records that an attempt is about to be sent. From now on it may have run.
-    pub(crate) fn send(&mut self) {
+    pub(crate) fn attempt_sent(&mut self) {
         self.sent += 1;
     }
 
     /// Records that an attempt did not run.
-    pub(crate) fn disprove(&mut self, _evidence: Evidence) {
+    pub(crate) fn attempt_not_run(&mut self, _evidence: Evidence) {
         self.disproved += 1;
     }
 
     /// Proof that no back end ran the request: every attempt is proven not to have run.
-    pub(crate) fn proof(self) -> Option<NotRun> {
+    pub(crate) fn not_run_proof(self) -> Option<NotRun> {
         (self.sent == self.disproved).then_some(NotRun(()))
     }
 }
@@ -77,15 +77,15 @@
     }
 
     /// The request failed with `code`. The outcome is "not run" if that is proven, else "unknown".
-    pub(crate) fn failed(exposure: Exposure, code: Code, retry_after: Option<Duration>) -> Self {
-        match exposure.proof() {
+    pub(crate) fn failed(exposure: Execution, code: Code, retry_after: Option<Duration>) -> Self {
+        match exposure.not_run_proof() {
             Some(proof) => Self::not_run(&proof, code, retry_after),
             None => Self::unknown(code),
         }
     }
 
     /// Another request holds the idempotency key. `first` is the outcome of that request.
-    pub(crate) fn repeated(code: Code, first: Outcome, retry_after: Option<Duration>) -> Self {
+    pub(crate) fn duplicate(code: Code, first: Outcome, retry_after: Option<Duration>) -> Self {
         // The key of a request that was not run is free, so this outcome is not final.
         let outcome = if first == Outcome::NotRun { Outcome::Unknown } else { first };
         let retry_after_ms = retry_after.map(|wait| wait.as_millis() as u64);
--- a/core/src/event.rs
+++ b/core/src/event.rs
@@ -16,7 +16,7 @@
     /// A request of a caller was read.
     Arrive(Box<Arrival>),
     /// The caller of a request closed the connection.
-    Gone(id::Request),
+    CallerGone(id::Request),
     /// The head of an answer was received, with the attempt id that the back end echoed.
     Head {
         /// The attempt.
@@ -33,7 +33,7 @@
     },
     /// An attempt makes progress without an event to deliver: part of an answer was received, or the answer
     /// is held back because the caller reads slowly.
-    Alive(id::Attempt),
+    Progress(id::Attempt),
     /// The explicit end of an answer was received. A non-streamed answer is buffered completely.
     Finished {
         /// The attempt.
@@ -42,7 +42,7 @@
         length: u64,
     },
     /// A non-streamed answer exceeded the buffer of the edge.
-    Overflow(id::Attempt),
+    BufferExceeded(id::Attempt),
     /// An attempt failed.
     Failed {
         /// The attempt.
@@ -51,17 +51,17 @@
         failure: Failure,
     },
     /// The platform's list of VMs was read.
-    Listed(Vec<Vm>),
+    VmsListed(Vec<Vm>),
     /// The list of VMs could not be read.
-    Unlisted,
+    VmListFailed,
     /// A report of an engine was received.
-    Reported(Box<Report>),
+    ReportReceived(Box<Report>),
     /// The report of an engine could not be read.
-    Unreported(Name),
+    ReportFailed(Name),
     /// The prefix cache of an engine changed.
-    Cached(Box<CacheUpdate>),
+    CacheChanged(Box<CacheUpdate>),
     /// An engine answered an order, or no answer was received.
-    Ordered {
+    OrderAnswered {
         /// The order.
         order: id::Order,
         /// The engine's VM name.
@@ -70,21 +70,21 @@
         receipt: Option<Receipt>,
     },
     /// A call of the platform's table was answered or failed.
-    Table {
+    TableAnswered {
         /// The operation.
         op: id::Op,
         /// The answer.
         reply: Result<table::Reply, table::Failure>,
     },
     /// A frame of another entry VM was received.
-    Heard(Box<peer::Frame>),
+    FrameReceived(Box<peer::Frame>),
     /// A frame could not be sent to another entry VM.
-    Unheard {
+    FrameFailed {
         /// The entry VM's name.
         peer: Name,
     },
     /// A query of an operator was received.
-    Asked {
+    QueryReceived {
         /// Id of the query.
         ask: id::Ask,
         /// The query.
@@ -105,12 +105,12 @@
                 | Self::Head { .. }
                 | Self::Chunk { .. }
                 | Self::Finished { .. }
-                | Self::Listed(_)
-                | Self::Reported(_)
-                | Self::Cached(_)
-                | Self::Heard(_)
-                | Self::Ordered { receipt: Some(_), .. }
-                | Self::Table { reply: Ok(_), .. }
+                | Self::VmsListed(_)
+                | Self::ReportReceived(_)
+                | Self::CacheChanged(_)
+                | Self::FrameReceived(_)
+                | Self::OrderAnswered { receipt: Some(_), .. }
+                | Self::TableAnswered { reply: Ok(_), .. }
         )
     }
 }
--- a/core/src/explain.rs
+++ b/core/src/explain.rs
@@ -1,7 +1,7 @@
 //! Says why an artifact is where it is, from what this entry VM knows.
 
 use crate::artifact::{Artifact, Target};
-use crate::audit::{Act, Record};
+use crate::audit::{Decision, Record};
 use crate::catalog::Entry;
 use crate::code::Code;
 use crate::engine::{Action, Stage};
@@ -32,7 +32,7 @@
     };
     let mut lines = vec![declared(entry), decider(state)];
     let zone = &state.me.zone;
-    if entry.allows(zone) {
+    if entry.allows_zone(zone) {
         let own = state.fleet.backends.values().filter(|backend| backend.zone == *zone);
         lines.extend(
             own.filter(|backend| backend.group == entry.group).map(|each| engine(state, each, entry)),
@@ -40,10 +40,10 @@
     } else {
         lines.push(format!("the rules keep it out of zone {zone}"));
     }
-    for elsewhere in summary::elsewhere(state, now, &entry.artifact) {
+    for elsewhere in summary::zones_holding(state, now, &entry.artifact) {
         lines.push(format!("zone {}: ready copies: {}", elsewhere.zone, elsewhere.copies));
     }
-    lines.extend(place::weighed(state, now, &entry.artifact));
+    lines.extend(place::describe(state, now, &entry.artifact));
     let records = state.audit.latest();
     let about = records.iter().filter(|record| concerns(&record.act, &entry.artifact));
     lines.extend(about.take(RECORDS_MAX).map(|record| decision(record, now)));
@@ -87,7 +87,7 @@
     };
     let empty = ledger::Row::default();
     let row = state.ledger.rows.get(name).map_or(&empty, |(_, row)| row);
-    let leaving = if backend.takes_work() { "" } else { ", and it is leaving" };
+    let leaving = if backend.accepts_work() { "" } else { ", and it is leaving" };
     if let Some(copy) = report.copies.iter().find(|copy| copy.artifact == entry.artifact) {
         let progress = match copy.stage {
             Stage::Ready if backend.closing.contains(&entry.artifact) => "is ready and takes nothing new",
@@ -98,19 +98,19 @@
         return format!("{name}: a copy {progress}, with {} requests{leaving}", copy.requests);
     }
     let ordered = row
-        .open()
+        .open_intents()
         .any(|intent| matches!(&intent.action, Action::Load { artifact, .. } if *artifact == entry.artifact));
     if ordered {
         return format!("{name}: an order to load it is on its way{leaving}");
     }
-    let free = report.memory_mb.saturating_sub(ledger::reserved(report, row));
+    let free = report.memory_mb.saturating_sub(ledger::reserved_mb(report, row));
     let room = if free >= entry.memory_mb { "there would be room" } else { "there is no room" };
     format!("{name}: no copy; {free} of {} MB are free, so {room}{leaving}", report.memory_mb)
 }
 
-fn concerns(act: &Act, subject: &Artifact) -> bool {
+fn concerns(act: &Decision, subject: &Artifact) -> bool {
     match act {
-        Act::Load { artifact, .. } | Act::Unload { artifact, .. } => artifact == subject,
+        Decision::Load { artifact, .. } | Decision::Unload { artifact, .. } => artifact == subject,
         _ => false,
     }
 }
--- a/core/src/fleet.rs
+++ b/core/src/fleet.rs
@@ -39,7 +39,7 @@
     /// Time at which the last report came.
     pub reported_at: Option<Time>,
     /// Time at which it announced that it is leaving; cleared when it restarts.
-    pub left_at: Option<Time>,
+    pub announced_leaving_at: Option<Time>,
     /// Whether an operator took it out of use.
     pub drained: bool,
     /// Artifacts for which no more requests may be sent to it, since their copies are about to be dropped.
@@ -57,16 +57,16 @@
 
     /// Whether it is leaving according to the VM list or its own announcement, or drained by an operator.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.phase == Phase::Leaving || self.left_at.is_some() || self.drained
+        self.phase == Phase::Leaving || self.announced_leaving_at.is_some() || self.drained
     }
 
     /// Whether new work may go to it.
-    pub(crate) fn takes_work(&self) -> bool {
+    pub(crate) fn accepts_work(&self) -> bool {
         !self.is_leaving() && !self.report.as_ref().is_some_and(|report| report.draining)
     }
 
     /// Whether its last report is younger than `limit`.
-    pub(crate) fn is_heard(&self, now: Time, limit: Duration) -> bool {
+    pub(crate) fn reported_within(&self, now: Time, limit: Duration) -> bool {
         self.reported_at.is_some_and(|at| now.since(at) < limit)
     }
 }
@@ -84,7 +84,7 @@
 
 impl Part {
     /// Applies a VM list.
-    pub(crate) fn list(&mut self, now: Time, vms: Vec<Vm>) {
+    pub(crate) fn apply_list(&mut self, now: Time, vms: Vec<Vm>) {
         self.entries.clear();
         let mut listed = BTreeMap::new();
         for vm in vms {
@@ -94,8 +94,8 @@
             };
             let backend = match self.backends.remove(&vm.name) {
                 Some(known) if known.address == vm.address => {
-                    let left_at = known.left_at.filter(|at| now.since(*at) < LEAVING_KEPT);
-                    Backend { phase: vm.phase, left_at, ..known }
+                    let left_at = known.announced_leaving_at.filter(|at| now.since(*at) < LEAVING_KEPT);
+                    Backend { phase: vm.phase, announced_leaving_at: left_at, ..known }
                 }
                 _ => Backend {
                     name: vm.name.clone(),
@@ -105,7 +105,7 @@
                     phase: vm.phase,
                     report: None,
                     reported_at: None,
-                    left_at: None,
+                    announced_leaving_at: None,
                     drained: false,
                     closing: Vec::new(),
                     cache_seq: 0,
@@ -123,13 +123,13 @@
 
     fn mark(&mut self) {
         for backend in self.backends.values_mut() {
-            backend.drained = self.drains.get(&backend.name).is_some_and(|drain| drain.out);
+            backend.drained = self.drains.get(&backend.name).is_some_and(|drain| drain.out_of_use);
         }
     }
 
     /// Stores a report, unless one at least as new of the same incarnation is known. Returns whether it was
     /// stored.
-    pub(crate) fn report(&mut self, now: Time, report: Report) -> bool {
+    pub(crate) fn apply_report(&mut self, now: Time, report: Report) -> bool {
         let Some(backend) = self.backends.get_mut(&report.engine) else {
             return false;
         };
@@ -138,7 +138,7 @@
             return false;
         }
         if known.is_some_and(|known| known.incarnation != report.incarnation) {
-            backend.left_at = None;
+            backend.announced_leaving_at = None;
         }
         backend.report = Some(report);
         backend.reported_at = Some(now);
@@ -147,21 +147,21 @@
 }
 
 /// Handles a report, from the engine itself or forwarded by its collector.
-pub(crate) fn reported(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
-    if !state.fleet.report(now, report.clone()) {
+pub(crate) fn report_received(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
+    if !state.fleet.apply_report(now, report.clone()) {
         return;
     }
-    crate::index::reported(state, now, report);
-    crate::ledger::reported(state, now, report, out);
-    crate::dispatch::at(state, now, &report.engine, out);
+    crate::route_sync::report_applied(state, now, report);
+    crate::ledger::report_received(state, now, report, out);
+    crate::dispatch::to_backend(state, now, &report.engine, out);
 }
 
 /// Handles a new VM list.
-pub(crate) fn listed(state: &mut State, now: Time, vms: Vec<Vm>, out: &mut Vec<Effect>) {
-    state.fleet.list(now, vms);
-    member::listed(state, now);
-    collect::assign(state, now);
-    crate::index::listed(state, now);
+pub(crate) fn vm_list_received(state: &mut State, now: Time, vms: Vec<Vm>, out: &mut Vec<Effect>) {
+    state.fleet.apply_list(now, vms);
+    member::update_members(state, now);
+    collect::assign_collectors(state, now);
+    crate::route_sync::refresh_all(state, now);
     crate::dispatch::all(state, now, out);
 }
 
@@ -178,29 +178,30 @@
     if !known {
         return false;
     }
-    let stamp = state.fleet.drains.values().map(|drain| drain.stamp).max().unwrap_or_default() + 1;
-    let drain = Drain { backend: backend.clone(), out: out_of_use, stamp };
-    heard_drains(state, now, std::slice::from_ref(&drain), out);
-    member::tell_all(state, &[Item::Drains(vec![drain])], out);
+    let stamp = state.fleet.drains.values().map(|drain| drain.version).max().unwrap_or_default() + 1;
+    let drain = Drain { backend: backend.clone(), out_of_use, version: stamp };
+    apply_drains(state, now, std::slice::from_ref(&drain), out);
+    member::send_to_zone(state, &[Item::Drains(vec![drain])], out);
     true
 }
 
 /// Applies operators' decisions on backend servers, from a peer or made at this entry VM.
-pub(crate) fn heard_drains(state: &mut State, now: Time, drains: &[Drain], out: &mut Vec<Effect>) {
+pub(crate) fn apply_drains(state: &mut State, now: Time, drains: &[Drain], out: &mut Vec<Effect>) {
     for drain in drains {
         let known = state.fleet.drains.get(&drain.backend);
-        let newer = known.is_none_or(|known| (known.stamp, known.out) < (drain.stamp, drain.out));
+        let newer =
+            known.is_none_or(|known| (known.version, known.out_of_use) < (drain.version, drain.out_of_use));
         if newer {
             state.fleet.drains.insert(drain.backend.clone(), drain.clone());
         }
     }
     state.fleet.mark();
-    crate::index::listed(state, now);
+    crate::route_sync::refresh_all(state, now);
     crate::dispatch::all(state, now, out);
 }
 
 /// All decisions of operators on backend servers, for a peer that has none yet.
-pub(crate) fn drains(state: &State) -> Option<Item> {
+pub(crate) fn drains_item(state: &State) -> Option<Item> {
     let drains: Vec<Drain> = state.fleet.drains.values().cloned().collect();
     (!drains.is_empty()).then_some(Item::Drains(drains))
 }
--- a/core/src/flow.rs
+++ b/core/src/flow.rs
@@ -10,10 +10,10 @@
 use crate::code::Code;
 use crate::dispatch;
 use crate::effect::Effect;
-use crate::end::{End, Exposure};
+use crate::end::{End, Execution};
 use crate::id;
+use crate::latency::Latency;
 use crate::name::Name;
-use crate::pace::Pace;
 use crate::queue::{LATE_TURN, Queue, Ticket};
 use crate::request::Arrival;
 use crate::route::Work;
@@ -39,13 +39,13 @@
     /// Maximum number of tokens requested.
     pub max_tokens: u32,
     /// Attempts sent, and how many of them are proven not to have run.
-    pub exposure: Exposure,
+    pub execution: Execution,
     /// Number of attempts sent.
-    pub tries: u16,
+    pub attempts: u16,
     /// Consecutive failed attempts without progress.
-    pub strikes: u16,
+    pub failures: u16,
     /// Number of times it was queued again for a retry.
-    pub again: u16,
+    pub requeued: u16,
     /// Events of the stream delivered to the caller.
     pub delivered: u64,
     /// Whether a part of a non-streamed answer has been sent to the caller already. Such a request cannot
@@ -72,32 +72,32 @@
     /// Waits for the backoff before the next attempt.
     Paused(Handle),
     /// An attempt is open at a back end.
-    Open(Try),
+    Open(OpenAttempt),
 }
 
 /// An open attempt.
 #[derive(Debug)]
-pub(crate) struct Try {
+pub(crate) struct OpenAttempt {
     /// Id of the attempt.
     pub attempt: id::Attempt,
     /// VM name of the back end, or of the entry VM in another zone.
     pub backend: Name,
     /// Kind of back end.
-    pub to: Destination,
+    pub destination: Destination,
     /// Time at which it was sent.
-    pub sent: Time,
+    pub sent_at: Time,
     /// Time at which data was last received.
-    pub progress: Time,
+    pub last_progress: Time,
     /// Whether the head of the answer was received, with the id of this attempt.
-    pub headed: bool,
+    pub head_received: bool,
     /// The earlier attempt whose answer it resumes, if any.
-    pub takes_up: Option<id::Attempt>,
+    pub resumes: Option<id::Attempt>,
     /// Events delivered before this attempt.
-    pub from: u64,
+    pub start_offset: u64,
     /// Maximum time from sending to the head of the answer.
-    pub patience: Duration,
+    pub head_timeout: Duration,
     /// Timer of the next check for silence.
-    pub watch: Handle,
+    pub silence_timer: Handle,
 }
 
 /// Requests for one model or service.
@@ -108,28 +108,28 @@
     /// Number of open attempts.
     pub open: u32,
     /// Time from sending an attempt to the end of its answer.
-    pub pace: Pace,
+    pub latency: Latency,
     /// Time from sending an attempt to the head of its answer.
-    pub head: Pace,
+    pub head_latency: Latency,
 }
 
 impl Lane {
     /// Expected wait of a request with `ahead` others before it, from the mean duration of an attempt and
     /// the number of open attempts. `None` while no attempt is open or none has been measured.
-    pub(crate) fn wait(&self, ahead: usize) -> Option<Duration> {
+    pub(crate) fn expected_wait(&self, ahead: usize) -> Option<Duration> {
         if self.queue.is_empty() {
             return Some(Duration::ZERO);
         }
-        let mean = self.pace.mean()?;
+        let mean = self.latency.mean()?;
         (self.open > 0).then(|| mean.mul_f64((ahead + 1) as f64 / f64::from(self.open)))
     }
 
     /// Whether a request that misses the first-token target also misses its deadline. Late requests are
     /// served only once in `LATE_TURN` turns.
-    pub(crate) fn is_hopeless(&self, now: Time, ticket: &Ticket) -> bool {
-        let (late, before) = self.queue.late(ticket.priority);
-        let wait = self.wait(before + late * LATE_TURN as usize);
-        wait.is_some_and(|wait| now + wait + self.pace.least() > ticket.deadline)
+    pub(crate) fn misses_deadline(&self, now: Time, ticket: &Ticket) -> bool {
+        let (late, before) = self.queue.late_and_ahead(ticket.priority);
+        let wait = self.expected_wait(before + late * LATE_TURN as usize);
+        wait.is_some_and(|wait| now + wait + self.latency.lower_bound() > ticket.deadline)
     }
 
     fn is_idle(&self) -> bool {
@@ -155,7 +155,7 @@
     }
 
     /// Number of open requests of a caller.
-    pub(crate) fn open_of(&self, caller: &Name) -> u32 {
+    pub(crate) fn open_by_caller(&self, caller: &Name) -> u32 {
         self.callers.get(caller).copied().unwrap_or(0)
     }
 
@@ -170,7 +170,7 @@
     }
 
     /// Models and services for which requests wait, sorted.
-    pub(crate) fn wanted(&self) -> Vec<Work> {
+    pub(crate) fn queued_work(&self) -> Vec<Work> {
         if self.waiting == 0 {
             return Vec::new();
         }
@@ -185,7 +185,7 @@
     }
 
     /// Adds a request to the queue of its model or service.
-    pub(crate) fn push(&mut self, id: id::Request) {
+    pub(crate) fn enqueue(&mut self, id: id::Request) {
         let Some(flow) = self.flows.get_mut(&id) else {
             return;
         };
@@ -195,7 +195,7 @@
     }
 
     /// Removes a request from its queue to send it.
-    pub(crate) fn serve(&mut self, id: id::Request) {
+    pub(crate) fn dequeue(&mut self, id: id::Request) {
         let Some(flow) = self.flows.get(&id) else {
             return;
         };
@@ -244,7 +244,7 @@
     let key = arrival.key.clone().filter(|_| arrival.hops == 0);
     let digest = arrival.digest.clone();
     if let Work::Artifact(artifact) = &admitted.work {
-        state.demand.arrived(artifact);
+        state.demand.record_arrival(artifact);
     }
     open(state, arrival, admitted);
     match key {
@@ -255,7 +255,7 @@
 
 fn refuse(state: &mut State, id: id::Request, refused: Refused, out: &mut Vec<Effect>) {
     state.counters.end(refused.code);
-    let end = End::failed(Exposure::default(), refused.code, Some(refused.retry_after));
+    let end = End::failed(Execution::default(), refused.code, Some(refused.retry_after));
     out.push(Effect::End { request: id, end });
 }
 
@@ -270,10 +270,10 @@
         hops: arrival.hops,
         prefix: arrival.prefix.into_boxed_slice(),
         max_tokens: arrival.max_tokens,
-        exposure: Exposure::default(),
-        tries: 0,
-        strikes: 0,
-        again: 0,
+        execution: Execution::default(),
+        attempts: 0,
+        failures: 0,
+        requeued: 0,
         delivered: 0,
         committed: false,
         resume: Resume::Start,
@@ -299,18 +299,18 @@
         return Ok(());
     }
     let unproven =
-        |id: &id::Request| state.flow.flows.get(id).and_then(|flow| flow.exposure.proof()).is_none();
-    let Some(victim) = lane.queue.displaced(&admitted.ticket).filter(|id| !unproven(id)) else {
-        return Err(admit::full(lane));
+        |id: &id::Request| state.flow.flows.get(id).and_then(|flow| flow.execution.not_run_proof()).is_none();
+    let Some(victim) = lane.queue.preempted_by(&admitted.ticket).filter(|id| !unproven(id)) else {
+        return Err(admit::queue_full(lane));
     };
-    let retry_after = admit::preempted(lane);
-    let exposure = state.flow.flows.get(&victim).map(|flow| flow.exposure).unwrap_or_default();
+    let retry_after = admit::preempted_retry_after(lane);
+    let exposure = state.flow.flows.get(&victim).map(|flow| flow.execution).unwrap_or_default();
     end(state, now, victim, End::failed(exposure, Code::Preempted, Some(retry_after)), out);
     Ok(())
 }
 
 /// Closes `attempt` if it is the open attempt of its request.
-pub(crate) fn close(state: &mut State, attempt: id::Attempt) -> Option<Try> {
+pub(crate) fn close(state: &mut State, attempt: id::Attempt) -> Option<OpenAttempt> {
     let flow = state.flow.flows.get_mut(&attempt.request);
     let is_open = flow
         .as_ref()
@@ -323,21 +323,21 @@
         return None;
     };
     let work = flow.work.clone();
-    state.timers.cancel(closed.watch);
+    state.timers.cancel(closed.silence_timer);
     state.flow.close_lane(&work);
-    if let Some(site) = state.routes.site(&closed.backend) {
-        state.routes.close_try(site, &work);
+    if let Some(site) = state.routes.index(&closed.backend) {
+        state.routes.attempt_closed(site, &work);
     }
     Some(closed)
 }
 
 /// Handles the deadline of a request.
-pub(crate) fn deadline(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
+pub(crate) fn deadline_passed(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
     give_up(state, now, id, Code::DeadlinePassed, out);
 }
 
 /// Handles a caller that closed the connection.
-pub(crate) fn gone(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
+pub(crate) fn caller_gone(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
     give_up(state, now, id, Code::CallerGone, out);
 }
 
@@ -345,7 +345,7 @@
     let Some(flow) = state.flow.flows.get(&id) else {
         return;
     };
-    let end_with = End::failed(flow.exposure, code, None);
+    let end_with = End::failed(flow.execution, code, None);
     end(state, now, id, end_with, out);
 }
 
@@ -375,7 +375,7 @@
     }
     out.push(Effect::End { request: id, end });
     if let Some(closed) = closed {
-        dispatch::at(state, now, &closed.backend, out);
+        dispatch::to_backend(state, now, &closed.backend, out);
     }
-    crate::drain::settle(state, now, out);
+    crate::drain::exit_if_idle(state, now, out);
 }
--- a/core/src/health.rs
+++ b/core/src/health.rs
@@ -25,7 +25,7 @@
     /// A single request, to find out whether it answers again.
     Probe,
     /// Only if no other backend server is available.
-    Doubtful,
+    Suspected,
 }
 
 /// The health of one backend server, as observed by this process.
@@ -41,7 +41,7 @@
 impl Health {
     /// The health of a backend server that has just started.
     #[must_use]
-    pub fn fresh(now: Time) -> Self {
+    pub fn starting(now: Time) -> Self {
         Self { fresh_at: Some(now), ..Self::default() }
     }
 
@@ -51,12 +51,12 @@
         if self.strikes == 0 && self.ejections == 0 {
             return Standing::Good;
         }
-        if now >= self.doubt_until && open == 0 { Standing::Probe } else { Standing::Doubtful }
+        if now >= self.doubt_until && open == 0 { Standing::Probe } else { Standing::Suspected }
     }
 
     /// Whether it is suspected or ejected.
     #[must_use]
-    pub fn is_doubted(&self) -> bool {
+    pub fn is_suspected(&self) -> bool {
         self.strikes > 0 || self.ejections > 0
     }
 
@@ -67,7 +67,7 @@
     }
 
     /// Counts a failure after it accepted a request. Returns whether it has become an outlier.
-    pub fn fault(&mut self) -> bool {
+    pub fn record_failure(&mut self) -> bool {
         self.faults += 1;
         self.faults >= FAULTS_MAX
     }
@@ -80,20 +80,20 @@
     }
 
     /// Clears suspicion, ejection and failures after a successful answer.
-    pub fn good(&mut self) {
+    pub fn record_success(&mut self) {
         self.strikes = 0;
         self.ejections = 0;
         self.faults = 0;
     }
 
     /// Clears the suspicion since it responds. Failures stay counted, because the answer may still fail.
-    pub fn alive(&mut self) {
+    pub fn clear_suspicion(&mut self) {
         self.strikes = 0;
     }
 
     /// The share of its slots that it may get at this time of its slow start, from 0 to 1.
     #[must_use]
-    pub fn share(&self, now: Time) -> f32 {
+    pub fn slot_share(&self, now: Time) -> f32 {
         let Some(at) = self.fresh_at else {
             return 1.0;
         };
--- a/core/src/pace.rs
+++ b/core/src/latency.rs
@@ -7,15 +7,15 @@
 
 /// Running mean and mean deviation of a duration.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Pace {
+pub(crate) struct Latency {
     mean_ms: f32,
     deviation_ms: f32,
     known: bool,
 }
 
-impl Pace {
+impl Latency {
     /// Adds a sample.
-    pub(crate) fn took(&mut self, time: Duration) {
+    pub(crate) fn record(&mut self, time: Duration) {
         let ms = time.as_secs_f32() * 1_000.0;
         if !self.known {
             *self = Self { mean_ms: ms, deviation_ms: ms / 2.0, known: true };
@@ -33,7 +33,7 @@
 
     /// Duration that few samples fall below: the mean less twice the deviation. Zero before the first
     /// sample.
-    pub(crate) fn least(&self) -> Duration {
+    pub(crate) fn lower_bound(&self) -> Duration {
         millis((self.mean_ms - 2.0 * self.deviation_ms).max(0.0))
     }
 }
--- a/core/src/lease.rs
+++ b/core/src/lease.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::audit::{self, Act, Cause};
+use crate::audit::{self, Cause, Decision};
 use crate::effect::Effect;
 use crate::engine::Fence;
 use crate::id::Incarnation;
@@ -79,7 +79,7 @@
 
     /// Returns the fence of a lease that this process held until it expired, if the row as last read shows
     /// no later holder.
-    pub(crate) fn lapsed(&self, now: Time) -> Option<Fence> {
+    pub(crate) fn lapsed_fence(&self, now: Time) -> Option<Fence> {
         let (_, row) = self.seen.as_ref()?;
         self.last.filter(|last| self.fence(now).is_none() && !self.done && row.fence == *last)
     }
@@ -109,7 +109,7 @@
 }
 
 /// Renews the lease if this process holds it, and reads its row otherwise.
-pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn check_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let wait = state.settings.lease_renew.mul_f64(0.9 + 0.2 * state.rng.f64());
     state.timers.set(now + wait, Timer::Lease);
     expire(state, now, out);
@@ -145,7 +145,7 @@
         return;
     }
     if let Some(fence) = state.lease.last {
-        audit::record(state, now, Act::LeaseLeft(fence), cause, out);
+        audit::record(state, now, Decision::LeaseLeft(fence), cause, out);
     }
 }
 
@@ -177,7 +177,7 @@
 }
 
 /// Handles the table's answer to a call about the lease.
-pub(crate) fn answered(
+pub(crate) fn table_answered(
     state: &mut State,
     now: Time,
     step: &Step,
@@ -202,7 +202,7 @@
         }
     }
     if state.lease.is_handed_back() {
-        crate::drain::settle(state, now, out);
+        crate::drain::exit_if_idle(state, now, out);
     }
 }
 
@@ -230,7 +230,7 @@
     state.lease.last = Some(fence);
     state.lease.held_until = Some(at + length.mul_f64(1.0 - MARGIN));
     if fresh {
-        audit::record(state, now, Act::LeaseTaken(fence), cause, out);
+        audit::record(state, now, Decision::LeaseTaken(fence), cause, out);
     }
     expire(state, now, out);
 }
@@ -267,7 +267,7 @@
     if state.lease.last.is_some_and(|last| last < fence) {
         leave(state, now, Cause::Superseded, out);
     }
-    if state.drain.leaving() || state.lease.done {
+    if state.drain.is_leaving() || state.lease.done {
         return;
     }
     take(state, now, version, known, out);
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -5,8 +5,8 @@
 //! outcome is not known is cancelled: an order under the same id that asks for nothing makes the engine ignore
 //! the original one if that arrives later.
 
-mod book;
 mod sync;
+mod writer;
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,8 +22,8 @@
 use crate::table;
 use crate::time::Time;
 
-pub(crate) use book::{Step, answered, intend, intend_unrecorded};
 pub(crate) use sync::tick;
+pub(crate) use writer::{Step, record, send_unrecorded, table_answered};
 
 /// Orders that may be open at one engine. The limit is well below the 64 ended orders that a report lists, so
 /// that no ended order is dropped from the list before it was seen here.
@@ -63,7 +63,7 @@
 
 impl Row {
     /// Removes an order that can no longer take effect. Returns whether the row contained it.
-    fn strike(&mut self, order: id::Order) -> bool {
+    fn remove(&mut self, order: id::Order) -> bool {
         let Some(at) = self.intents.iter().position(|intent| intent.order == order) else {
             return false;
         };
@@ -85,7 +85,7 @@
     }
 
     /// Returns the orders that may still take effect in the incarnation that was reported last.
-    pub(crate) fn open(&self) -> impl Iterator<Item = &Intent> {
+    pub(crate) fn open_intents(&self) -> impl Iterator<Item = &Intent> {
         self.intents.iter().filter(|intent| intent.meant_for == self.incarnation)
     }
 }
@@ -95,7 +95,7 @@
 pub(crate) struct Part {
     /// Rows with their versions, by engine. Empty before they are read.
     pub rows: BTreeMap<Name, (table::Version, Row)>,
-    desks: BTreeMap<Name, Desk>,
+    trackers: BTreeMap<Name, Tracker>,
     /// The fence under which the rows were read. Rows read under an earlier fence are not used.
     read_under: Option<Fence>,
     reading: bool,
@@ -103,26 +103,26 @@
 
 /// State of this process about one engine's row.
 #[derive(Debug, Default)]
-struct Desk {
+struct Tracker {
     /// Whether the row was written under the current fence, so that no earlier holder can write it any more.
     claimed: bool,
     /// A write that may or may not have taken effect.
-    writing: Option<Writing>,
+    pending: Option<Pending>,
     /// Whether the row has changed here since it was last written.
     dirty: bool,
     /// The barrier that was or is to be sent to the engine.
     sync: Option<Sync>,
     /// Orders to be cancelled, each with whether a cancelling order was sent.
-    doubtful: BTreeMap<id::Order, bool>,
+    to_cancel: BTreeMap<id::Order, bool>,
     /// Orders that ended while the row that contains them was being written.
-    struck: BTreeSet<id::Order>,
+    ended_meanwhile: BTreeSet<id::Order>,
     /// Orders sent since the engine's last report.
-    unreported: u32,
+    sent_since_report: u32,
 }
 
 /// A write of a row, and the orders to send once it took effect.
 #[derive(Clone, Debug)]
-struct Writing {
+struct Pending {
     row: Row,
     over: table::Version,
     orders: Vec<(Order, Cause)>,
@@ -142,26 +142,26 @@
 
 impl Part {
     /// Returns the orders that may still take effect at an engine, including those being recorded.
-    pub(crate) fn open<'a>(&'a self, engine: &str) -> impl Iterator<Item = &'a Intent> {
+    pub(crate) fn open_intents<'a>(&'a self, engine: &str) -> impl Iterator<Item = &'a Intent> {
         let written = self.rows.get(engine).map(|(_, row)| row);
-        let writing = self.desks.get(engine).and_then(|desk| desk.writing.as_ref());
-        let fresh = writing.into_iter().flat_map(|writing| writing.row.open());
+        let writing = self.trackers.get(engine).and_then(|desk| desk.pending.as_ref());
+        let fresh = writing.into_iter().flat_map(|writing| writing.row.open_intents());
         let known = move |intent: &&Intent| {
             written.is_some_and(|row| row.intents.iter().any(|known| known.order == intent.order))
         };
-        written.into_iter().flat_map(Row::open).chain(fresh.filter(move |intent| !known(intent)))
+        written.into_iter().flat_map(Row::open_intents).chain(fresh.filter(move |intent| !known(intent)))
     }
 
     /// Returns whether an order to unload the artifact may still take effect at the engine.
-    pub(crate) fn may_drop(&self, engine: &str, artifact: &Artifact) -> bool {
-        self.open(engine)
+    pub(crate) fn has_open_unload(&self, engine: &str, artifact: &Artifact) -> bool {
+        self.open_intents(engine)
             .any(|intent| matches!(&intent.action, Action::Unload { artifact: other } if other == artifact))
     }
 
     /// Returns whether a report of this incarnation has passed the barrier of this holder, so that orders may be
     /// sent to the engine.
-    pub(crate) fn is_ready(&self, report: &Report, fence: Fence) -> bool {
-        let Some(desk) = self.desks.get(&report.engine) else {
+    pub(crate) fn is_synced(&self, report: &Report, fence: Fence) -> bool {
+        let Some(desk) = self.trackers.get(&report.engine) else {
             return false;
         };
         let synced = desk
@@ -172,21 +172,21 @@
     }
 
     /// Returns how many orders may be added at the engine now.
-    pub(crate) fn room(&self, engine: &str) -> usize {
-        let Some(desk) = self.desks.get(engine) else {
+    pub(crate) fn order_capacity(&self, engine: &str) -> usize {
+        let Some(desk) = self.trackers.get(engine) else {
             return 0;
         };
-        let unreported = UNREPORTED_MAX.saturating_sub(desk.unreported) as usize;
-        if desk.writing.is_some() {
+        let unreported = UNREPORTED_MAX.saturating_sub(desk.sent_since_report) as usize;
+        if desk.pending.is_some() {
             return 0;
         }
-        OPEN_MAX.saturating_sub(self.open(engine).count()).min(unreported)
+        OPEN_MAX.saturating_sub(self.open_intents(engine).count()).min(unreported)
     }
 
     /// Returns the memory of an engine that is free for an artifact, in MB: neither held by other artifacts nor
     /// to be taken by open orders for them. Memory that the artifact itself already takes counts as free.
-    pub(crate) fn free_for(&self, report: &Report, artifact: &Artifact) -> u64 {
-        let mut taken = coming(self.open(&report.engine));
+    pub(crate) fn free_mb_for(&self, report: &Report, artifact: &Artifact) -> u64 {
+        let mut taken = coming(self.open_intents(&report.engine));
         for copy in &report.copies {
             let most = taken.entry(&copy.artifact).or_default();
             *most = (*most).max(copy.memory_mb);
@@ -197,8 +197,8 @@
 }
 
 /// Returns the memory of an engine that is taken or may still be taken by open orders, in MB.
-pub(crate) fn reserved(report: &Report, row: &Row) -> u64 {
-    reserved_by(report, row.open())
+pub(crate) fn reserved_mb(report: &Report, row: &Row) -> u64 {
+    reserved_by(report, row.open_intents())
 }
 
 fn reserved_by<'a>(report: &Report, open: impl Iterator<Item = &'a Intent>) -> u64 {
@@ -223,51 +223,51 @@
 }
 
 /// Handles an engine's answer to an order; `None` if the answer was lost.
-pub(crate) fn ordered(state: &mut State, order: id::Order, engine: &Name, receipt: Option<&Receipt>) {
-    let Some(desk) = state.ledger.desks.get_mut(engine) else {
+pub(crate) fn order_answered(state: &mut State, order: id::Order, engine: &Name, receipt: Option<&Receipt>) {
+    let Some(desk) = state.ledger.trackers.get_mut(engine) else {
         return;
     };
-    let cancelled = desk.doubtful.get(&order).copied();
+    let cancelled = desk.to_cancel.get(&order).copied();
     match receipt {
         None => {
             let known = |(_, row): &(table::Version, Row)| row.intents.iter().any(|open| open.order == order);
             if state.ledger.rows.get(engine).is_some_and(known) {
-                desk.doubtful.entry(order).or_insert(false);
+                desk.to_cancel.entry(order).or_insert(false);
             }
         }
         // An engine that refuses the fence, or has restarted, refuses the order also if it arrives again.
-        Some(Receipt::Stale { .. } | Receipt::Restarted) => strike(state, engine, &[order]),
+        Some(Receipt::Stale { .. } | Receipt::Restarted) => remove_orders(state, engine, &[order]),
         // If a cancelling order was sent under the same id, this may be the answer to either of them.
         Some(Receipt::Full { .. } | Receipt::Busy | Receipt::Invalid) if cancelled != Some(true) => {
-            strike(state, engine, &[order]);
+            remove_orders(state, engine, &[order]);
         }
         Some(Receipt::Taken | Receipt::Full { .. } | Receipt::Busy | Receipt::Invalid) => {}
     }
 }
 
 /// Handles an engine's report: removes the orders that it lists as ended.
-pub(crate) fn reported(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
-    if !state.ledger.desks.contains_key(&report.engine) {
+pub(crate) fn report_received(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
+    if !state.ledger.trackers.contains_key(&report.engine) {
         return;
     }
-    sync::reported(state, now, report, out);
+    sync::report_received(state, now, report, out);
     let ended: Vec<id::Order> = report.ended.iter().map(|ended| ended.order).collect();
-    strike(state, &report.engine, &ended);
+    remove_orders(state, &report.engine, &ended);
 }
 
-fn strike(state: &mut State, engine: &Name, orders: &[id::Order]) {
+fn remove_orders(state: &mut State, engine: &Name, orders: &[id::Order]) {
     let (Some(desk), Some((_, row))) =
-        (state.ledger.desks.get_mut(engine), state.ledger.rows.get_mut(engine))
+        (state.ledger.trackers.get_mut(engine), state.ledger.rows.get_mut(engine))
     else {
         return;
     };
-    let being_written = desk.writing.as_ref().map(|writing| &writing.row);
+    let being_written = desk.pending.as_ref().map(|writing| &writing.row);
     for order in orders {
-        desk.doubtful.remove(order);
-        desk.dirty |= row.strike(*order);
+        desk.to_cancel.remove(order);
+        desk.dirty |= row.remove(*order);
         let written = being_written.is_some_and(|row| row.intents.iter().any(|open| open.order == *order));
         if written {
-            desk.struck.insert(*order);
+            desk.ended_meanwhile.insert(*order);
         }
     }
 }
--- a/core/src/ledger/sync.rs
+++ b/core/src/ledger/sync.rs
@@ -1,7 +1,7 @@
 //! Synchronizes a lease holder with the engines of its zone: claims their rows, sends barriers and cancels
 //! orders whose outcome is not known.
 
-use crate::audit::{self, Act, Cause};
+use crate::audit::{self, Cause, Decision};
 use crate::effect::Effect;
 use crate::engine::{Action, Fence, Order, Report};
 use crate::id;
@@ -11,7 +11,7 @@
 use crate::table;
 use crate::time::Time;
 
-use super::{Row, Sync, Writing, book};
+use super::{Pending, Row, Sync, writer};
 
 /// Reads or claims the ledgers of the zone and sends due barriers and cancellations, if this process holds
 /// the lease.
@@ -20,10 +20,10 @@
         return;
     };
     if state.ledger.read_under != Some(fence) {
-        book::read(state, fence, out);
+        writer::read(state, fence, out);
         return;
     }
-    book::check(state, out);
+    writer::read_back(state, out);
     claim(state, fence, out);
     for engine in engines(state) {
         let report = state.fleet.backends.get(&engine).and_then(|backend| backend.report.clone());
@@ -50,29 +50,29 @@
 fn claim(state: &mut State, fence: Fence, out: &mut Vec<Effect>) {
     let mut due = Vec::new();
     for engine in engines(state) {
-        let desk = state.ledger.desks.entry(engine.clone()).or_default();
+        let desk = state.ledger.trackers.entry(engine.clone()).or_default();
         let known = state.ledger.rows.get(&engine).cloned();
         let superseded = known.as_ref().is_some_and(|(_, row)| row.fence > fence);
-        if desk.claimed || desk.writing.is_some() || superseded {
+        if desk.claimed || desk.pending.is_some() || superseded {
             continue;
         }
         let (over, row) = known.unwrap_or((table::Version(0), Row::default()));
         let row = Row { fence, ..row };
-        desk.writing = Some(Writing { row, over, orders: Vec::new(), lost: false });
+        desk.pending = Some(Pending { row, over, orders: Vec::new(), lost: false });
         due.push(engine);
     }
-    book::write(state, due, out);
+    writer::write(state, due, out);
 }
 
 /// Starts a new barrier if a report shows another incarnation of the engine, or if the fence is new. For another
 /// incarnation the row is switched to it and the orders meant for it are to be cancelled.
 fn follow(state: &mut State, report: &Report, fence: Fence) {
-    let claimed = state.ledger.desks.get(&report.engine).is_some_and(|desk| desk.claimed);
+    let claimed = state.ledger.trackers.get(&report.engine).is_some_and(|desk| desk.claimed);
     if !claimed || state.ledger.read_under != Some(fence) {
         return;
     }
     let barrier = state.next_order();
-    let Some(desk) = state.ledger.desks.get_mut(&report.engine) else {
+    let Some(desk) = state.ledger.trackers.get_mut(&report.engine) else {
         return;
     };
     let Some((_, row)) = state.ledger.rows.get_mut(&report.engine) else {
@@ -88,14 +88,14 @@
     if !same_life {
         row.restart(report.incarnation);
         desk.dirty = true;
-        desk.doubtful = row.open().map(|intent| (intent.order, false)).collect();
+        desk.to_cancel = row.open_intents().map(|intent| (intent.order, false)).collect();
     }
 }
 
 /// Sends the barrier and the cancelling orders that an engine has not yet reported as ended.
 fn nudge(state: &mut State, now: Time, engine: &Name, fence: Fence, out: &mut Vec<Effect>) {
     let checks = checks(state, engine);
-    let Some(desk) = state.ledger.desks.get_mut(engine).filter(|desk| desk.claimed) else {
+    let Some(desk) = state.ledger.trackers.get_mut(engine).filter(|desk| desk.claimed) else {
         return;
     };
     let Some(sync) = desk.sync.clone() else {
@@ -110,8 +110,8 @@
         due.push(sync.barrier);
     }
     let mut fresh = Vec::new();
-    for intent in row.open() {
-        let Some(sent) = desk.doubtful.get_mut(&intent.order) else {
+    for intent in row.open_intents() {
+        let Some(sent) = desk.to_cancel.get_mut(&intent.order) else {
             continue;
         };
         // Where fences are checked, the barrier alone makes the engine refuse an earlier holder's orders.
@@ -125,11 +125,11 @@
         due.push(intent.order);
     }
     for order in fresh {
-        let act = Act::Cancel { order, engine: engine.clone() };
+        let act = Decision::Cancel { order, engine: engine.clone() };
         audit::record(state, now, act, Cause::Lost, out);
     }
     for id in due {
-        book::dispatch(state, engine, Order { id, fence, meant_for, action: Action::Raise }, out);
+        writer::dispatch(state, engine, Order { id, fence, meant_for, action: Action::Raise }, out);
     }
 }
 
@@ -139,20 +139,20 @@
 }
 
 /// Handles an engine's report: checks whether it was made after this holder's barrier.
-pub(super) fn reported(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
+pub(super) fn report_received(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
     let Some(fence) = state.lease.fence(now) else {
         return;
     };
     let checks = checks(state, &report.engine);
-    if let Some(desk) = state.ledger.desks.get_mut(&report.engine) {
-        desk.unreported = 0;
+    if let Some(desk) = state.ledger.trackers.get_mut(&report.engine) {
+        desk.sent_since_report = 0;
     }
     let before = sync_of(state, &report.engine);
     follow(state, report, fence);
     if before != sync_of(state, &report.engine) {
         nudge(state, now, &report.engine, fence, out);
     }
-    let Some(desk) = state.ledger.desks.get_mut(&report.engine) else {
+    let Some(desk) = state.ledger.trackers.get_mut(&report.engine) else {
         return;
     };
     let Some(sync) = desk.sync.as_mut().filter(|sync| !sync.done && sync.incarnation == report.incarnation)
@@ -171,7 +171,7 @@
 }
 
 fn sync_of(state: &State, engine: &str) -> Option<id::Order> {
-    state.ledger.desks.get(engine).and_then(|desk| desk.sync.as_ref()).map(|sync| sync.barrier)
+    state.ledger.trackers.get(engine).and_then(|desk| desk.sync.as_ref()).map(|sync| sync.barrier)
 }
 
 /// Removes the orders of earlier holders at an engine that refuses them from now on.
@@ -181,5 +181,5 @@
     };
     let older: Vec<id::Order> =
         row.intents.iter().filter(|intent| intent.fence < fence).map(|intent| intent.order).collect();
-    super::strike(state, engine, &older);
+    super::remove_orders(state, engine, &older);
 }
--- a/core/src/ledger/book.rs
+++ b/core/src/ledger/writer.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::audit::{self, Act, Cause};
+use crate::audit::{self, Cause, Decision};
 use crate::effect::Effect;
 use crate::engine::{Action, Fence, Order};
 use crate::name::Name;
@@ -10,7 +10,7 @@
 use crate::table::{self, Done};
 use crate::time::Time;
 
-use super::{Desk, Intent, Row, Writing};
+use super::{Intent, Pending, Row, Tracker};
 
 /// Calls of the table about ledgers.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,13 +39,13 @@
 
 /// Records orders before they are sent, for all engines in one call of the table. Rows that have changed here
 /// are written too.
-pub(crate) fn intend(
+pub(crate) fn record(
     state: &mut State,
     fence: Fence,
     mut orders: BTreeMap<Name, Vec<(Action, Cause)>>,
     out: &mut Vec<Effect>,
 ) {
-    for (engine, desk) in &state.ledger.desks {
+    for (engine, desk) in &state.ledger.trackers {
         if desk.dirty && desk.claimed {
             orders.entry(engine.clone()).or_default();
         }
@@ -60,13 +60,13 @@
             .into_iter()
             .map(|(action, cause)| (Order { id: state.next_order(), fence, meant_for, action }, cause))
             .collect();
-        let Some(desk) = state.ledger.desks.get_mut(&engine).filter(|desk| desk.writing.is_none()) else {
+        let Some(desk) = state.ledger.trackers.get_mut(&engine).filter(|desk| desk.pending.is_none()) else {
             continue;
         };
         row.fence = fence;
         row.intents.extend(made.iter().map(|(order, _)| intent(order)));
         desk.dirty = false;
-        desk.writing = Some(Writing { row, over, orders: made, lost: false });
+        desk.pending = Some(Pending { row, over, orders: made, lost: false });
         due.push(engine);
     }
     write(state, due, out);
@@ -78,7 +78,7 @@
 
 /// Sends a load without recording it, while the table cannot be reached. This is safe only at an engine that
 /// checks fences: the next holder raises the fence there and plans from a report made after that.
-pub(crate) fn intend_unrecorded(
+pub(crate) fn send_unrecorded(
     state: &mut State,
     now: Time,
     engine: &Name,
@@ -93,7 +93,7 @@
     };
     let order = Order { id, fence, meant_for: row.incarnation, action };
     row.intents.push(intent(&order));
-    if let Some(desk) = state.ledger.desks.get_mut(engine) {
+    if let Some(desk) = state.ledger.trackers.get_mut(engine) {
         desk.dirty = true;
     }
     send(state, now, engine, order, cause, out);
@@ -106,7 +106,7 @@
     }
     let mut writes = Vec::new();
     for engine in &engines {
-        let Some(writing) = state.ledger.desks.get(engine).and_then(|desk| desk.writing.as_ref()) else {
+        let Some(writing) = state.ledger.trackers.get(engine).and_then(|desk| desk.pending.as_ref()) else {
             continue;
         };
         writes.push(table::Write {
@@ -119,10 +119,15 @@
 }
 
 /// Reads the rows whose writes were not answered.
-pub(super) fn check(state: &mut State, out: &mut Vec<Effect>) {
-    let lost = |desk: &Desk| desk.writing.as_ref().is_some_and(|writing| writing.lost);
-    let engines: Vec<Name> =
-        state.ledger.desks.iter().filter(|(_, desk)| lost(desk)).map(|(engine, _)| engine.clone()).collect();
+pub(super) fn read_back(state: &mut State, out: &mut Vec<Effect>) {
+    let lost = |desk: &Tracker| desk.pending.as_ref().is_some_and(|writing| writing.lost);
+    let engines: Vec<Name> = state
+        .ledger
+        .trackers
+        .iter()
+        .filter(|(_, desk)| lost(desk))
+        .map(|(engine, _)| engine.clone())
+        .collect();
     if engines.is_empty() {
         return;
     }
@@ -131,7 +136,7 @@
 }
 
 /// Handles the table's answer to a call about ledgers.
-pub(crate) fn answered(
+pub(crate) fn table_answered(
     state: &mut State,
     now: Time,
     step: Step,
@@ -174,8 +179,8 @@
 /// Marks the writes that are still pending as lost, so that the next tick reads their rows.
 fn doubt(state: &mut State, engines: &[Name]) {
     for engine in engines {
-        let desk = state.ledger.desks.get_mut(engine);
-        if let Some(writing) = desk.and_then(|desk| desk.writing.as_mut()) {
+        let desk = state.ledger.trackers.get_mut(engine);
+        if let Some(writing) = desk.and_then(|desk| desk.pending.as_mut()) {
             writing.lost = true;
         }
     }
@@ -183,18 +188,18 @@
 
 /// Drops a write that certainly had no effect. Its orders were not recorded, so they are not sent.
 fn drop_write(state: &mut State, engine: &Name) {
-    if let Some(desk) = state.ledger.desks.get_mut(engine) {
-        desk.writing = None;
+    if let Some(desk) = state.ledger.trackers.get_mut(engine) {
+        desk.pending = None;
         desk.dirty = desk.claimed;
-        desk.struck.clear();
+        desk.ended_meanwhile.clear();
     }
 }
 
 /// Replaces all ledgers by the rows that this process read as the new lease holder.
 fn adopt_all(state: &mut State, fence: Fence, rows: Vec<table::Row>) {
     state.ledger.rows.clear();
-    for desk in state.ledger.desks.values_mut() {
-        *desk = Desk::default();
+    for desk in state.ledger.trackers.values_mut() {
+        *desk = Tracker::default();
     }
     state.ledger.read_under = Some(fence);
     for row in rows {
@@ -207,18 +212,18 @@
 /// Adopts a row that another holder wrote. None of its orders is known to have ended, so all are to be cancelled.
 fn adopt(state: &mut State, engine: &Name, version: table::Version, row: Row) {
     let doubtful = row.intents.iter().map(|intent| (intent.order, false)).collect();
-    let sync = state.ledger.desks.remove(engine).and_then(|desk| desk.sync);
-    let desk = Desk { sync, doubtful, ..Desk::default() };
-    state.ledger.desks.insert(engine.clone(), desk);
+    let sync = state.ledger.trackers.remove(engine).and_then(|desk| desk.sync);
+    let desk = Tracker { sync, to_cancel: doubtful, ..Tracker::default() };
+    state.ledger.trackers.insert(engine.clone(), desk);
     state.ledger.rows.insert(engine.clone(), (version, row));
 }
 
 /// Applies a write that took effect, and sends the orders that it recorded if this process still holds the lease.
 fn committed(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    let Some(desk) = state.ledger.desks.get_mut(engine) else {
+    let Some(desk) = state.ledger.trackers.get_mut(engine) else {
         return;
     };
-    let Some(Writing { mut row, over, orders, .. }) = desk.writing.take() else {
+    let Some(Pending { mut row, over, orders, .. }) = desk.pending.take() else {
         return;
     };
     let planned_for = row.incarnation;
@@ -227,8 +232,8 @@
         row.restart(present);
         desk.dirty = true;
     }
-    for order in std::mem::take(&mut desk.struck) {
-        desk.dirty |= row.strike(order);
+    for order in std::mem::take(&mut desk.ended_meanwhile) {
+        desk.dirty |= row.remove(order);
     }
     desk.claimed = state.ledger.read_under == Some(row.fence);
     let same_life = planned_for == row.incarnation;
@@ -237,15 +242,15 @@
         let fresh = state.lease.fence(now) == Some(order.fence);
         if fresh && same_life {
             send(state, now, engine, order, cause, out);
-        } else if let Some(desk) = state.ledger.desks.get_mut(engine) {
-            desk.doubtful.insert(order.id, false);
+        } else if let Some(desk) = state.ledger.trackers.get_mut(engine) {
+            desk.to_cancel.insert(order.id, false);
         }
     }
 }
 
 /// Decides by the row in the table whether a pending write took effect.
 fn settle(state: &mut State, now: Time, engine: &Name, found: Option<table::Row>, out: &mut Vec<Effect>) {
-    let Some(writing) = state.ledger.desks.get(engine).and_then(|desk| desk.writing.clone()) else {
+    let Some(writing) = state.ledger.trackers.get(engine).and_then(|desk| desk.pending.clone()) else {
         return;
     };
     let (version, row) = match found {
@@ -274,8 +279,8 @@
 fn rewrite(state: &mut State, engines: &[Name], out: &mut Vec<Effect>) {
     let mut due = Vec::new();
     for engine in engines {
-        let desk = state.ledger.desks.get_mut(engine);
-        if let Some(writing) = desk.and_then(|desk| desk.writing.as_mut()) {
+        let desk = state.ledger.trackers.get_mut(engine);
+        if let Some(writing) = desk.and_then(|desk| desk.pending.as_mut()) {
             writing.lost = false;
             due.push(engine.clone());
         }
@@ -287,12 +292,12 @@
     let (id, engine_name) = (order.id, engine.clone());
     let act = match &order.action {
         Action::Load { artifact, .. } => {
-            Some(Act::Load { order: id, engine: engine_name, artifact: artifact.clone() })
+            Some(Decision::Load { order: id, engine: engine_name, artifact: artifact.clone() })
         }
         Action::Unload { artifact } => {
-            Some(Act::Unload { order: id, engine: engine_name, artifact: artifact.clone() })
+            Some(Decision::Unload { order: id, engine: engine_name, artifact: artifact.clone() })
         }
-        Action::Role { role } => Some(Act::Role { order: id, engine: engine_name, role: *role }),
+        Action::Role { role } => Some(Decision::Role { order: id, engine: engine_name, role: *role }),
         Action::Raise => None,
     };
     if let Some(act) = act {
@@ -303,14 +308,14 @@
 
 /// Sends an order to its engine. If the engine is not known, the order is to be cancelled later.
 pub(super) fn dispatch(state: &mut State, engine: &Name, order: Order, out: &mut Vec<Effect>) {
-    let Some(desk) = state.ledger.desks.get_mut(engine) else {
+    let Some(desk) = state.ledger.trackers.get_mut(engine) else {
         return;
     };
     let Some(backend) = state.fleet.backends.get(engine) else {
-        desk.doubtful.insert(order.id, false);
+        desk.to_cancel.insert(order.id, false);
         return;
     };
-    desk.unreported += 1;
+    desk.sent_since_report += 1;
     state.counters.orders += 1;
     out.push(Effect::Order { engine: engine.clone(), address: backend.address, order: Box::new(order) });
 }
--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -6,14 +6,14 @@
 
 use crate::close;
 use crate::collect;
-use crate::config::{self, Reach};
+use crate::config::{self, Audience};
 use crate::demand;
 use crate::effect::Effect;
 use crate::fleet;
 use crate::id::Incarnation;
-use crate::index;
 use crate::name::Name;
 use crate::peer::{Frame, Item};
+use crate::route_sync;
 use crate::state::State;
 use crate::summary;
 use crate::time::Time;
@@ -23,7 +23,7 @@
 mod mesh;
 mod verdict;
 
-pub(crate) use mesh::{behind, is_first, links, live_zone, zone_peers};
+pub(crate) use mesh::{available_in_zone, is_forwarder, links, outdated_peers, zone_peers};
 
 /// Earlier incarnations remembered for each peer, so that their late frames are dropped.
 const RETIRED_MAX: usize = 4;
@@ -39,25 +39,25 @@
     /// The address at which it listens for peers.
     pub address: SocketAddr,
     /// Time since which the VM list has not shown it; none while it is listed.
-    pub unlisted: Option<Time>,
+    pub unlisted_since: Option<Time>,
     /// The incarnation of its process; none before its first frame.
     pub incarnation: Option<Incarnation>,
     /// Number of its last frame.
     pub seq: u64,
     /// Time of its last frame; none before the first.
-    pub heard: Option<Time>,
+    pub last_heard: Option<Time>,
     /// The configuration version in force there, by its last frame.
-    pub config: u64,
+    pub config_version: u64,
     /// Whether it is stopping, according to its frames or the VM list.
     pub stopping: bool,
     /// Whether it is suspected to have failed.
     pub suspected: bool,
     /// Whether it was sent all reports that this entry VM collects.
     pub synced: bool,
-    since: Time,
-    lost: u32,
-    lost_at: Time,
-    retired: VecDeque<Incarnation>,
+    known_since: Time,
+    lost_frames: u32,
+    last_lost_at: Time,
+    earlier_incarnations: VecDeque<Incarnation>,
 }
 
 impl Peer {
@@ -65,23 +65,23 @@
         Self {
             zone,
             address,
-            unlisted: Some(now),
+            unlisted_since: Some(now),
             incarnation: None,
             seq: 0,
-            heard: None,
-            config: 0,
+            last_heard: None,
+            config_version: 0,
             stopping: false,
             suspected: false,
             synced: false,
-            since: now,
-            lost: 0,
-            lost_at: now,
-            retired: VecDeque::new(),
+            known_since: now,
+            lost_frames: 0,
+            last_lost_at: now,
+            earlier_incarnations: VecDeque::new(),
         }
     }
 
     /// Whether duties of its zone may be assigned to it.
-    pub(crate) fn is_fit(&self) -> bool {
+    pub(crate) fn is_available(&self) -> bool {
         !self.suspected && !self.stopping
     }
 }
@@ -92,95 +92,96 @@
     /// The other entry VMs, by VM name.
     pub peers: BTreeMap<Name, Peer>,
     /// Time of the last event that came from outside this process.
-    pub evidence: Time,
+    pub last_input: Time,
     /// Start of the time in which the silence of peers counts.
-    listening: Time,
+    listening_since: Time,
     /// Time of the next frames.
     due: Time,
     seq: u64,
 }
 
 /// Updates the peers from a new VM list.
-pub(crate) fn listed(state: &mut State, now: Time) {
+pub(crate) fn update_members(state: &mut State, now: Time) {
     let part = &mut state.member;
     for peer in part.peers.values_mut() {
-        peer.unlisted = peer.unlisted.or(Some(now));
+        peer.unlisted_since = peer.unlisted_since.or(Some(now));
     }
     for vm in state.fleet.entries.values().filter(|vm| vm.name != state.me.vm) {
         let fresh = || Peer::new(vm.zone.clone(), vm.address, now);
         let peer = part.peers.entry(vm.name.clone()).or_insert_with(fresh);
         // The address in a peer's own frames is newer than that in the list.
-        if peer.heard.is_none() {
+        if peer.last_heard.is_none() {
             peer.address = vm.address;
         }
-        peer.unlisted = None;
+        peer.unlisted_since = None;
         peer.stopping |= vm.phase == Phase::Leaving;
     }
     let forget = state.settings.suspect_after;
-    part.peers
-        .retain(|_, peer| peer.unlisted.is_none() || peer.heard.is_some_and(|at| now.since(at) <= forget));
+    part.peers.retain(|_, peer| {
+        peer.unlisted_since.is_none() || peer.last_heard.is_some_and(|at| now.since(at) <= forget)
+    });
 }
 
 /// Time between frames to each peer.
-pub(crate) fn interval(state: &State) -> Duration {
+pub(crate) fn frame_interval(state: &State) -> Duration {
     let peers = zone_peers(state).count() as u32;
     state.settings.heartbeat_every.max(SPACING * peers)
 }
 
 /// Sends the frames that are due and suspects silent peers.
-pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let interval = interval(state);
+pub(crate) fn heartbeat_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    let interval = frame_interval(state);
     let late = now.since(state.member.due) > interval && state.member.due > Time(0);
     if late {
-        state.member.listening = now;
+        state.member.listening_since = now;
     }
     let next = now + interval.mul_f64(0.9 + 0.2 * state.rng.f64());
     state.member.due = next;
     state.timers.set(next, Timer::Heartbeat);
-    if verdict::judge(state, now, interval) {
-        collect::assign(state, now);
+    if verdict::update_suspicions(state, now, interval) {
+        collect::assign_collectors(state, now);
     }
     tell_zone(state, out);
     tell_links(state, now, out);
 }
 
 fn tell_zone(state: &mut State, out: &mut Vec<Effect>) {
-    let mut items = summary::pass_on(state);
-    items.extend(collect::loads(state));
+    let mut items = summary::take_forwards(state);
+    items.extend(collect::take_load_updates(state));
     let peers: Vec<Name> = zone_peers(state).map(|(name, _)| name.clone()).collect();
     for name in peers {
         let synced = state.member.peers.get(&name).is_some_and(|peer| peer.synced);
         if synced {
-            tell(state, &name, items.clone(), out);
+            send(state, &name, items.clone(), out);
             continue;
         }
         if let Some(peer) = state.member.peers.get_mut(&name) {
-            peer.synced = peer.heard.is_some();
+            peer.synced = peer.last_heard.is_some();
         }
-        let mut all = collect::whole(state);
-        all.extend(summary::passed_on(state));
-        all.extend(fleet::drains(state));
-        tell(state, &name, all, out);
+        let mut all = collect::all_reports(state);
+        all.extend(summary::all_forwards(state));
+        all.extend(fleet::drains_item(state));
+        send(state, &name, all, out);
     }
 }
 
 fn tell_links(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     for name in links(state) {
-        let item = summary::next(state, now, &name);
-        tell(state, &name, vec![item], out);
+        let item = summary::next_summary(state, now, &name);
+        send(state, &name, vec![item], out);
     }
 }
 
 /// Immediately sends a frame with `items` to every other entry VM of the zone.
-pub(crate) fn tell_all(state: &mut State, items: &[Item], out: &mut Vec<Effect>) {
+pub(crate) fn send_to_zone(state: &mut State, items: &[Item], out: &mut Vec<Effect>) {
     let peers: Vec<Name> = zone_peers(state).map(|(name, _)| name.clone()).collect();
     for peer in peers {
-        tell(state, &peer, items.to_vec(), out);
+        send(state, &peer, items.to_vec(), out);
     }
 }
 
 /// Sends a frame with `items` to one peer. Does nothing if the peer is not known.
-pub(crate) fn tell(state: &mut State, peer: &Name, items: Vec<Item>, out: &mut Vec<Effect>) {
+pub(crate) fn send(state: &mut State, peer: &Name, items: Vec<Item>, out: &mut Vec<Effect>) {
     let Some(address) = state.member.peers.get(peer).map(|peer| peer.address) else {
         return;
     };
@@ -192,23 +193,23 @@
         seq: state.member.seq,
         address: state.settings.address,
         config: state.config.version,
-        stopping: state.drain.leaving(),
+        stopping: state.drain.is_leaving(),
         items,
     };
-    out.push(Effect::Tell { peer: peer.clone(), address, frame: Box::new(frame) });
+    out.push(Effect::SendFrame { peer: peer.clone(), address, frame: Box::new(frame) });
 }
 
 /// Handles a frame that could not be delivered to a peer.
-pub(crate) fn unheard(state: &mut State, now: Time, peer: &Name) {
+pub(crate) fn delivery_failed(state: &mut State, now: Time, peer: &Name) {
     if let Some(peer) = state.member.peers.get_mut(peer) {
-        peer.lost = peer.lost.saturating_add(1);
-        peer.lost_at = now;
+        peer.lost_frames = peer.lost_frames.saturating_add(1);
+        peer.last_lost_at = now;
         peer.synced = false;
     }
 }
 
 /// Handles a frame from another entry VM.
-pub(crate) fn heard(state: &mut State, now: Time, frame: Frame, out: &mut Vec<Effect>) {
+pub(crate) fn frame_received(state: &mut State, now: Time, frame: Frame, out: &mut Vec<Effect>) {
     let own = frame.from == state.me.vm;
     let overtaken = !own && is_overtaken(state, &frame);
     if own || !overtaken && !admit(state, now, &frame) {
@@ -222,10 +223,10 @@
         }
     }
     if state.config.version > before {
-        let reach = if frame.zone == state.me.zone { Reach::Across } else { Reach::All };
+        let reach = if frame.zone == state.me.zone { Audience::OtherZones } else { Audience::All };
         config::push(state, reach, out);
     }
-    config::heard_version(state, now, &frame.from, frame.config, out);
+    config::version_received(state, now, &frame.from, frame.config, out);
 }
 
 /// Whether a later frame of the same process came before this one. The sender's state in it is outdated then,
@@ -263,55 +264,55 @@
         (None, None) => return true,
     };
     let same = peer.incarnation == Some(frame.incarnation);
-    if peer.retired.contains(&frame.incarnation) || (same && peer.seq >= frame.seq) {
+    if peer.earlier_incarnations.contains(&frame.incarnation) || (same && peer.seq >= frame.seq) {
         return false;
     }
     let changed = peer.suspected || !same || peer.stopping != frame.stopping;
     if !same {
         if let Some(old) = peer.incarnation.replace(frame.incarnation) {
-            peer.retired.push_back(old);
+            peer.earlier_incarnations.push_back(old);
         }
-        if peer.retired.len() > RETIRED_MAX {
-            peer.retired.pop_front();
+        if peer.earlier_incarnations.len() > RETIRED_MAX {
+            peer.earlier_incarnations.pop_front();
         }
         peer.synced = false;
     }
     peer.seq = frame.seq;
-    peer.heard = Some(now);
-    peer.config = frame.config;
+    peer.last_heard = Some(now);
+    peer.config_version = frame.config;
     peer.stopping = frame.stopping;
     peer.suspected = false;
-    peer.lost = 0;
+    peer.lost_frames = 0;
     if let Some(address) = frame.address {
         peer.address = address;
-        verdict::displace(state, &frame.from, address);
+        verdict::suspect_others_at(state, &frame.from, address);
     }
     if changed {
-        collect::assign(state, now);
+        collect::assign_collectors(state, now);
     }
     true
 }
 
 fn take(state: &mut State, now: Time, from: &Name, item: Item, out: &mut Vec<Effect>) {
     match item {
-        Item::Report(report) => fleet::reported(state, now, &report, out),
-        Item::Loads(loads) => collect::heard_loads(state, now, from, &loads, out),
+        Item::Report(report) => fleet::report_received(state, now, &report, out),
+        Item::Loads(loads) => collect::loads_received(state, now, from, &loads, out),
         Item::WantReports => {
             if let Some(peer) = state.member.peers.get_mut(from) {
                 peer.synced = false;
             }
         }
         Item::Leaving(backend) => {
-            index::left(state, now, &backend);
+            route_sync::mark_leaving(state, now, &backend);
         }
-        Item::Drains(drains) => fleet::heard_drains(state, now, &drains, out),
-        Item::Summary(summary) => summary::heard(state, now, &summary),
+        Item::Drains(drains) => fleet::apply_drains(state, now, &drains, out),
+        Item::Summary(summary) => summary::summary_received(state, now, &summary),
         Item::Config(head) => config::adopt(state, now, &head, out),
-        Item::Steps(steps) => config::heard_steps(state, now, steps, out),
-        Item::WantConfig(theirs) => config::answer_want(state, from, theirs, out),
-        Item::Demand(items) => demand::heard(state, from, items),
-        Item::Close(closing) => close::heard_close(state, now, from, closing, out),
-        Item::Closed(closing) => close::heard_closed(state, from, closing),
-        Item::Reopen(closing) => close::heard_reopen(state, now, closing),
+        Item::Steps(steps) => config::steps_received(state, now, steps, out),
+        Item::WantConfig(theirs) => config::answer_request(state, from, theirs, out),
+        Item::Demand(items) => demand::receive(state, from, items),
+        Item::Close(closing) => close::receive_close(state, now, from, closing, out),
+        Item::Closed(closing) => close::receive_closed(state, from, closing),
+        Item::Reopen(closing) => close::receive_reopen(state, now, closing),
     }
 }
--- a/core/src/member/mesh.rs
+++ b/core/src/member/mesh.rs
@@ -1,6 +1,6 @@
 //! Topology of frames: a full mesh within a zone, a few links between each pair of zones.
 
-use crate::config::Reach;
+use crate::config::Audience;
 use crate::member::Peer;
 use crate::name::Name;
 use crate::rendezvous;
@@ -16,9 +16,9 @@
 
 /// The entry VMs of this zone that duties may be assigned to. Includes this one unless it is stopping
 /// and others can take over.
-pub(crate) fn live_zone(state: &State) -> impl Iterator<Item = &str> {
-    let others = || zone_peers(state).filter(|(_, peer)| peer.is_fit()).map(|(name, _)| name.as_str());
-    let needed = !state.drain.leaving() || others().next().is_none();
+pub(crate) fn available_in_zone(state: &State) -> impl Iterator<Item = &str> {
+    let others = || zone_peers(state).filter(|(_, peer)| peer.is_available()).map(|(name, _)| name.as_str());
+    let needed = !state.drain.is_leaving() || others().next().is_none();
     let me = needed.then_some(state.me.vm.as_str());
     me.into_iter().chain(others())
 }
@@ -30,12 +30,12 @@
 
 /// The rank of this entry VM in its zone for the links to `zone`; zero is the first.
 fn place(state: &State, zone: &str) -> Option<usize> {
-    let ranked = rendezvous::rank(live_zone(state), &pair(&state.me.zone, zone));
+    let ranked = rendezvous::rank(available_in_zone(state), &pair(&state.me.zone, zone));
     ranked.iter().position(|name| *name == state.me.vm.as_str())
 }
 
 /// Whether this entry VM forwards summaries of `zone` within its own zone.
-pub(crate) fn is_first(state: &State, zone: &str) -> bool {
+pub(crate) fn is_forwarder(state: &State, zone: &str) -> bool {
     place(state, zone) == Some(0)
 }
 
@@ -51,7 +51,8 @@
 fn link(state: &State, zone: &Name) -> Option<Name> {
     let place = place(state, zone).filter(|place| *place < LINKS)?;
     let of_zone = || state.member.peers.iter().filter(|(_, peer)| peer.zone == *zone);
-    let fit: Vec<&str> = of_zone().filter(|(_, peer)| peer.is_fit()).map(|(name, _)| name.as_str()).collect();
+    let fit: Vec<&str> =
+        of_zone().filter(|(_, peer)| peer.is_available()).map(|(name, _)| name.as_str()).collect();
     let all: Vec<&str> = of_zone().map(|(name, _)| name.as_str()).collect();
     let candidates = if fit.is_empty() { all } else { fit };
     let ranked = rendezvous::rank(candidates.into_iter(), &pair(&state.me.zone, zone));
@@ -59,11 +60,11 @@
 }
 
 /// Peers not known to have `version` in force, each with its last reported version.
-pub(crate) fn behind(state: &State, version: u64, reach: Reach) -> Vec<(Name, u64)> {
-    let zone = zone_peers(state).filter(|_| reach == Reach::All).map(|(name, _)| name.clone());
+pub(crate) fn outdated_peers(state: &State, version: u64, reach: Audience) -> Vec<(Name, u64)> {
+    let zone = zone_peers(state).filter(|_| reach == Audience::All).map(|(name, _)| name.clone());
     zone.chain(links(state))
         .map(|name| {
-            let theirs = state.member.peers.get(&name).map_or(0, |peer| peer.config);
+            let theirs = state.member.peers.get(&name).map_or(0, |peer| peer.config_version);
             (name, theirs)
         })
         .filter(|(_, theirs)| *theirs < version)
--- a/core/src/peer.rs
+++ b/core/src/peer.rs
@@ -69,7 +69,7 @@
     /// Digest of the engine's VM name.
     pub engine: u32,
     /// Digest of everything in the report but the load.
-    pub shape: u32,
+    pub report_digest: u32,
     /// Sequence number of the report that the load was taken from.
     pub seq: u64,
     /// Requests being processed.
@@ -88,9 +88,9 @@
     /// The backend server's VM name.
     pub backend: Name,
     /// Whether it is out of use.
-    pub out: bool,
+    pub out_of_use: bool,
     /// Increases with each decision; the one with the highest number applies.
-    pub stamp: u64,
+    pub version: u64,
 }
 
 /// Identifies a copy that is about to be dropped.
@@ -140,7 +140,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Offer {
     /// Digest of the artifact.
-    pub artifact: u32,
+    pub artifact_digest: u32,
     /// Ready copies; zero when the zone no longer holds any.
     pub copies: u32,
     /// Load of the engines that hold it, in eighths of their slots.
--- a/core/src/place.rs
+++ b/core/src/place.rs
@@ -1,9 +1,9 @@
 //! Placement: which engine holds what, planned by the zone's lease holder.
 
 mod explain;
+mod input;
+mod load;
 mod plan;
-mod score;
-mod view;
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -23,9 +23,9 @@
 use crate::time::Time;
 use crate::timer::Timer;
 
-pub(crate) use explain::weighed;
+pub(crate) use explain::describe;
+use input::{Input, Item};
 use plan::{Bounds, Plan, Step};
-use view::{Item, View};
 
 /// How long this zone waits, for each zone that comes before it, before it loads what is nowhere.
 const TURN: Duration = Duration::from_secs(20);
@@ -34,7 +34,7 @@
 /// How long other zones must have held an artifact before a copy here goes for their sake: a copy that
 /// was lost there shows late, by the settings' defaults within some 5 s: an engine is offered for 3 s after its last
 /// report, and zones tell each other what they hold every second or two. Each change of the lease begins the wait anew.
-const STEADY: Duration = Duration::from_secs(15);
+const STABLE_AFTER: Duration = Duration::from_secs(15);
 /// How long what becomes free at an engine is kept for one artifact.
 const KEPT: Duration = Duration::from_mins(1);
 /// How long a copy is not dropped for the sake of demand after it was loaded.
@@ -48,7 +48,7 @@
     /// Since when an artifact has been nowhere.
     absent: FxHashMap<Artifact, Time>,
     /// Since when other zones have been seen to hold an artifact.
-    elsewhere: FxHashMap<Artifact, Time>,
+    elsewhere_since: FxHashMap<Artifact, Time>,
     /// When copies were ordered.
     ordered: BTreeMap<(Name, Artifact), Time>,
     /// Loads that may begin, by the weight store's rate.
@@ -64,7 +64,7 @@
 }
 
 /// A plan is due.
-pub(crate) fn due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+pub(crate) fn plan_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     state.timers.set(now + state.settings.plan_every, Timer::Plan);
     demand::tick(state, now, out);
     close::tick(state, now, out);
@@ -76,53 +76,53 @@
     };
     ledger::tick(state, now, out);
     let closed = close::due(state, now, out);
-    let mut view = View::new(state, now, fence);
+    let mut view = Input::new(state, now, fence);
     let mut orders: BTreeMap<Name, Vec<(Action, Cause)>> = BTreeMap::new();
     for (engine, artifact, cause) in closed {
-        if view.may_drop(state, now, &engine, &artifact) {
+        if view.may_unload(state, now, &engine, &artifact) {
             orders.entry(engine).or_default().push((Action::Unload { artifact }, cause));
         }
     }
     for step in make(state, now, &mut view) {
         match step {
             Step::Load { host, item, cause } => {
-                let engine = view.hosts[host].name.clone();
+                let engine = view.engines[host].name.clone();
                 let action = begin_load(state, now, &engine, &view.items[item]);
                 orders.entry(engine).or_default().push((action, cause));
             }
             Step::Drop { host, artifact, cause } => {
-                close::begin(state, now, &view.hosts[host].name, &artifact, cause, out);
+                close::begin(state, now, &view.engines[host].name, &artifact, cause, out);
             }
-            Step::Keep { host, item, cause } => {
+            Step::Earmark { host, item, cause } => {
                 let kept = Kept { artifact: view.items[item].artifact.clone(), cause, since: now };
-                state.place.kept.insert(view.hosts[host].name.clone(), kept);
+                state.place.kept.insert(view.engines[host].name.clone(), kept);
             }
         }
     }
-    ledger::intend(state, fence, orders, out);
+    ledger::record(state, fence, orders, out);
 }
 
 /// While the table is down nothing can be recorded. Engines that check fences may still be given what is
 /// nowhere, into memory that is free, under the fence this process held last: the next holder raises
 /// the number there and plans from a report made after that. Nothing is dropped.
 fn cut_off(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let Some(fence) = state.lease.lapsed(now).filter(|_| !state.table_up) else {
+    let Some(fence) = state.lease.lapsed_fence(now).filter(|_| !state.table_up) else {
         return;
     };
-    let mut view = View::new(state, now, fence);
-    for host in &mut view.hosts {
+    let mut view = Input::new(state, now, fence);
+    for host in &mut view.engines {
         let backend = state.fleet.backends.get(&host.name);
         let checks = state.config.catalog.groups.get(&host.group).is_some_and(|group| group.checks_fences);
         let report = backend.and_then(|backend| backend.report.as_ref());
         if !checks || report.is_none_or(|report| report.fence != fence) {
-            host.room = 0;
+            host.order_capacity = 0;
         }
     }
     for step in make(state, now, &mut view) {
         if let Step::Load { host, item, cause: Cause::Unreachable } = step {
-            let engine = view.hosts[host].name.clone();
+            let engine = view.engines[host].name.clone();
             let action = begin_load(state, now, &engine, &view.items[item]);
-            ledger::intend_unrecorded(state, now, &engine, fence, action, Cause::Unreachable, out);
+            ledger::send_unrecorded(state, now, &engine, fence, action, Cause::Unreachable, out);
         }
     }
 }
@@ -137,13 +137,13 @@
 }
 
 /// Makes a plan.
-fn make(state: &mut State, now: Time, view: &mut View) -> Vec<Step> {
-    view.share_out();
+fn make(state: &mut State, now: Time, view: &mut Input) -> Vec<Step> {
+    view.distribute_load();
     note_absent(state, now, view);
     let loads = allowance(state, now, view);
     state.place.kept.retain(|_, kept| now.since(kept.since) < KEPT);
-    let names: Vec<Name> = view.hosts.iter().map(|host| host.name.clone()).collect();
-    let ranks: Vec<u32> = view.items.iter().map(|item| item.rank as u32).collect();
+    let names: Vec<Name> = view.engines.iter().map(|host| host.name.clone()).collect();
+    let ranks: Vec<u32> = view.items.iter().map(|item| item.zone_rank as u32).collect();
     let known = view.known_zones;
     let mut kept = Vec::new();
     for (engine, each) in &state.place.kept {
@@ -158,40 +158,42 @@
     let bounds = Bounds {
         weights: state.config.document.rules.weights,
         loads,
-        kept: &kept,
-        young: &|host, artifact| state.place.ordered.contains_key(&(names[host].clone(), artifact.clone())),
-        own: &|item| {
+        earmarks: &kept,
+        recently_loaded: &|host, artifact| {
+            state.place.ordered.contains_key(&(names[host].clone(), artifact.clone()))
+        },
+        turn_reached: &|item| {
             let since = state.place.absent.get(&entries[item].artifact).copied().unwrap_or(now);
             since <= now && now.since(since) >= TURN * ranks[item]
         },
-        desperate: &|item| desperate(state, now, known, &entries[item].artifact),
-        free: &|host, item| {
+        no_zone_has_room: &|item| no_zone_has_room(state, now, known, &entries[item].artifact),
+        free_mb: &|host, item| {
             let artifact = &entries[item].artifact;
-            report(host).map_or(0, |report| state.ledger.free_for(report, artifact))
+            report(host).map_or(0, |report| state.ledger.free_mb_for(report, artifact))
         },
     };
-    let mut plan = Plan { view, bounds, steps: Vec::new() };
-    plan.make();
+    let mut plan = Plan { input: view, bounds, steps: Vec::new() };
+    plan.compute();
     plan.steps
 }
 
 /// Whether an artifact has been nowhere for so long that none of so many zones seems to have memory for it.
-fn desperate(state: &State, now: Time, known_zones: u32, artifact: &Artifact) -> bool {
+fn no_zone_has_room(state: &State, now: Time, known_zones: u32, artifact: &Artifact) -> bool {
     let since = state.place.absent.get(artifact).copied().unwrap_or(now);
     known_zones == 1 || (since <= now && now.since(since) >= TURN * known_zones)
 }
 
 /// Notes since when artifacts have had too few copies. One that another zone held until now is given
 /// time: that zone may only be out of touch for a moment.
-fn note_absent(state: &mut State, now: Time, view: &View) {
+fn note_absent(state: &mut State, now: Time, view: &Input) {
     note_old_versions(state, now, view);
     let part = &mut state.place;
     for item in &view.items {
-        if item.elsewhere > 0 {
-            part.elsewhere.entry(item.artifact.clone()).or_insert(now);
+        if item.copies_elsewhere > 0 {
+            part.elsewhere_since.entry(item.artifact.clone()).or_insert(now);
         }
-        let lately = item.elsewhere == 0 && part.elsewhere.remove(&item.artifact).is_some();
-        if item.holders.len() as u32 + item.elsewhere >= item.least {
+        let lately = item.copies_elsewhere == 0 && part.elsewhere_since.remove(&item.artifact).is_some();
+        if item.holders.len() as u32 + item.copies_elsewhere >= item.copies_min {
             part.absent.remove(&item.artifact);
             continue;
         }
@@ -201,25 +203,25 @@
 }
 
 /// Notes since when other zones hold versions too that are not declared any more.
-fn note_old_versions(state: &mut State, now: Time, view: &View) {
-    let held = view.hosts.iter().flat_map(|host| &host.held);
+fn note_old_versions(state: &mut State, now: Time, view: &Input) {
+    let held = view.engines.iter().flat_map(|host| &host.copies);
     for old in held.filter(|held| held.item.is_none()) {
-        if summary::elsewhere(state, now, &old.artifact).is_empty() {
-            state.place.elsewhere.remove(&old.artifact);
+        if summary::zones_holding(state, now, &old.artifact).is_empty() {
+            state.place.elsewhere_since.remove(&old.artifact);
         } else {
-            state.place.elsewhere.entry(old.artifact.clone()).or_insert(now);
+            state.place.elsewhere_since.entry(old.artifact.clone()).or_insert(now);
         }
     }
 }
 
 /// Loads that may begin now: this zone's part of what the weight store allows.
-fn allowance(state: &mut State, now: Time, view: &View) -> usize {
-    let zones = view.zones as f64;
+fn allowance(state: &mut State, now: Time, view: &Input) -> usize {
+    let zones = view.live_zones as f64;
     let rate = state.settings.store_rate / zones;
-    let slots = (state.settings.store_slots as usize / view.zones).max(1);
+    let slots = (state.settings.store_slots as usize / view.live_zones).max(1);
     let part = &mut state.place;
     let most = rate.max(1.0);
     part.tokens = (part.tokens + rate * now.since(part.refilled).as_secs_f64()).clamp(0.0, most);
     part.refilled = now;
-    slots.saturating_sub(view.loading).min(part.tokens as usize)
+    slots.saturating_sub(view.loads_running).min(part.tokens as usize)
 }
--- a/core/src/place/view.rs
+++ b/core/src/place/input.rs
@@ -18,17 +18,17 @@
 
 /// A model engine of the zone.
 #[derive(Debug)]
-pub(super) struct Host {
+pub(super) struct Candidate {
     pub name: Name,
     pub group: Name,
     pub slots: f64,
     /// Memory that no copy and no order takes.
     pub free_mb: u64,
     /// Whether it takes requests.
-    pub live: bool,
+    pub usable: bool,
     /// Orders that may be added now.
-    pub room: usize,
-    pub held: Vec<Held>,
+    pub order_capacity: usize,
+    pub copies: Vec<CopyState>,
     /// Slots taken by the forecast demand that falls to it.
     pub load: f64,
 }
@@ -36,21 +36,21 @@
 /// An artifact at an engine.
 #[derive(Debug)]
 #[expect(clippy::struct_excessive_bools, reason = "each is a belief of its own, not a state of one machine")]
-pub(super) struct Held {
+pub(super) struct CopyState {
     /// Its place among the declared; none if it is not declared.
     pub item: Option<usize>,
     pub artifact: Artifact,
     pub memory_mb: u64,
     /// Whether it is being loaded, or an order to load it is open.
-    pub coming: bool,
+    pub loading: bool,
     /// Whether it is being dropped, closed or may be dropped by an open order.
-    pub going: bool,
+    pub dropping: bool,
     /// Whether it is sure to be there and to stay.
     pub certain: bool,
     /// The part of its artifact's demand that falls to it.
     pub share: f64,
     /// Whether it is a version that is not declared any more, and other zones have held it for some time too.
-    pub spare_version: bool,
+    pub old_version_elsewhere: bool,
 }
 
 /// A declared artifact.
@@ -64,57 +64,57 @@
     /// Slots that its forecast demand takes.
     pub load: f64,
     /// Time that a request takes of a slot, in seconds.
-    pub hold: f64,
+    pub service_time: f64,
     pub waiting: u32,
     pub priority: Priority,
     /// Copies to keep over all zones.
-    pub least: u32,
+    pub copies_min: u32,
     /// Hosts of copies that answer or will.
     pub holders: Vec<usize>,
     /// Copies that are sure to be there and to stay.
-    pub certain: usize,
+    pub certain_copies: usize,
     /// Copies in other zones.
-    pub elsewhere: u32,
+    pub copies_elsewhere: u32,
     /// Whether other zones have had copies for some time.
-    pub steady_elsewhere: bool,
+    pub stable_elsewhere: bool,
     /// Whether another zone is sure to keep one, whatever this zone does.
-    pub kept_elsewhere: bool,
+    pub assured_elsewhere: bool,
     /// The place of this zone among the live zones that may hold it; zero is its home.
-    pub rank: usize,
+    pub zone_rank: usize,
     /// For an adapter, the declared versions of its model.
     pub bases: Vec<usize>,
 }
 
 /// A zone as a plan sees it.
 #[derive(Debug)]
-pub(super) struct View {
-    pub hosts: Vec<Host>,
+pub(super) struct Input {
+    pub engines: Vec<Candidate>,
     pub items: Vec<Item>,
     /// Declared versions by model and adapter.
-    pub kin: FxHashMap<(Name, Option<Name>), Vec<usize>>,
+    pub versions: FxHashMap<(Name, Option<Name>), Vec<usize>>,
     /// Loads under way.
-    pub loading: usize,
+    pub loads_running: usize,
     /// Zones with entry VMs, heard of or not.
     pub known_zones: u32,
     /// Zones that share the weight store.
-    pub zones: usize,
+    pub live_zones: usize,
 }
 
-impl View {
+impl Input {
     pub(super) fn new(state: &State, now: Time, fence: Fence) -> Self {
         let others: Vec<(&Name, u64)> =
-            summary::zones(state, now).map(|(name, zone)| (name, zone.config)).collect();
+            summary::recent_zones(state, now).map(|(name, zone)| (name, zone.config)).collect();
         let mut view = Self {
-            hosts: Vec::new(),
+            engines: Vec::new(),
             items: items(state, now, &others),
-            kin: FxHashMap::default(),
-            loading: 0,
+            versions: FxHashMap::default(),
+            loads_running: 0,
             known_zones: known_zones(state),
-            zones: others.len() + 1,
+            live_zones: others.len() + 1,
         };
         for (at, item) in view.items.iter().enumerate() {
             let name = (item.artifact.model.clone(), item.artifact.adapter.clone());
-            view.kin.entry(name).or_default().push(at);
+            view.versions.entry(name).or_default().push(at);
         }
         for backend in state.fleet.backends.values().filter(|backend| backend.zone == state.me.zone) {
             let group = state.config.catalog.groups.get(&backend.group);
@@ -124,52 +124,53 @@
             let Some(report) = &backend.report else {
                 continue;
             };
-            let ready = state.ledger.is_ready(report, fence);
-            let mut host = Host {
+            let ready = state.ledger.is_synced(report, fence);
+            let mut host = Candidate {
                 name: backend.name.clone(),
                 group: backend.group.clone(),
                 slots: f64::from(group.slots.max(1)),
                 free_mb: 0,
-                live: backend.takes_work() && backend.is_heard(now, state.settings.suspect_after * SILENCES),
-                room: if ready { state.ledger.room(&backend.name) } else { 0 },
-                held: Vec::new(),
+                usable: backend.accepts_work()
+                    && backend.reported_within(now, state.settings.suspect_after * SILENCES),
+                order_capacity: if ready { state.ledger.order_capacity(&backend.name) } else { 0 },
+                copies: Vec::new(),
                 load: 0.0,
             };
             for copy in &report.copies {
-                let doubtful = state.ledger.may_drop(&backend.name, &copy.artifact);
+                let doubtful = state.ledger.has_open_unload(&backend.name, &copy.artifact);
                 let closing = state.close.is_closing(&backend.name, &copy.artifact);
                 let going = copy.stage == Stage::Dropping || doubtful || closing;
                 let item = state.config.catalog.position(&copy.artifact);
-                host.held.push(Held {
+                host.copies.push(CopyState {
                     item,
                     artifact: copy.artifact.clone(),
                     memory_mb: copy.memory_mb,
-                    coming: copy.stage == Stage::Loading,
-                    going,
-                    certain: ready && host.live && !going && copy.stage == Stage::Ready,
+                    loading: copy.stage == Stage::Loading,
+                    dropping: going,
+                    certain: ready && host.usable && !going && copy.stage == Stage::Ready,
                     share: 0.0,
-                    spare_version: item.is_none() && is_steady_elsewhere(state, now, &copy.artifact),
+                    old_version_elsewhere: item.is_none() && is_steady_elsewhere(state, now, &copy.artifact),
                 });
             }
-            for intent in state.ledger.open(&backend.name) {
+            for intent in state.ledger.open_intents(&backend.name) {
                 let Action::Load { artifact, memory_mb } = &intent.action else {
                     continue;
                 };
-                if host.held.iter().any(|held| held.artifact == *artifact) {
+                if host.copies.iter().any(|held| held.artifact == *artifact) {
                     continue;
                 }
-                host.held.push(Held {
+                host.copies.push(CopyState {
                     item: state.config.catalog.position(artifact),
                     artifact: artifact.clone(),
                     memory_mb: *memory_mb,
-                    coming: true,
-                    going: false,
+                    loading: true,
+                    dropping: false,
                     certain: false,
                     share: 0.0,
-                    spare_version: false,
+                    old_version_elsewhere: false,
                 });
             }
-            let taken: u64 = host.held.iter().map(|held| held.memory_mb).sum();
+            let taken: u64 = host.copies.iter().map(|held| held.memory_mb).sum();
             host.free_mb = report.memory_mb.saturating_sub(taken);
             view.add(host);
         }
@@ -177,13 +178,13 @@
     }
 
     /// Whether a closed copy may be dropped: another is certain, and the engine can take an order.
-    pub(super) fn may_drop(&self, state: &State, now: Time, engine: &Name, artifact: &Artifact) -> bool {
-        if !self.hosts.iter().any(|host| host.name == *engine && host.room > 0) {
+    pub(super) fn may_unload(&self, state: &State, now: Time, engine: &Name, artifact: &Artifact) -> bool {
+        if !self.engines.iter().any(|host| host.name == *engine && host.order_capacity > 0) {
             return false;
         }
         let item = state.config.catalog.position(artifact).and_then(|at| self.items.get(at));
         match item {
-            Some(item) => item.certain > 0 || item.kept_elsewhere,
+            Some(item) => item.certain_copies > 0 || item.assured_elsewhere,
             // What closed it may have changed meanwhile: another zone's copy that was relied on may be gone.
             None => {
                 self.is_replaced(artifact)
@@ -196,39 +197,40 @@
     /// Whether a version that takes an undeclared one's place has been nowhere for so long that no zone seems to
     /// have memory for it beside the undeclared one.
     fn is_needed(&self, state: &State, now: Time, artifact: &Artifact) -> bool {
-        let kin = self.kin.get(&(artifact.model.clone(), artifact.adapter.clone())).into_iter().flatten();
+        let kin =
+            self.versions.get(&(artifact.model.clone(), artifact.adapter.clone())).into_iter().flatten();
         kin.into_iter()
-            .any(|item| super::desperate(state, now, self.known_zones, &self.items[*item].artifact))
+            .any(|item| super::no_zone_has_room(state, now, self.known_zones, &self.items[*item].artifact))
     }
 
     /// Whether all versions that take an undeclared one's place are there.
     pub(super) fn is_replaced(&self, artifact: &Artifact) -> bool {
-        let kin = self.kin.get(&(artifact.model.clone(), artifact.adapter.clone()));
-        let there = |item: &usize| self.items[*item].certain > 0 || self.items[*item].steady_elsewhere;
+        let kin = self.versions.get(&(artifact.model.clone(), artifact.adapter.clone()));
+        let there = |item: &usize| self.items[*item].certain_copies > 0 || self.items[*item].stable_elsewhere;
         kin.is_none_or(|kin| kin.iter().all(there))
     }
 
-    fn add(&mut self, host: Host) {
-        let at = self.hosts.len();
-        for held in &host.held {
-            self.loading += usize::from(held.coming);
+    fn add(&mut self, host: Candidate) {
+        let at = self.engines.len();
+        for held in &host.copies {
+            self.loads_running += usize::from(held.loading);
             let Some(item) = held.item.and_then(|item| self.items.get_mut(item)) else {
                 continue;
             };
-            if host.live && !held.going {
+            if host.usable && !held.dropping {
                 item.holders.push(at);
             }
-            item.certain += usize::from(held.certain);
+            item.certain_copies += usize::from(held.certain);
         }
-        self.hosts.push(host);
+        self.engines.push(host);
     }
 }
 
 /// Whether other zones hold an artifact, and have done so for some time.
 fn is_steady_elsewhere(state: &State, now: Time, artifact: &Artifact) -> bool {
-    let since = state.place.elsewhere.get(artifact);
-    since.is_some_and(|since| now.since(*since) >= super::STEADY)
-        && !summary::elsewhere(state, now, artifact).is_empty()
+    let since = state.place.elsewhere_since.get(artifact);
+    since.is_some_and(|since| now.since(*since) >= super::STABLE_AFTER)
+        && !summary::zones_holding(state, now, artifact).is_empty()
 }
 
 fn known_zones(state: &State) -> u32 {
@@ -250,18 +252,18 @@
     }
     let mut items = Vec::with_capacity(catalog.entries.len());
     for entry in &catalog.entries {
-        let track = state.demand.track(&entry.artifact);
+        let track = state.demand.estimate(&entry.artifact);
         let key = entry.artifact.to_string();
         let mine = rendezvous::score(me, &key);
         let before = |zone: &Name| (rendezvous::score(zone, &key), zone) > (mine, me);
-        let there = summary::elsewhere(state, now, &entry.artifact);
-        let allowed = entry.allows(me);
+        let there = summary::zones_holding(state, now, &entry.artifact);
+        let allowed = entry.allows_zone(me);
         let steady = is_steady_elsewhere(state, now, &entry.artifact);
         // Zones give way to each other in one order that no change of configuration turns round, so that
         // no two of them drop their copies for each other's sake.
         let kept = |zone: &Name| {
             let config = others.iter().find(|(name, _)| *name == zone).map_or(0, |(_, config)| *config);
-            config >= state.config.version && entry.allows(zone) && (before(zone) || !allowed)
+            config >= state.config.version && entry.allows_zone(zone) && (before(zone) || !allowed)
         };
         items.push(Item {
             artifact: entry.artifact.clone(),
@@ -269,16 +271,16 @@
             memory_mb: entry.memory_mb,
             allowed,
             load: track.load(),
-            hold: track.hold(),
+            service_time: track.service_time(),
             waiting: track.waiting,
             priority: entry.priority,
-            least: entry.copies.max(1),
+            copies_min: entry.copies.max(1),
             holders: Vec::new(),
-            certain: 0,
-            elsewhere: there.iter().map(|elsewhere| elsewhere.copies).sum(),
-            kept_elsewhere: steady && there.iter().any(|elsewhere| kept(elsewhere.zone)),
-            steady_elsewhere: steady,
-            rank: others.iter().filter(|(zone, _)| entry.allows(zone) && before(zone)).count(),
+            certain_copies: 0,
+            copies_elsewhere: there.iter().map(|elsewhere| elsewhere.copies).sum(),
+            assured_elsewhere: steady && there.iter().any(|elsewhere| kept(elsewhere.zone)),
+            stable_elsewhere: steady,
+            zone_rank: others.iter().filter(|(zone, _)| entry.allows_zone(zone) && before(zone)).count(),
             bases: match &entry.artifact.adapter {
                 Some(_) => bases.get(&entry.artifact.model).cloned().unwrap_or_default(),
                 None => Vec::new(),
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -132,7 +132,7 @@
     }
 
     /// Number of late requests of `priority`, and number of requests of more urgent priorities.
-    pub(crate) fn late(&self, priority: Priority) -> (usize, usize) {
+    pub(crate) fn late_and_ahead(&self, priority: Priority) -> (usize, usize) {
         let late = self.classes.get(&priority).map_or(0, |class| class.late);
         (late, self.classes.range(..priority).map(|(_, class)| class.len()).sum())
     }
@@ -168,7 +168,7 @@
     }
 
     /// Moves a request to the late ones.
-    pub(crate) fn delay(&mut self, ticket: &Ticket) {
+    pub(crate) fn mark_late(&mut self, ticket: &Ticket) {
         if let Some(class) = self.classes.get_mut(&ticket.priority)
             && let Some(line) = class.lines.get_mut(&ticket.caller)
             && line.timely.remove(&Place::timely(ticket))
@@ -231,7 +231,7 @@
 
     /// Request to preempt from a full queue for a new one, if any: at the least urgent priority, the last
     /// request of the caller with the most waiting requests for its weight.
-    pub(crate) fn displaced(&self, ticket: &Ticket) -> Option<id::Request> {
+    pub(crate) fn preempted_by(&self, ticket: &Ticket) -> Option<id::Request> {
         let (priority, class) = self.classes.last_key_value()?;
         let (caller, line) = class.lines.iter().max_by_key(|(_, line)| line.share(0))?;
         let latest = line.late.last().or_else(|| line.timely.last()).map(|place| place.request);
--- a/core/src/reduce.rs
+++ b/core/src/reduce.rs
@@ -10,12 +10,12 @@
 use crate::fleet;
 use crate::flow;
 use crate::id;
-use crate::index;
 use crate::lease;
 use crate::ledger;
 use crate::member;
 use crate::place;
-use crate::retry::{self, Trouble};
+use crate::retry::{self, Fault};
+use crate::route_sync;
 use crate::state::{Purpose, State};
 use crate::status;
 use crate::stream;
@@ -30,16 +30,16 @@
 pub fn apply(state: &mut State, now: Time, event: Event) -> Vec<Effect> {
     let mut out = Vec::new();
     if event.is_evidence() {
-        state.member.evidence = now;
+        state.member.last_input = now;
     }
-    if state.timers.overslept(now) {
-        state.resumed = now;
+    if state.timers.has_stalled(now) {
+        state.resumed_at = now;
     }
     hand(state, now, event, &mut out);
     while let Some(timer) = state.timers.pop(now) {
         fire(state, now, timer, &mut out);
     }
-    if let Some(at) = state.timers.announce(now) {
+    if let Some(at) = state.timers.next_wake(now) {
         out.push(Effect::WakeAt(at));
     }
     out
@@ -48,27 +48,27 @@
 fn hand(state: &mut State, now: Time, event: Event, out: &mut Vec<Effect>) {
     match event {
         Event::Arrive(arrival) => flow::arrive(state, now, *arrival, out),
-        Event::Gone(request) => flow::gone(state, now, request, out),
-        Event::Head { attempt, echo } => stream::head(state, now, attempt, echo, out),
-        Event::Chunk { attempt, offset } => stream::chunk(state, now, attempt, offset, out),
-        Event::Alive(attempt) => stream::alive(state, now, attempt),
+        Event::CallerGone(request) => flow::caller_gone(state, now, request, out),
+        Event::Head { attempt, echo } => stream::head_received(state, now, attempt, echo, out),
+        Event::Chunk { attempt, offset } => stream::chunk_received(state, now, attempt, offset, out),
+        Event::Progress(attempt) => stream::progressed(state, now, attempt),
         Event::Finished { attempt, length } => stream::finished(state, now, attempt, length, out),
-        Event::Overflow(attempt) => stream::overflow(state, attempt, out),
+        Event::BufferExceeded(attempt) => stream::buffer_exceeded(state, attempt, out),
         Event::Failed { attempt, failure } => {
-            retry::failed(state, now, attempt, Trouble::Failed(failure), out);
+            retry::failed(state, now, attempt, Fault::Failed(failure), out);
         }
-        Event::Listed(vms) => fleet::listed(state, now, vms, out),
-        Event::Reported(report) => collect::polled(state, now, &report, out),
-        Event::Ordered { order, engine, receipt } => {
-            ledger::ordered(state, order, &engine, receipt.as_ref());
+        Event::VmsListed(vms) => fleet::vm_list_received(state, now, vms, out),
+        Event::ReportReceived(report) => collect::poll_answered(state, now, &report, out),
+        Event::OrderAnswered { order, engine, receipt } => {
+            ledger::order_answered(state, order, &engine, receipt.as_ref());
         }
-        Event::Table { op, reply } => answered(state, now, op, reply, out),
-        Event::Unheard { peer } => member::unheard(state, now, &peer),
-        Event::Heard(frame) => member::heard(state, now, *frame, out),
-        Event::Asked { ask, query } => status::asked(state, now, ask, *query, out),
+        Event::TableAnswered { op, reply } => answered(state, now, op, reply, out),
+        Event::FrameFailed { peer } => member::delivery_failed(state, now, &peer),
+        Event::FrameReceived(frame) => member::frame_received(state, now, *frame, out),
+        Event::QueryReceived { ask, query } => status::asked(state, now, ask, *query, out),
         Event::Stop => drain::stop(state, now, out),
-        Event::Cached(update) => index::cached(state, &update),
-        Event::Unlisted | Event::Unreported(_) | Event::Wake => {}
+        Event::CacheChanged(update) => route_sync::cache_updated(state, &update),
+        Event::VmListFailed | Event::ReportFailed(_) | Event::Wake => {}
     }
 }
 
@@ -80,31 +80,31 @@
     out: &mut Vec<Effect>,
 ) {
     state.table_up = reply.is_ok();
-    match state.settle(op) {
+    match state.take_purpose(op) {
         Some(Purpose::Claim(step)) => claim::answered(state, now, step, reply, out),
-        Some(Purpose::Config(wait)) => config::answered(state, now, &wait, reply, out),
-        Some(Purpose::Lease(step)) => lease::answered(state, now, &step, reply, out),
-        Some(Purpose::Ledger(step)) => ledger::answered(state, now, step, reply, out),
+        Some(Purpose::Config(wait)) => config::table_answered(state, now, &wait, reply, out),
+        Some(Purpose::Lease(step)) => lease::table_answered(state, now, &step, reply, out),
+        Some(Purpose::Ledger(step)) => ledger::table_answered(state, now, step, reply, out),
         None => state.counters.stale += 1,
     }
 }
 
 fn fire(state: &mut State, now: Time, timer: Timer, out: &mut Vec<Effect>) {
     match timer {
-        Timer::Deadline(request) => flow::deadline(state, now, request, out),
-        Timer::Retry(request) => dispatch::retry(state, now, request, out),
+        Timer::Deadline(request) => flow::deadline_passed(state, now, request, out),
+        Timer::Retry(request) => dispatch::retry_due(state, now, request, out),
         Timer::Claims => claim::due(state, now, out),
-        Timer::Silence(attempt) => stream::silence(state, now, attempt, out),
-        Timer::List => {
-            state.timers.set(now + state.settings.list_every, Timer::List);
-            out.push(Effect::List);
+        Timer::Silence(attempt) => stream::check_silence(state, now, attempt, out),
+        Timer::ListVms => {
+            state.timers.set(now + state.settings.list_every, Timer::ListVms);
+            out.push(Effect::ListVms);
         }
         Timer::Config => config::poll(state, now, out),
-        Timer::Settle(op) => config::settle(state, now, op, out),
+        Timer::Settle(op) => config::settle_due(state, now, op, out),
         Timer::Poll(engine) => collect::poll(state, now, engine, out),
-        Timer::Heartbeat => member::due(state, now, out),
-        Timer::Lease => lease::due(state, now, out),
-        Timer::Plan => place::due(state, now, out),
-        Timer::Grace => drain::grace(state, now, out),
+        Timer::Heartbeat => member::heartbeat_due(state, now, out),
+        Timer::Lease => lease::check_due(state, now, out),
+        Timer::Plan => place::plan_due(state, now, out),
+        Timer::BalancerGrace => drain::grace_ended(state, now, out),
     }
 }
--- a/core/src/request.rs
+++ b/core/src/request.rs
@@ -72,7 +72,7 @@
 
 /// End of a request, as stored under its idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Past {
+pub struct Completion {
     /// Whether a back end ran the request.
     pub outcome: Outcome,
     /// Result code.
--- a/core/src/retry.rs
+++ b/core/src/retry.rs
@@ -9,10 +9,10 @@
 use crate::dispatch;
 use crate::effect::Effect;
 use crate::end::{End, Evidence};
-use crate::flow::{self, Flow, Try};
+use crate::flow::{self, Flow, OpenAttempt};
 use crate::id;
-use crate::index;
 use crate::route::Work;
+use crate::route_sync;
 use crate::settings::Settings;
 use crate::state::State;
 use crate::time::Time;
@@ -47,7 +47,7 @@
 
 /// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Trouble {
+pub(crate) enum Fault {
     /// The HTTP edge reported the failure.
     Failed(Failure),
     /// No data was received within the time limit.
@@ -56,7 +56,7 @@
     Gap,
 }
 
-impl Trouble {
+impl Fault {
     fn reason(self) -> Reason {
         match self {
             Self::Failed(Failure::Connect) => Reason::Connect,
@@ -117,25 +117,25 @@
     state: &mut State,
     now: Time,
     attempt: id::Attempt,
-    trouble: Trouble,
+    trouble: Fault,
     out: &mut Vec<Effect>,
 ) {
     let Some(closed) = flow::close(state, attempt) else {
         return;
     };
-    index::troubled(state, now, &closed, trouble, out);
+    route_sync::attempt_failed(state, now, &closed, trouble, out);
     let Some(flow) = state.flow.flows.get_mut(&attempt.request) else {
         return;
     };
     if let Some(evidence) = trouble.evidence() {
-        flow.exposure.disprove(evidence);
+        flow.execution.attempt_not_run(evidence);
     }
     if trouble.costs() || !matches!(flow.work, Work::Artifact(_)) {
-        flow.strikes += 1;
+        flow.failures += 1;
     }
     let attempts_max = state.settings.attempts_max;
     let in_time = now < flow.ticket.deadline;
-    let next = if in_time && flow.strikes < attempts_max { next(flow, &closed, trouble) } else { Next::End };
+    let next = if in_time && flow.failures < attempts_max { next(flow, &closed, trouble) } else { Next::End };
     if trouble.leaves_open() {
         let same = matches!(next, Next::Same);
         out.push(if same { Effect::Release(attempt) } else { Effect::Cancel(attempt) });
@@ -144,14 +144,14 @@
         Next::Same => {
             state.counters.retry(trouble.reason());
             // The engine knows this attempt only if it has begun to answer it.
-            let of = if closed.headed { attempt } else { closed.takes_up.unwrap_or(attempt) };
+            let of = if closed.head_received { attempt } else { closed.resumes.unwrap_or(attempt) };
             flow.resume = Resume::Same { of, offset: flow.delivered };
             dispatch::resume(state, now, attempt.request, &closed.backend, out);
         }
         Next::Other => other(state, now, attempt.request, &closed, trouble, out),
         Next::End => give_up(state, now, attempt.request, trouble, None, out),
     }
-    dispatch::at(state, now, &closed.backend, out);
+    dispatch::to_backend(state, now, &closed.backend, out);
 }
 
 /// Next action after a failed attempt.
@@ -164,26 +164,27 @@
     End,
 }
 
-fn next(flow: &Flow, closed: &Try, trouble: Trouble) -> Next {
+fn next(flow: &Flow, closed: &OpenAttempt, trouble: Fault) -> Next {
     if flow.committed {
         return Next::End;
     }
-    let holds_answer = matches!(closed.to, Destination::Engine(_)) && flow.stream && trouble.resumable();
+    let holds_answer =
+        matches!(closed.destination, Destination::Engine(_)) && flow.stream && trouble.resumable();
     let worth_it = flow.delivered > 0 || !flow.idempotent;
     // A request that is not idempotent is resumed all the same, since no other back end may run it.
-    let fruitless = closed.takes_up.is_some() && flow.delivered == closed.from && flow.idempotent;
+    let fruitless = closed.resumes.is_some() && flow.delivered == closed.start_offset && flow.idempotent;
     if holds_answer && worth_it && !fruitless {
         return Next::Same;
     }
-    if flow.idempotent || flow.exposure.proof().is_some() { Next::Other } else { Next::End }
+    if flow.idempotent || flow.execution.not_run_proof().is_some() { Next::Other } else { Next::End }
 }
 
 fn other(
     state: &mut State,
     now: Time,
     id: id::Request,
-    closed: &Try,
-    trouble: Trouble,
+    closed: &OpenAttempt,
+    trouble: Fault,
     out: &mut Vec<Effect>,
 ) {
     if trouble.costs()
@@ -195,12 +196,12 @@
     let Some(flow) = state.flow.flows.get_mut(&id) else {
         return;
     };
-    flow.resume = dispatch::elsewhere(flow.delivered);
+    flow.resume = dispatch::resume_point(flow.delivered);
     if !flow.avoid.contains(&closed.backend) {
         flow.avoid.push(closed.backend.clone());
     }
-    let wait = backoff(&state.settings, &mut state.rng, flow.again);
-    flow.again += 1;
+    let wait = backoff(&state.settings, &mut state.rng, flow.requeued);
+    flow.requeued += 1;
     if now + wait >= flow.ticket.deadline {
         give_up(state, now, id, trouble, None, out);
         return;
@@ -227,18 +228,18 @@
     state: &mut State,
     now: Time,
     id: id::Request,
-    trouble: Trouble,
+    trouble: Fault,
     wait: Option<Duration>,
     out: &mut Vec<Effect>,
 ) {
     let Some(flow) = state.flow.flows.get(&id) else {
         return;
     };
-    let code = match flow.exposure.proof() {
+    let code = match flow.execution.not_run_proof() {
         Some(_) => Code::RetriesSpent,
         None => trouble.code(),
     };
     let wait = wait.unwrap_or(crate::admit::RETRY_AFTER);
-    let end = End::failed(flow.exposure, code, Some(wait));
+    let end = End::failed(flow.execution, code, Some(wait));
     flow::end(state, now, id, end, out);
 }
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -16,7 +16,7 @@
 
 mod choose;
 
-pub use choose::{Choice, Wanted};
+pub use choose::{Choice, Query};
 
 /// At most one in this many back ends that serve the same model or service is ejected as an outlier at the
 /// same time.
@@ -33,11 +33,11 @@
 
 /// Index of a back end in `Routes`, valid until the back end is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Site(pub(crate) u16);
+pub struct Index(pub(crate) u16);
 
 /// Properties of a back end other than its load and health.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Facts {
+pub struct Description {
     /// VM name.
     pub name: Name,
     /// Address at which it listens.
@@ -47,7 +47,7 @@
     /// Number of requests it runs concurrently.
     pub slots: u32,
     /// Whether new requests may be sent to it.
-    pub takes_work: bool,
+    pub accepts_work: bool,
     /// Incarnation of its process, once it has reported.
     pub incarnation: Option<Incarnation>,
     /// Models and services it serves, sorted.
@@ -56,8 +56,8 @@
 
 /// A back end with its load and health.
 #[derive(Debug)]
-struct Place {
-    facts: Facts,
+struct Backend {
+    description: Description,
     health: Health,
     /// Open attempts of this entry VM, in total and by model or service.
     open: u32,
@@ -68,7 +68,7 @@
     closed: u32,
 }
 
-impl Place {
+impl Backend {
     fn load(&self) -> u32 {
         (self.reported + self.opened).saturating_sub(self.closed).max(self.open)
     }
@@ -77,8 +77,8 @@
 /// All known back ends and an index by the models and services they serve.
 #[derive(Debug)]
 pub struct Routes {
-    places: Vec<Option<Place>>,
-    sites: FxHashMap<Name, u16>,
+    backends: Vec<Option<Backend>>,
+    indices: FxHashMap<Name, u16>,
     holders: FxHashMap<Work, Vec<u16>>,
     sketch: Sketch,
 }
@@ -88,8 +88,8 @@
     #[must_use]
     pub fn new(blocks: usize) -> Self {
         Self {
-            places: Vec::new(),
-            sites: FxHashMap::default(),
+            backends: Vec::new(),
+            indices: FxHashMap::default(),
             holders: FxHashMap::default(),
             sketch: Sketch::new(blocks),
         }
@@ -97,49 +97,50 @@
 
     /// Adds or updates a back end. One that is `fresh` or has restarted gets its full share of requests
     /// only gradually.
-    pub fn set(&mut self, now: Time, facts: Facts, fresh: bool) {
-        let site = self.sites.get(&facts.name).copied().unwrap_or_else(|| self.add(now, &facts, fresh));
-        let Some(place) = self.places[usize::from(site)].as_mut() else {
+    pub fn set(&mut self, now: Time, facts: Description, fresh: bool) {
+        let site = self.indices.get(&facts.name).copied().unwrap_or_else(|| self.add(now, &facts, fresh));
+        let Some(place) = self.backends[usize::from(site)].as_mut() else {
             return;
         };
-        let restarted = place.facts.incarnation.is_some() && place.facts.incarnation != facts.incarnation;
+        let restarted =
+            place.description.incarnation.is_some() && place.description.incarnation != facts.incarnation;
         if restarted {
-            place.health = Health::fresh(now);
+            place.health = Health::starting(now);
             self.sketch.clear(site);
         }
-        if place.facts.works != facts.works {
+        if place.description.works != facts.works {
             let lost: Vec<Work> =
-                place.facts.works.iter().filter(|work| !facts.works.contains(work)).cloned().collect();
+                place.description.works.iter().filter(|work| !facts.works.contains(work)).cloned().collect();
             let won: Vec<Work> =
-                facts.works.iter().filter(|work| !place.facts.works.contains(work)).cloned().collect();
+                facts.works.iter().filter(|work| !place.description.works.contains(work)).cloned().collect();
             self.unhold(&lost, site);
             for work in won {
                 self.holders.entry(work).or_default().push(site);
             }
         }
-        if let Some(place) = self.places[usize::from(site)].as_mut() {
-            place.facts = facts;
+        if let Some(place) = self.backends[usize::from(site)].as_mut() {
+            place.description = facts;
         }
     }
 
-    fn add(&mut self, now: Time, facts: &Facts, fresh: bool) -> u16 {
-        let free = self.places.iter().position(Option::is_none).unwrap_or(self.places.len());
-        let place = Place {
-            facts: Facts { works: Vec::new(), ..facts.clone() },
-            health: if fresh { Health::fresh(now) } else { Health::default() },
+    fn add(&mut self, now: Time, facts: &Description, fresh: bool) -> u16 {
+        let free = self.backends.iter().position(Option::is_none).unwrap_or(self.backends.len());
+        let place = Backend {
+            description: Description { works: Vec::new(), ..facts.clone() },
+            health: if fresh { Health::starting(now) } else { Health::default() },
             open: 0,
             open_by: Vec::new(),
             reported: 0,
             opened: 0,
             closed: 0,
         };
-        if free == self.places.len() {
-            self.places.push(Some(place));
+        if free == self.backends.len() {
+            self.backends.push(Some(place));
         } else {
-            self.places[free] = Some(place);
+            self.backends[free] = Some(place);
         }
         let site = free as u16;
-        self.sites.insert(facts.name.clone(), site);
+        self.indices.insert(facts.name.clone(), site);
         site
     }
 
@@ -156,13 +157,13 @@
 
     /// Removes all back ends for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
-        let gone: Vec<Name> = self.sites.keys().filter(|name| !keep(name)).cloned().collect();
+        let gone: Vec<Name> = self.indices.keys().filter(|name| !keep(name)).cloned().collect();
         for name in gone {
-            let Some(site) = self.sites.remove(&name) else {
+            let Some(site) = self.indices.remove(&name) else {
                 continue;
             };
-            if let Some(place) = self.places[usize::from(site)].take() {
-                self.unhold(&place.facts.works, site);
+            if let Some(place) = self.backends[usize::from(site)].take() {
+                self.unhold(&place.description.works, site);
             }
             self.sketch.clear(site);
         }
@@ -171,54 +172,54 @@
     /// Returns whether no back end is known.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.sites.is_empty()
+        self.indices.is_empty()
     }
 
     /// Removes `work` from a back end that refused a request because it does not hold it. The next report
     /// of the back end confirms or restores it.
-    pub fn unload(&mut self, site: Site, work: &Work) {
+    pub fn unload(&mut self, site: Index, work: &Work) {
         if let Some(place) = self.place_mut(site) {
-            place.facts.works.retain(|each| each != work);
+            place.description.works.retain(|each| each != work);
         }
         self.unhold(std::slice::from_ref(work), site.0);
     }
 
     /// Returns the index of a back end.
     #[must_use]
-    pub fn site(&self, name: &Name) -> Option<Site> {
-        self.sites.get(name).copied().map(Site)
+    pub fn index(&self, name: &Name) -> Option<Index> {
+        self.indices.get(name).copied().map(Index)
     }
 
-    fn place(&self, site: Site) -> Option<&Place> {
-        self.places.get(usize::from(site.0))?.as_ref()
+    fn place(&self, site: Index) -> Option<&Backend> {
+        self.backends.get(usize::from(site.0))?.as_ref()
     }
 
-    fn place_mut(&mut self, site: Site) -> Option<&mut Place> {
-        self.places.get_mut(usize::from(site.0))?.as_mut()
+    fn place_mut(&mut self, site: Index) -> Option<&mut Backend> {
+        self.backends.get_mut(usize::from(site.0))?.as_mut()
     }
 
     /// Returns the properties of a back end.
     #[must_use]
-    pub fn facts(&self, site: Site) -> Option<&Facts> {
-        self.place(site).map(|place| &place.facts)
+    pub fn description(&self, site: Index) -> Option<&Description> {
+        self.place(site).map(|place| &place.description)
     }
 
     /// Returns the health of a back end for modification.
-    pub fn health(&mut self, site: Site) -> Option<&mut Health> {
+    pub fn health(&mut self, site: Index) -> Option<&mut Health> {
         self.place_mut(site).map(|place| &mut place.health)
     }
 
     /// Returns whether a back end is suspected to have failed.
     #[must_use]
-    pub fn is_doubted(&self, name: &Name) -> bool {
-        self.site(name).and_then(|site| self.place(site)).is_some_and(|place| place.health.is_doubted())
+    pub fn is_suspected(&self, name: &Name) -> bool {
+        self.index(name).and_then(|site| self.place(site)).is_some_and(|place| place.health.is_suspected())
     }
 
     /// Returns the number of requests at a back end beyond its slots, as a fraction of the slots.
     #[must_use]
-    pub fn excess(&self, site: Site) -> f32 {
+    pub fn excess(&self, site: Index) -> f32 {
         self.place(site).map_or(0.0, |place| {
-            let slots = place.facts.slots.max(1);
+            let slots = place.description.slots.max(1);
             place.load().saturating_sub(slots) as f32 / slots as f32
         })
     }
@@ -231,8 +232,8 @@
 
     /// Returns the number of open attempts of this entry VM at a back end for `work`.
     #[must_use]
-    pub fn open(&self, name: &Name, work: &Work) -> u32 {
-        let place = self.site(name).and_then(|site| self.place(site));
+    pub fn open_attempts_for(&self, name: &Name, work: &Work) -> u32 {
+        let place = self.index(name).and_then(|site| self.place(site));
         place.map_or(0, |place| {
             place.open_by.iter().find(|(each, _)| each == work).map_or(0, |(_, open)| *open)
         })
@@ -240,13 +241,13 @@
 
     /// Returns the number of open attempts of this entry VM at all back ends.
     #[must_use]
-    pub fn tries(&self) -> usize {
-        self.places.iter().flatten().map(|place| place.open as usize).sum()
+    pub fn open_attempts(&self) -> usize {
+        self.backends.iter().flatten().map(|place| place.open as usize).sum()
     }
 
     /// Records the load reported by a back end.
-    pub fn report(&mut self, name: &Name, load: u32) {
-        if let Some(place) = self.site(name).and_then(|site| self.place_mut(site)) {
+    pub fn record_load(&mut self, name: &Name, load: u32) {
+        if let Some(place) = self.index(name).and_then(|site| self.place_mut(site)) {
             place.reported = load;
             place.opened = 0;
             place.closed = 0;
@@ -254,7 +255,7 @@
     }
 
     /// Records that an attempt is sent, and that the back end will cache the prompt.
-    pub fn open_try(&mut self, site: Site, work: &Work, prefix: &[u64]) {
+    pub fn attempt_sent(&mut self, site: Index, work: &Work, prefix: &[u64]) {
         for hash in prefix {
             self.sketch.store(*hash, site.0);
         }
@@ -270,7 +271,7 @@
     }
 
     /// Records that an attempt is closed.
-    pub fn close_try(&mut self, site: Site, work: &Work) {
+    pub fn attempt_closed(&mut self, site: Index, work: &Work) {
         let Some(place) = self.place_mut(site) else {
             return;
         };
@@ -286,19 +287,19 @@
 
     /// Records that a back end failed after accepting a request. It is ejected after several consecutive
     /// failures unless too many back ends of its kind are suspected already.
-    pub fn fault(&mut self, now: Time, site: Site) {
+    pub fn record_failure(&mut self, now: Time, site: Index) {
         let Some(place) = self.place_mut(site) else {
             return;
         };
-        if !place.health.fault() {
+        if !place.health.record_failure() {
             return;
         }
-        let work = place.facts.works.first().cloned();
+        let work = place.description.works.first().cloned();
         let kin = work.and_then(|work| self.holders.get(&work)).map_or(&[][..], Vec::as_slice);
         let doubted = kin
             .iter()
-            .filter_map(|site| self.place(Site(*site)))
-            .filter(|place| place.health.is_doubted())
+            .filter_map(|site| self.place(Index(*site)))
+            .filter(|place| place.health.is_suspected())
             .count();
         if (doubted + 1) * EJECTED_PART <= kin.len()
             && let Some(health) = self.health(site)
@@ -308,8 +309,8 @@
     }
 
     /// Records the prompt blocks that a back end has cached or evicted.
-    pub fn cached(&mut self, name: &Name, stored: &[u64], evicted: &[u64], cleared: bool) {
-        let Some(Site(site)) = self.site(name) else {
+    pub fn cache_changed(&mut self, name: &Name, stored: &[u64], evicted: &[u64], cleared: bool) {
+        let Some(Index(site)) = self.index(name) else {
             return;
         };
         if cleared {
--- a/core/src/route/choose.rs
+++ b/core/src/route/choose.rs
@@ -1,7 +1,7 @@
 //! Chooses the back end of an attempt. The cost of a back end grows with its expected load and falls with
 //! the part of the prompt that it has probably cached.
 
-use super::{Routes, Site, Work};
+use super::{Index, Routes, Work};
 use crate::health::Standing;
 use crate::name::Name;
 use crate::rules::Priority;
@@ -27,7 +27,7 @@
 const ZONE_COST: f32 = 1.0;
 /// An attempt for which a back end is to be chosen.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct Query<'a> {
     /// The model or service requested.
     pub work: &'a Work,
     /// Chained hashes of the prompt's leading blocks.
@@ -42,18 +42,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Choice {
     /// A back end with room.
-    Site(Site),
+    Backend(Index),
     /// There are back ends, but none of those examined has room.
     Full,
     /// No back end that accepts requests serves the model or service.
-    Absent,
+    NoBackend,
 }
 
 impl Routes {
     /// Chooses the back end with the lowest rank among those examined.
-    pub fn pick(&self, rng: &mut fastrand::Rng, now: Time, wanted: &Wanted<'_>) -> Choice {
+    pub fn pick(&self, rng: &mut fastrand::Rng, now: Time, wanted: &Query<'_>) -> Choice {
         let Some(holders) = self.holders.get(wanted.work) else {
-            return Choice::Absent;
+            return Choice::NoBackend;
         };
         let mut best = Best::default();
         if holders.len() <= SCAN_MAX {
@@ -63,9 +63,9 @@
             return best.choice();
         }
         for (site, _) in self.sketch.best::<HINTS>(wanted.prefix).into_iter().flatten() {
-            if self.places[usize::from(site)]
+            if self.backends[usize::from(site)]
                 .as_ref()
-                .is_some_and(|place| place.facts.works.binary_search(wanted.work).is_ok())
+                .is_some_and(|place| place.description.works.binary_search(wanted.work).is_ok())
             {
                 self.consider(now, wanted, site, &mut best);
             }
@@ -80,18 +80,18 @@
         best.choice()
     }
 
-    fn consider(&self, now: Time, wanted: &Wanted<'_>, site: u16, best: &mut Best) {
-        let Some(place) = self.place(Site(site)).filter(|place| place.facts.takes_work) else {
+    fn consider(&self, now: Time, wanted: &Query<'_>, site: u16, best: &mut Best) {
+        let Some(place) = self.place(Index(site)).filter(|place| place.description.accepts_work) else {
             return;
         };
         let standing = place.health.standing(now, place.open);
         best.known = true;
-        best.sound |= standing != Standing::Doubtful;
+        best.sound |= standing != Standing::Suspected;
         // A suspected back end gets one attempt at a time, and none while another one is not suspected.
-        if standing == Standing::Doubtful && place.open > 0 {
+        if standing == Standing::Suspected && place.open > 0 {
             return;
         }
-        let slots = place.facts.slots.max(1) as f32 * place.health.share(now);
+        let slots = place.description.slots.max(1) as f32 * place.health.slot_share(now);
         let room = match wanted.priority {
             Priority::Deferrable => (slots * DEFERRABLE_PART).max(1.0),
             _ => slots * (1.0 + HEADROOM),
@@ -100,16 +100,16 @@
         if load >= room {
             return;
         }
-        let avoided = wanted.avoid.contains(&place.facts.name);
+        let avoided = wanted.avoid.contains(&place.description.name);
         let mut cost = (load + 1.0) / slots;
-        if !place.facts.local {
+        if !place.description.local {
             cost += ZONE_COST;
         }
         if !wanted.prefix.is_empty() {
             let matched = self.sketch.matched(wanted.prefix, site);
             cost -= PREFIX_GAIN * matched as f32 / wanted.prefix.len() as f32;
         }
-        best.offer(Rank { doubtful: standing == Standing::Doubtful, avoided, cost }, site);
+        best.offer(Rank { doubtful: standing == Standing::Suspected, avoided, cost }, site);
     }
 }
 
@@ -143,9 +143,9 @@
     fn choice(&self) -> Choice {
         match self.found {
             Some((rank, _)) if rank.doubtful && self.sound => Choice::Full,
-            Some((_, site)) => Choice::Site(Site(site)),
+            Some((_, site)) => Choice::Backend(Index(site)),
             None if self.known => Choice::Full,
-            None => Choice::Absent,
+            None => Choice::NoBackend,
         }
     }
 }
