--- a/core/src/index.rs
+++ b/core/src/route_sync.rs
@@ -6,22 +6,22 @@
 use crate::effect::Effect;
 use crate::engine::{CacheUpdate, Report, Stage};
 use crate::fleet::Backend;
-use crate::flow::Try;
+use crate::flow::OpenAttempt;
 use crate::inventory::Kind;
 use crate::member;
 use crate::name::Name;
 use crate::peer::Item;
-use crate::retry::Trouble;
-use crate::route::{Facts, Work};
+use crate::retry::Fault;
+use crate::route::{Description, Work};
 use crate::state::State;
 use crate::time::Time;
 
 /// Updates all routes after the VM list or the configuration changed.
-pub(crate) fn listed(state: &mut State, now: Time) {
+pub(crate) fn refresh_all(state: &mut State, now: Time) {
     let backends = &state.fleet.backends;
     let fresh = !state.routes.is_empty();
     state.routes.retain(|name| backends.contains_key(name));
-    let all: Vec<Facts> = backends.values().map(|backend| facts(state, backend)).collect();
+    let all: Vec<Description> = backends.values().map(|backend| facts(state, backend)).collect();
     for each in all {
         state.routes.set(now, each, fresh);
     }
@@ -29,8 +29,8 @@
 
 /// Handles a new configuration: updates the routes and removes idle queues of undeclared artifacts and
 /// services.
-pub(crate) fn configured(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    listed(state, now);
+pub(crate) fn config_changed(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+    refresh_all(state, now);
     let catalog = &state.config.catalog;
     state.flow.prune(|work| match work {
         Work::Artifact(artifact) => catalog.entry(artifact).is_some(),
@@ -48,12 +48,12 @@
 }
 
 /// Updates the routes and the load of an engine after its report was stored.
-pub(crate) fn reported(state: &mut State, now: Time, report: &Report) {
+pub(crate) fn report_applied(state: &mut State, now: Time, report: &Report) {
     refresh(state, now, &report.engine);
-    state.routes.report(&report.engine, report.running + report.waiting);
+    state.routes.record_load(&report.engine, report.running + report.waiting);
 }
 
-fn facts(state: &State, backend: &Backend) -> Facts {
+fn facts(state: &State, backend: &Backend) -> Description {
     let catalog = &state.config.catalog;
     let group = catalog.groups.get(&backend.group);
     let mut works: Vec<Work> = match group.map(|group| group.kind) {
@@ -66,12 +66,12 @@
     };
     works.sort_unstable();
     works.dedup();
-    Facts {
+    Description {
         name: backend.name.clone(),
         address: backend.address,
         local: backend.zone == state.me.zone,
         slots: group.map_or(1, |group| group.slots),
-        takes_work: backend.takes_work(),
+        accepts_work: backend.accepts_work(),
         incarnation: backend.report.as_ref().map(|report| report.incarnation),
         works,
     }
@@ -88,53 +88,59 @@
 }
 
 /// Applies a change of an engine's prefix cache.
-pub(crate) fn cached(state: &mut State, update: &CacheUpdate) {
+pub(crate) fn cache_updated(state: &mut State, update: &CacheUpdate) {
     if let Some(backend) = state.fleet.backends.get_mut(&update.engine) {
         let events = (update.stored.len() + update.evicted.len()) as u64;
         backend.cache_seq = update.seq + events;
     }
-    state.routes.cached(&update.engine, &update.stored, &update.evicted, update.cleared);
+    state.routes.cache_changed(&update.engine, &update.stored, &update.evicted, update.cleared);
 }
 
 /// Marks a backend server that announced, to this entry VM or a peer, that it is leaving. Returns whether
 /// that was not known before.
-pub(crate) fn left(state: &mut State, now: Time, backend: &Name) -> bool {
-    let known = state.fleet.backends.get_mut(backend).filter(|known| known.left_at.is_none());
+pub(crate) fn mark_leaving(state: &mut State, now: Time, backend: &Name) -> bool {
+    let known = state.fleet.backends.get_mut(backend).filter(|known| known.announced_leaving_at.is_none());
     let Some(known) = known else {
         return false;
     };
-    known.left_at = Some(now);
+    known.announced_leaving_at = Some(now);
     refresh(state, now, backend);
     true
 }
 
 /// Applies the consequences of a failed attempt to its backend server.
-pub(crate) fn troubled(state: &mut State, now: Time, closed: &Try, trouble: Trouble, out: &mut Vec<Effect>) {
-    if matches!(trouble, Trouble::Failed(Failure::Connect) | Trouble::Silent) {
+pub(crate) fn attempt_failed(
+    state: &mut State,
+    now: Time,
+    closed: &OpenAttempt,
+    trouble: Fault,
+    out: &mut Vec<Effect>,
+) {
+    if matches!(trouble, Fault::Failed(Failure::Connect) | Fault::Silent) {
         retire(state, &closed.backend, out);
     }
-    let Some(site) = state.routes.site(&closed.backend) else {
+    let Some(site) = state.routes.index(&closed.backend) else {
         return;
     };
     match trouble {
-        Trouble::Failed(Failure::Connect) | Trouble::Silent => {
+        Fault::Failed(Failure::Connect) | Fault::Silent => {
             if let Some(health) = state.routes.health(site) {
                 health.suspect(now);
             }
         }
-        Trouble::Failed(Failure::Refused(Refusal::Leaving)) => {
-            if left(state, now, &closed.backend) {
-                member::tell_all(state, &[Item::Leaving(closed.backend.clone())], out);
+        Fault::Failed(Failure::Refused(Refusal::Leaving)) => {
+            if mark_leaving(state, now, &closed.backend) {
+                member::send_to_zone(state, &[Item::Leaving(closed.backend.clone())], out);
             }
         }
-        Trouble::Failed(Failure::Refused(Refusal::NotLoaded)) => {
-            if let Destination::Engine(artifact) = &closed.to {
+        Fault::Failed(Failure::Refused(Refusal::NotLoaded)) => {
+            if let Destination::Engine(artifact) = &closed.destination {
                 state.routes.unload(site, &Work::Artifact(artifact.clone()));
             }
         }
-        Trouble::Failed(Failure::Refused(Refusal::Busy | Refusal::Late) | Failure::Forgotten) => {}
-        Trouble::Failed(Failure::Broken | Failure::Error | Failure::Foreign) | Trouble::Gap => {
-            state.routes.fault(now, site);
+        Fault::Failed(Failure::Refused(Refusal::Busy | Refusal::Late) | Failure::Forgotten) => {}
+        Fault::Failed(Failure::Broken | Failure::Error | Failure::Foreign) | Fault::Gap => {
+            state.routes.record_failure(now, site);
         }
     }
 }
@@ -143,6 +149,6 @@
     let backend = state.fleet.backends.get(name).map(|backend| backend.address);
     let address = backend.or_else(|| state.fleet.entries.get(name).map(|vm| vm.address));
     if let Some(address) = address {
-        out.push(Effect::Retire(address));
+        out.push(Effect::CloseConnections(address));
     }
 }
--- a/core/src/spill.rs
+++ b/core/src/spill.rs
@@ -46,7 +46,7 @@
     if refused >= if absent { REFUSALS_MAX } else { 1 } {
         return None;
     }
-    let zones = summary::elsewhere(state, now, artifact);
+    let zones = summary::zones_holding(state, now, artifact);
     let zones = zones.iter().filter(|zone| absent || zone.load <= LOAD_MAX);
     zones.into_iter().find_map(|zone| entry(state, now, flow, zone.zone))
 }
@@ -54,14 +54,14 @@
 /// An entry VM of the zone that is neither silent nor suspected and at which this request has not failed.
 /// Requests are spread by their sequence number.
 fn entry(state: &State, now: Time, flow: &Flow, zone: &Name) -> Option<Peer> {
-    let (_, known) = summary::zones(state, now).find(|(name, _)| *name == zone)?;
-    let suspected = |name: &Name| state.member.peers.get(name).is_some_and(|peer| !peer.is_fit());
+    let (_, known) = summary::recent_zones(state, now).find(|(name, _)| *name == zone)?;
+    let suspected = |name: &Name| state.member.peers.get(name).is_some_and(|peer| !peer.is_available());
     let vms: Vec<_> = state
         .fleet
         .entries
         .values()
         .filter(|vm| vm.zone == *zone && vm.phase == Phase::Live)
-        .filter(|vm| !known.silent.contains(&vm.name) && !suspected(&vm.name))
+        .filter(|vm| !known.unavailable.contains(&vm.name) && !suspected(&vm.name))
         .filter(|vm| !flow.avoid.contains(&vm.name))
         .collect();
     let at = (flow.ticket.request.seq as usize).checked_rem(vms.len())?;
--- a/core/src/state.rs
+++ b/core/src/state.rs
@@ -64,7 +64,7 @@
     pub(crate) audit: audit::Part,
     pub(crate) table_up: bool,
     /// Time at which this process last resumed after a stall; its start if it never stalled.
-    pub(crate) resumed: Time,
+    pub(crate) resumed_at: Time,
     calls: FxHashMap<id::Op, Purpose>,
     seq: u64,
 }
@@ -73,7 +73,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Purpose {
     /// The configuration.
-    Config(config::Wait),
+    Config(config::TableCall),
     /// Claims on idempotency keys.
     Claim(claim::Step),
     /// The zone's lease.
@@ -87,7 +87,7 @@
     #[must_use]
     pub fn new(me: Identity, settings: Settings, seed: u64, now: Time) -> Self {
         let mut timers = Timers::default();
-        for timer in [Timer::List, Timer::Config, Timer::Lease, Timer::Heartbeat, Timer::Plan] {
+        for timer in [Timer::ListVms, Timer::Config, Timer::Lease, Timer::Heartbeat, Timer::Plan] {
             timers.set(now, timer);
         }
         let routes = Routes::new(settings.prefix_blocks);
@@ -114,7 +114,7 @@
             drain: drain::Part::default(),
             audit: audit::Part::default(),
             table_up: false,
-            resumed: now,
+            resumed_at: now,
             calls: FxHashMap::default(),
             seq: 0,
         }
@@ -132,7 +132,7 @@
         Gauges {
             requests: self.flow.open(),
             waiting: self.flow.queued(),
-            tries: self.routes.tries(),
+            attempts: self.routes.open_attempts(),
             claims: self.claim.unsettled(),
             timers: self.timers.len(),
         }
@@ -177,7 +177,7 @@
     }
 
     /// Removes and returns the purpose of a table call, once it is answered.
-    pub(crate) fn settle(&mut self, op: id::Op) -> Option<Purpose> {
+    pub(crate) fn take_purpose(&mut self, op: id::Op) -> Option<Purpose> {
         self.calls.remove(&op)
     }
 }
--- a/core/src/status.rs
+++ b/core/src/status.rs
@@ -31,7 +31,7 @@
         Query::Config => {
             Answer::Config { version: state.config.version, document: Arc::clone(&state.config.document) }
         }
-        Query::History => return config::history(state, ask, out),
+        Query::History => return config::request_history(state, ask, out),
         Query::Status => Answer::Status(Box::new(status(state, now))),
         Query::Models => Answer::Models(models(state, now)),
         Query::Explain(name) => explain::answer(state, now, &name),
@@ -48,12 +48,12 @@
     let entries = &state.config.catalog.entries;
     let here: BTreeSet<&Artifact> = state.fleet.backends.values().flat_map(Backend::ready).collect();
     let reachable = entries.iter().filter(|entry| {
-        here.contains(&entry.artifact) || !summary::elsewhere(state, now, &entry.artifact).is_empty()
+        here.contains(&entry.artifact) || !summary::zones_holding(state, now, &entry.artifact).is_empty()
     });
     Status {
         vm: state.me.vm.clone(),
         zone: state.me.zone.clone(),
-        ready: state.config.version > 0 && !state.drain.leaving(),
+        ready: state.config.version > 0 && !state.drain.is_leaving(),
         config: state.config.version,
         lease_holder: state.lease.holder().cloned(),
         table_up: state.table_up,
@@ -62,7 +62,7 @@
         artifacts: entries.len() as u32,
         reachable: reachable.count() as u32,
         engines: state.fleet.backends.values().filter(|backend| is_engine(state, backend)).count() as u32,
-        moves_under_way: state.ledger.rows.values().map(|(_, row)| row.open().count() as u32).sum(),
+        moves_under_way: state.ledger.rows.values().map(|(_, row)| row.open_intents().count() as u32).sum(),
     }
 }
 
@@ -114,13 +114,13 @@
 }
 
 fn model(state: &State, now: Time, entry: &Entry, copies: Vec<Held>) -> Model {
-    let elsewhere = summary::elsewhere(state, now, &entry.artifact);
+    let elsewhere = summary::zones_holding(state, now, &entry.artifact);
     Model {
         artifact: entry.artifact.clone(),
         memory_mb: entry.memory_mb,
         copies,
         zones: elsewhere.into_iter().map(|elsewhere| elsewhere.zone.clone()).collect(),
-        demand: state.demand.track(&entry.artifact).rate(),
+        demand: state.demand.estimate(&entry.artifact).rate(),
         waiting: state.flow.waiting(&Work::Artifact(entry.artifact.clone())) as u32,
     }
 }
@@ -142,12 +142,12 @@
                 phase: if backend.is_leaving() { Phase::Leaving } else { Phase::Live },
                 role: report.map_or(Role::Both, |report| report.role),
                 memory_mb: report.map_or(0, |report| report.memory_mb),
-                reserved_mb: report.map_or(0, |report| ledger::reserved(report, row)),
+                reserved_mb: report.map_or(0, |report| ledger::reserved_mb(report, row)),
                 running: report.map_or(0, |report| report.running),
                 waiting: report.map_or(0, |report| report.waiting),
                 report_age_ms: backend.reported_at.map(|at| now.since(at).as_millis() as u64),
                 copies: report.map_or(0, |report| report.copies.len() as u32),
-                suspected: state.routes.is_doubted(&backend.name),
+                suspected: state.routes.is_suspected(&backend.name),
             }
         })
         .collect()
@@ -168,7 +168,7 @@
         name: state.me.vm.clone(),
         zone: state.me.zone.clone(),
         alive: true,
-        leaving: state.drain.leaving(),
+        leaving: state.drain.is_leaving(),
         config: state.config.version,
         heard_ms: Some(0),
     };
@@ -189,25 +189,25 @@
     Member {
         name: name.clone(),
         zone: peer.zone.clone(),
-        alive: peer.heard.is_some() && !peer.suspected,
+        alive: peer.last_heard.is_some() && !peer.suspected,
         leaving: peer.stopping,
-        config: peer.config,
-        heard_ms: peer.heard.map(|at| now.since(at).as_millis() as u64),
+        config: peer.config_version,
+        heard_ms: peer.last_heard.map(|at| now.since(at).as_millis() as u64),
     }
 }
 
 /// An entry VM of another zone, by the last summary of that zone.
 fn distant(state: &State, now: Time, name: &Name, peer: &Peer) -> Member {
-    let zone = summary::zones(state, now).find(|(zone, _)| **zone == peer.zone).map(|(_, zone)| zone);
-    let silent = zone.is_none_or(|zone| zone.silent.contains(name));
+    let zone = summary::recent_zones(state, now).find(|(zone, _)| **zone == peer.zone).map(|(_, zone)| zone);
+    let silent = zone.is_none_or(|zone| zone.unavailable.contains(name));
     let said = zone.map_or(0, |zone| zone.config);
-    let heard = zone.map(|zone| zone.heard).into_iter().chain(peer.heard).max();
+    let heard = zone.map(|zone| zone.last_heard).into_iter().chain(peer.last_heard).max();
     Member {
         name: name.clone(),
         zone: peer.zone.clone(),
         alive: !silent,
         leaving: peer.stopping,
-        config: if silent { peer.config } else { said.max(peer.config) },
+        config: if silent { peer.config_version } else { said.max(peer.config_version) },
         heard_ms: heard.map(|at| now.since(at).as_millis() as u64),
     }
 }
--- a/core/src/stream.rs
+++ b/core/src/stream.rs
@@ -4,14 +4,14 @@
 use crate::attempt::{Destination, Failure};
 use crate::effect::Effect;
 use crate::end::End;
-use crate::flow::{self, Stage, Try};
+use crate::flow::{self, OpenAttempt, Stage};
 use crate::id;
-use crate::retry::{self, Trouble};
+use crate::retry::{self, Fault};
 use crate::state::State;
 use crate::time::Time;
 use crate::timer::Timer;
 
-fn open(state: &mut State, attempt: id::Attempt) -> Option<&mut Try> {
+fn open(state: &mut State, attempt: id::Attempt) -> Option<&mut OpenAttempt> {
     let found = state.flow.flows.get_mut(&attempt.request).and_then(|flow| match &mut flow.stage {
         Stage::Open(current) if current.attempt == attempt => Some(current),
         _ => None,
@@ -23,7 +23,7 @@
 }
 
 /// Handles the head of an answer.
-pub(crate) fn head(
+pub(crate) fn head_received(
     state: &mut State,
     now: Time,
     attempt: id::Attempt,
@@ -33,63 +33,69 @@
     let Some(current) = open(state, attempt) else {
         return;
     };
-    let silent_is_fine = matches!(current.to, Destination::Service(_));
+    let silent_is_fine = matches!(current.destination, Destination::Service(_));
     if echo != Some(attempt) && !(echo.is_none() && silent_is_fine) {
         foreign(state, now, attempt, out);
         return;
     }
-    let took = now.since(current.sent);
-    let first = !std::mem::replace(&mut current.headed, true);
-    current.progress = now;
-    let (backend, watch) = (current.backend.clone(), current.watch);
+    let took = now.since(current.sent_at);
+    let first = !std::mem::replace(&mut current.head_received, true);
+    current.last_progress = now;
+    let (backend, watch) = (current.backend.clone(), current.silence_timer);
     state.timers.cancel(watch);
-    silence(state, now, attempt, out);
+    check_silence(state, now, attempt, out);
     if let Some(flow) = state.flow.flows.get(&attempt.request)
         && let Some(lane) = state.flow.lanes.get_mut(&flow.work).filter(|_| first && flow.stream)
     {
-        lane.head.took(took);
+        lane.head_latency.record(took);
     }
-    if let Some(health) = state.routes.site(&backend).and_then(|site| state.routes.health(site)) {
-        health.alive();
+    if let Some(health) = state.routes.index(&backend).and_then(|site| state.routes.health(site)) {
+        health.clear_suspicion();
     }
 }
 
 fn foreign(state: &mut State, now: Time, attempt: id::Attempt, out: &mut Vec<Effect>) {
     state.counters.foreign += 1;
-    retry::failed(state, now, attempt, Trouble::Failed(Failure::Foreign), out);
+    retry::failed(state, now, attempt, Fault::Failed(Failure::Foreign), out);
 }
 
 /// Handles one event of a streamed answer.
-pub(crate) fn chunk(state: &mut State, now: Time, attempt: id::Attempt, offset: u64, out: &mut Vec<Effect>) {
+pub(crate) fn chunk_received(
+    state: &mut State,
+    now: Time,
+    attempt: id::Attempt,
+    offset: u64,
+    out: &mut Vec<Effect>,
+) {
     let Some(current) = open(state, attempt) else {
         return;
     };
-    if !current.headed {
+    if !current.head_received {
         foreign(state, now, attempt, out);
         return;
     }
-    current.progress = now;
+    current.last_progress = now;
     let Some(flow) = state.flow.flows.get_mut(&attempt.request) else {
         return;
     };
     if offset < flow.delivered {
-        state.counters.repeated += 1;
+        state.counters.duplicate_events += 1;
         return;
     }
     if offset > flow.delivered {
-        retry::failed(state, now, attempt, Trouble::Gap, out);
+        retry::failed(state, now, attempt, Fault::Gap, out);
         return;
     }
     flow.delivered += 1;
-    flow.strikes = 0;
+    flow.failures = 0;
     out.push(Effect::Deliver { attempt, offset });
 }
 
 /// Records progress without an event to deliver: data was received, or the answer is held back because the
 /// caller reads slowly. In both cases the back end is not silent.
-pub(crate) fn alive(state: &mut State, now: Time, attempt: id::Attempt) {
+pub(crate) fn progressed(state: &mut State, now: Time, attempt: id::Attempt) {
     if let Some(current) = open(state, attempt) {
-        current.progress = now;
+        current.last_progress = now;
     }
 }
 
@@ -104,32 +110,32 @@
     let Some(current) = open(state, attempt) else {
         return;
     };
-    if !current.headed {
+    if !current.head_received {
         foreign(state, now, attempt, out);
         return;
     }
-    let (took, backend) = (now.since(current.sent), current.backend.clone());
+    let (took, backend) = (now.since(current.sent_at), current.backend.clone());
     let Some(flow) = state.flow.flows.get(&attempt.request) else {
         return;
     };
     if flow.stream && flow.delivered != length {
-        retry::failed(state, now, attempt, Trouble::Gap, out);
+        retry::failed(state, now, attempt, Fault::Gap, out);
         return;
     }
     if let Some(lane) = state.flow.lanes.get_mut(&flow.work) {
-        lane.pace.took(took);
+        lane.latency.record(took);
     }
     state.budget.earn(&state.settings);
-    if let Some(health) = state.routes.site(&backend).and_then(|site| state.routes.health(site)) {
-        health.good();
+    if let Some(health) = state.routes.index(&backend).and_then(|site| state.routes.health(site)) {
+        health.record_success();
     }
     flow::end(state, now, attempt.request, End::answered(attempt), out);
 }
 
 /// Handles a non-streamed answer that exceeds the edge's buffer. It is passed on from now on, so that the
 /// request can no longer be retried.
-pub(crate) fn overflow(state: &mut State, attempt: id::Attempt, out: &mut Vec<Effect>) {
-    let headed = open(state, attempt).is_some_and(|current| current.headed);
+pub(crate) fn buffer_exceeded(state: &mut State, attempt: id::Attempt, out: &mut Vec<Effect>) {
+    let headed = open(state, attempt).is_some_and(|current| current.head_received);
     if let Some(flow) = state.flow.flows.get_mut(&attempt.request).filter(|_| headed) {
         flow.committed = true;
         out.push(Effect::Commit(attempt));
@@ -137,9 +143,9 @@
 }
 
 /// Checks whether an attempt has gone silent, and sets the timer of the next check if not.
-pub(crate) fn silence(state: &mut State, now: Time, attempt: id::Attempt, out: &mut Vec<Effect>) {
+pub(crate) fn check_silence(state: &mut State, now: Time, attempt: id::Attempt, out: &mut Vec<Effect>) {
     let idle = state.settings.idle;
-    let (first_byte, resumed) = (state.settings.first_byte, state.resumed);
+    let (first_byte, resumed) = (state.settings.first_byte, state.resumed_at);
     let Some(flow) = state.flow.flows.get_mut(&attempt.request) else {
         return;
     };
@@ -149,19 +155,19 @@
     };
     // A non-streamed answer may pause between its head and its body for up to `first_byte`. Once it is
     // passed on, the limit is that of a stream.
-    let limit = match (current.headed, streams || committed) {
-        (false, _) => current.patience,
+    let limit = match (current.head_received, streams || committed) {
+        (false, _) => current.head_timeout,
         (true, true) => idle,
         (true, false) => first_byte,
     };
     // Data that arrived while this process was stalled has not been read yet.
-    let due = current.progress.max(resumed) + limit;
+    let due = current.last_progress.max(resumed) + limit;
     if current.attempt != attempt {
         return;
     }
     if due > now {
-        current.watch = state.timers.set(due, Timer::Silence(attempt));
+        current.silence_timer = state.timers.set(due, Timer::Silence(attempt));
         return;
     }
-    retry::failed(state, now, attempt, Trouble::Silent, out);
+    retry::failed(state, now, attempt, Fault::Silent, out);
 }
--- a/core/src/summary.rs
+++ b/core/src/summary.rs
@@ -31,13 +31,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct Zone {
     /// Time of its last summary.
-    pub heard: Time,
+    pub last_heard: Time,
     /// Memory not used by copies, in MB.
     pub free_mb: u64,
     /// Lowest configuration version in force at its live entry VMs.
     pub config: u64,
     /// Entry VMs that are suspected there or are stopping.
-    pub silent: Vec<Name>,
+    pub unavailable: Vec<Name>,
     by: Incarnation,
     seq: u64,
     offers: BTreeMap<u32, Offer>,
@@ -57,7 +57,7 @@
             offers,
             free_mb: self.free_mb,
             config: self.config,
-            silent: self.silent.clone(),
+            silent: self.unavailable.clone(),
         }))
     }
 }
@@ -78,21 +78,21 @@
         let share = self.count / LOAD_EVERY % SHARES;
         self.count = self.count.wrapping_add(1).max(1);
         let news = |offer: &Offer| {
-            let Some(told) = self.offers.get(&offer.artifact) else {
+            let Some(told) = self.offers.get(&offer.artifact_digest) else {
                 return true;
             };
-            let in_share = offer.artifact % SHARES == share;
+            let in_share = offer.artifact_digest % SHARES == share;
             told.copies != offer.copies
                 || (with_load && (in_share || told.load.abs_diff(offer.load) >= LOAD_STEP))
         };
         let mut offers: Vec<Offer> = current.values().filter(|offer| whole || news(offer)).copied().collect();
         let gone = self.offers.keys().filter(|artifact| !current.contains_key(artifact));
-        offers.extend(gone.map(|artifact| Offer { artifact: *artifact, copies: 0, load: 0 }));
+        offers.extend(gone.map(|artifact| Offer { artifact_digest: *artifact, copies: 0, load: 0 }));
         for offer in &offers {
             if offer.copies == 0 {
-                self.offers.remove(&offer.artifact);
+                self.offers.remove(&offer.artifact_digest);
             } else {
-                self.offers.insert(offer.artifact, *offer);
+                self.offers.insert(offer.artifact_digest, *offer);
             }
         }
         let extent = match (whole, with_load) {
@@ -115,7 +115,7 @@
 
 /// The copies of one artifact in another zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Elsewhere<'a> {
+pub(crate) struct ZoneOffer<'a> {
     /// The zone.
     pub zone: &'a Name,
     /// Number of ready copies.
@@ -125,18 +125,18 @@
 }
 
 /// The other zones whose last summary has not expired.
-pub(crate) fn zones(state: &State, now: Time) -> impl Iterator<Item = (&Name, &Zone)> {
-    let expiry = member::interval(state) * EXPIRY_INTERVALS;
-    state.summary.zones.iter().filter(move |(_, zone)| now.since(zone.heard) <= expiry)
+pub(crate) fn recent_zones(state: &State, now: Time) -> impl Iterator<Item = (&Name, &Zone)> {
+    let expiry = member::frame_interval(state) * EXPIRY_INTERVALS;
+    state.summary.zones.iter().filter(move |(_, zone)| now.since(zone.last_heard) <= expiry)
 }
 
 /// The other zones that hold an artifact ready, the least loaded first.
-pub(crate) fn elsewhere<'a>(state: &'a State, now: Time, artifact: &Artifact) -> Vec<Elsewhere<'a>> {
+pub(crate) fn zones_holding<'a>(state: &'a State, now: Time, artifact: &Artifact) -> Vec<ZoneOffer<'a>> {
     let digest = artifact.digest();
-    let mut found: Vec<Elsewhere> = zones(state, now)
+    let mut found: Vec<ZoneOffer> = recent_zones(state, now)
         .filter_map(|(name, zone)| {
             let offer = zone.offers.get(&digest).filter(|offer| offer.copies > 0)?;
-            Some(Elsewhere { zone: name, copies: offer.copies, load: offer.load })
+            Some(ZoneOffer { zone: name, copies: offer.copies, load: offer.load })
         })
         .collect();
     found.sort_by_key(|elsewhere| (elsewhere.load, elsewhere.zone));
@@ -154,8 +154,8 @@
     }
     let mut sums: BTreeMap<u32, Sum> = BTreeMap::new();
     let own = state.fleet.backends.values().filter(|backend| backend.zone == state.me.zone);
-    let heard = |backend: &&Backend| backend.is_heard(now, state.settings.suspect_after);
-    for backend in own.filter(|backend| backend.takes_work()).filter(heard) {
+    let heard = |backend: &&Backend| backend.reported_within(now, state.settings.suspect_after);
+    for backend in own.filter(|backend| backend.accepts_work()).filter(heard) {
         let slots = state.config.catalog.groups.get(&backend.group).map_or(1, |group| group.slots);
         let Some(report) = &backend.report else {
             continue;
@@ -170,25 +170,25 @@
     }
     let offer = |(artifact, sum): (u32, Sum)| {
         let load = sum.busy * LOAD_PARTS / sum.slots.max(1);
-        (artifact, Offer { artifact, copies: sum.copies, load })
+        (artifact, Offer { artifact_digest: artifact, copies: sum.copies, load })
     };
     sums.into_iter().map(offer).collect()
 }
 
 /// The next summary for an entry VM of another zone.
-pub(crate) fn next(state: &mut State, now: Time, peer: &Name) -> Item {
+pub(crate) fn next_summary(state: &mut State, now: Time, peer: &Name) -> Item {
     let synced = state.member.peers.get(peer).is_some_and(|peer| peer.synced);
     let mut told = state.summary.told.remove(peer).filter(|_| synced).unwrap_or_default();
     let (offers, extent) = told.next(&offers(state, now));
     if let Some(peer) = state.member.peers.get_mut(peer) {
-        peer.synced = peer.heard.is_some();
+        peer.synced = peer.last_heard.is_some();
     }
     state.summary.seq += 1;
     state.summary.told.insert(peer.clone(), told);
     let links = member::links(state);
     state.summary.told.retain(|name, _| links.contains(name));
     let peers = || member::zone_peers(state);
-    let configs = peers().filter(|(_, peer)| peer.is_fit()).map(|(_, peer)| peer.config);
+    let configs = peers().filter(|(_, peer)| peer.is_available()).map(|(_, peer)| peer.config_version);
     Item::Summary(Box::new(Summary {
         zone: state.me.zone.clone(),
         by: state.me.incarnation,
@@ -197,7 +197,7 @@
         offers,
         free_mb: free_mb(state),
         config: configs.chain([state.config.version]).min().unwrap_or_default(),
-        silent: peers().filter(|(_, peer)| !peer.is_fit()).map(|(name, _)| name.clone()).collect(),
+        silent: peers().filter(|(_, peer)| !peer.is_available()).map(|(name, _)| name.clone()).collect(),
     }))
 }
 
@@ -213,7 +213,7 @@
 }
 
 /// Handles a summary, sent by the other zone itself or forwarded within this one.
-pub(crate) fn heard(state: &mut State, now: Time, summary: &Summary) {
+pub(crate) fn summary_received(state: &mut State, now: Time, summary: &Summary) {
     if summary.zone == state.me.zone {
         return;
     }
@@ -228,33 +228,34 @@
     }
     for offer in &summary.offers {
         if offer.copies == 0 {
-            zone.offers.remove(&offer.artifact);
+            zone.offers.remove(&offer.artifact_digest);
         } else {
-            zone.offers.insert(offer.artifact, *offer);
+            zone.offers.insert(offer.artifact_digest, *offer);
         }
     }
-    zone.heard = now;
+    zone.last_heard = now;
     zone.free_mb = summary.free_mb;
     zone.config = summary.config;
-    zone.silent.clone_from(&summary.silent);
+    zone.unavailable.clone_from(&summary.silent);
     zone.by = summary.by;
     zone.seq = summary.seq;
 }
 
 /// Summaries to forward within this zone with the next frames: those of zones that sent a new summary since
 /// the last frames and that this entry VM is the forwarder for.
-pub(crate) fn pass_on(state: &mut State) -> Vec<Item> {
+pub(crate) fn take_forwards(state: &mut State) -> Vec<Item> {
     let names: Vec<Name> = state.summary.zones.keys().cloned().collect();
-    let first: Vec<Name> = names.into_iter().filter(|name| member::is_first(state, name)).collect();
+    let first: Vec<Name> = names.into_iter().filter(|name| member::is_forwarder(state, name)).collect();
     let mut items = Vec::new();
     for name in first {
         let by = state.me.incarnation;
         state.summary.seq += 1;
         let seq = state.summary.seq;
-        let Some(zone) = state.summary.zones.get_mut(&name).filter(|zone| zone.heard > zone.passed) else {
+        let Some(zone) = state.summary.zones.get_mut(&name).filter(|zone| zone.last_heard > zone.passed)
+        else {
             continue;
         };
-        zone.passed = zone.heard;
+        zone.passed = zone.last_heard;
         let (offers, extent) = zone.told.next(&zone.offers);
         items.push(zone.item(name, by, seq, extent, offers));
     }
@@ -262,10 +263,10 @@
 }
 
 /// The last summaries of the same zones in full, for a peer that has received none.
-pub(crate) fn passed_on(state: &mut State) -> Vec<Item> {
+pub(crate) fn all_forwards(state: &mut State) -> Vec<Item> {
     state.summary.seq += 1;
     let (by, seq) = (state.me.incarnation, state.summary.seq);
-    let first = state.summary.zones.iter().filter(|(name, _)| member::is_first(state, name));
+    let first = state.summary.zones.iter().filter(|(name, _)| member::is_forwarder(state, name));
     first
         .map(|(name, zone)| {
             let offers = zone.offers.values().copied().collect();
--- a/core/src/timer.rs
+++ b/core/src/timer.rs
@@ -19,7 +19,7 @@
     /// Claims on idempotency keys are written.
     Claims,
     /// The list of VMs is read.
-    List,
+    ListVms,
     /// The configuration is read from the table.
     Config,
     /// A change of the configuration whose answer was lost is read back.
@@ -33,7 +33,7 @@
     /// The placement is planned.
     Plan,
     /// The balancer has had time to see that this entry VM is not ready.
-    Grace,
+    BalancerGrace,
 }
 
 /// Delay of a wake-up from which on the process counts as stalled.
@@ -76,14 +76,14 @@
 
     /// Time since the requested wake-up; zero if it is not reached yet.
     #[must_use]
-    pub fn late(&self, now: Time) -> Duration {
+    pub fn lateness(&self, now: Time) -> Duration {
         self.announced.map_or(Duration::ZERO, |at| now.since(at))
     }
 
     /// Whether the process was woken so late that it must have stalled.
     #[must_use]
-    pub fn overslept(&self, now: Time) -> bool {
-        self.late(now) >= PAUSE
+    pub fn has_stalled(&self, now: Time) -> bool {
+        self.lateness(now) >= PAUSE
     }
 
     /// Number of active timers.
@@ -105,7 +105,7 @@
     }
 
     /// Time of the next wake-up, unless an earlier or equal one has been requested already.
-    pub fn announce(&mut self, now: Time) -> Option<Time> {
+    pub fn next_wake(&mut self, now: Time) -> Option<Time> {
         let next = self.set.first_key_value().map(|(handle, _)| handle.at)?;
         let pending = self.announced.is_some_and(|at| at > now && at <= next);
         if pending {
--- a/core/tests/admission.rs
+++ b/core/tests/admission.rs
@@ -212,7 +212,7 @@
     assert_eq!(entry.ended(id), None);
     let effects = entry.advance(Duration::from_secs(1));
     assert_eq!(outcome(&effects, id), Some((Code::DeadlinePassed, Outcome::NotRun)));
-    assert!(entry.event(Event::Gone(id)).iter().all(|effect| !matches!(effect, Effect::End { .. })));
+    assert!(entry.event(Event::CallerGone(id)).iter().all(|effect| !matches!(effect, Effect::End { .. })));
 }
 
 #[test]
--- a/core/tests/cluster/mod.rs
+++ b/core/tests/cluster/mod.rs
@@ -158,7 +158,7 @@
     pub fn ask(&mut self, node: usize, query: Query) -> u64 {
         self.asks += 1;
         let ask = id::Ask { by: Incarnation(0), seq: self.asks };
-        self.event(node, Event::Asked { ask, query: Box::new(query) });
+        self.event(node, Event::QueryReceived { ask, query: Box::new(query) });
         self.asks
     }
 
@@ -215,7 +215,7 @@
                 && let Some((node, op, call)) = self.table.held.pop_front()
             {
                 let reply = Ok(self.table.store.call(&call));
-                self.queue.push_back((node, Event::Table { op, reply }));
+                self.queue.push_back((node, Event::TableAnswered { op, reply }));
             }
             let Some((node, event)) = self.queue.pop_front() else {
                 return;
@@ -301,9 +301,9 @@
     fn carry_out(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Table { op, call } => self.table_call(node, op, call),
-            Effect::Tell { peer, frame, .. } => self.tell(node, &peer, *frame),
-            Effect::List if self.apart.contains(&node) => self.event(node, Event::Unlisted),
-            Effect::List => self.event(node, Event::Listed(self.vms.clone())),
+            Effect::SendFrame { peer, frame, .. } => self.tell(node, &peer, *frame),
+            Effect::ListVms if self.apart.contains(&node) => self.event(node, Event::VmListFailed),
+            Effect::ListVms => self.event(node, Event::VmsListed(self.vms.clone())),
             Effect::Poll { engine, .. } => self.poll(node, engine),
             Effect::Answer { ask, answer } => {
                 self.answers.insert(ask.seq, *answer);
@@ -327,17 +327,17 @@
             }
             Mood::Slow => return self.table.held.push_back((node, op, call)),
         };
-        self.event(node, Event::Table { op, reply });
+        self.event(node, Event::TableAnswered { op, reply });
     }
 
     fn poll(&mut self, node: usize, engine: Name) {
         self.polls.push((node, engine.clone()));
         let Some(report) = self.reports.get_mut(&engine) else {
-            return self.event(node, Event::Unreported(engine));
+            return self.event(node, Event::ReportFailed(engine));
         };
         report.seq += 1;
         let report = Box::new(report.clone());
-        self.event(node, Event::Reported(report));
+        self.event(node, Event::ReportReceived(report));
     }
 
     fn tell(&mut self, from: usize, peer: &Name, frame: Frame) {
@@ -351,9 +351,9 @@
             return;
         }
         if arrives {
-            self.event(to, Event::Heard(Box::new(frame)));
+            self.event(to, Event::FrameReceived(Box::new(frame)));
         } else {
-            self.event(from, Event::Unheard { peer: peer.clone() });
+            self.event(from, Event::FrameFailed { peer: peer.clone() });
         }
     }
 }
--- a/core/tests/config_spread.rs
+++ b/core/tests/config_spread.rs
@@ -149,7 +149,7 @@
             op: id::Op { by: ONE, seq: version },
             document: document(&[version]).into(),
         };
-        Event::Heard(Box::new(Frame {
+        Event::FrameReceived(Box::new(Frame {
             from: from.into(),
             zone: "hall-a".into(),
             incarnation: ONE,
--- a/core/tests/control/lease_takeover.rs
+++ b/core/tests/control/lease_takeover.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use boragecove_core::audit::{Act, Cause};
+use boragecove_core::audit::{Cause, Decision};
 use boragecove_core::engine::Fence;
 use boragecove_core::event::Event;
 use boragecove_core::name::Name;
@@ -23,7 +23,7 @@
     let records = world.nodes[at].records.iter();
     records
         .filter_map(|record| match record.act {
-            Act::LeaseTaken(fence) => Some((fence, record.cause)),
+            Decision::LeaseTaken(fence) => Some((fence, record.cause)),
             _ => None,
         })
         .collect()
@@ -55,7 +55,7 @@
     world.resume(at);
     world.run(LENGTH * 5);
     assert_eq!(world.holder(), second, "the paused holder wakes to a lease that is not its own");
-    let left = |act: &Act| matches!(act, Act::LeaseLeft(_));
+    let left = |act: &Decision| matches!(act, Decision::LeaseLeft(_));
     assert!(world.nodes[at].records.iter().any(|record| left(&record.act)));
 }
 
@@ -96,7 +96,7 @@
         .nodes
         .iter()
         .flat_map(|node| &node.records)
-        .filter(|r| matches!(r.act, Act::LeaseLeft(_)))
+        .filter(|r| matches!(r.act, Decision::LeaseLeft(_)))
         .count();
     assert_eq!(left, 1, "its holder knows that it lapsed");
     for node in &mut world.nodes {
--- a/core/tests/control/world.rs
+++ b/core/tests/control/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use boragecove_core::audit::Act;
+use boragecove_core::audit::Decision;
 use boragecove_core::config::{Document, Head};
 use boragecove_core::effect::Effect;
 use boragecove_core::engine::{Action, Copy, Ended, Fence, Order, Receipt, Report, Role as Part, Stage};
@@ -278,7 +278,7 @@
                 stopping: false,
                 items: vec![boragecove_core::peer::Item::Config(Box::new(head.clone()))],
             };
-            self.step(at, Event::Heard(Box::new(frame)));
+            self.step(at, Event::FrameReceived(Box::new(frame)));
         }
     }
 
@@ -305,11 +305,11 @@
                     }
                     Mode::Up => Ok(self.table.call(&call)),
                 };
-                self.step(at, Event::Table { op, reply });
+                self.step(at, Event::TableAnswered { op, reply });
             }
-            Effect::List => {
+            Effect::ListVms => {
                 let vms = self.vms.clone();
-                self.step(at, Event::Listed(vms));
+                self.step(at, Event::VmsListed(vms));
             }
             Effect::Poll { engine, .. } => {
                 let Some(engine) = self.engines.get_mut(&engine) else { return };
@@ -318,7 +318,7 @@
                 }
                 let report = engine.report();
                 for to in 0..self.nodes.len() {
-                    self.step(to, Event::Reported(Box::new(report.clone())));
+                    self.step(to, Event::ReportReceived(Box::new(report.clone())));
                 }
             }
             Effect::Order { engine, order, .. } => {
@@ -331,9 +331,9 @@
                     self.arrive(&flight);
                 }
             }
-            Effect::Tell { peer, frame, .. } => {
+            Effect::SendFrame { peer, frame, .. } => {
                 if let Some(to) = self.nodes.iter().position(|node| node.state.identity().vm == peer) {
-                    self.step(to, Event::Heard(frame));
+                    self.step(to, Event::FrameReceived(frame));
                 }
             }
             Effect::Record(record) => self.nodes[at].records.push(*record),
@@ -347,14 +347,14 @@
         let now = self.now;
         let Some(engine) = self.engines.get_mut(&flight.engine) else { return };
         let receipt = Some(engine.order(now, &flight.order));
-        let answer = Event::Ordered { order: flight.order.id, engine: flight.engine.clone(), receipt };
+        let answer = Event::OrderAnswered { order: flight.order.id, engine: flight.engine.clone(), receipt };
         self.step(flight.node, answer);
     }
 
     /// The sender of an order is told that its answer is lost.
     pub fn lose(&mut self, flight: &Flight) {
         let (order, engine) = (flight.order.id, flight.engine.clone());
-        self.step(flight.node, Event::Ordered { order, engine, receipt: None });
+        self.step(flight.node, Event::OrderAnswered { order, engine, receipt: None });
     }
 
     /// Lets a node go on, with all that came while it was paused.
@@ -397,7 +397,7 @@
 
     /// Loads and unloads that were decided so far.
     pub fn moves(&self) -> usize {
-        let is_move = |act: &Act| matches!(act, Act::Load { .. } | Act::Unload { .. });
+        let is_move = |act: &Decision| matches!(act, Decision::Load { .. } | Decision::Unload { .. });
         self.nodes.iter().flat_map(|node| &node.records).filter(|record| is_move(&record.act)).count()
     }
 
@@ -405,7 +405,7 @@
     pub fn ask(&mut self, at: usize, query: Query) -> Option<&Answer> {
         self.asked += 1;
         let ask = id::Ask { by: Incarnation(0), seq: self.asked };
-        self.step(at, Event::Asked { ask, query: Box::new(query) });
+        self.step(at, Event::QueryReceived { ask, query: Box::new(query) });
         self.nodes[at].answers.last()
     }
 
@@ -429,7 +429,7 @@
             hops: 0,
         };
         self.step(at, Event::Arrive(Box::new(arrival)));
-        self.step(at, Event::Gone(id));
+        self.step(at, Event::CallerGone(id));
     }
 
     /// Who holds the lease by the table's row.
--- a/core/tests/entry/mod.rs
+++ b/core/tests/entry/mod.rs
@@ -139,7 +139,7 @@
 
     pub fn list(&mut self) {
         let vms = self.vms.clone();
-        self.event(Event::Listed(vms));
+        self.event(Event::VmsListed(vms));
     }
 
     pub fn add(&mut self, vm: Vm) {
@@ -166,7 +166,7 @@
                     };
                     let value = Value::Config(Box::new(head));
                     let row = Row { key: Key::Config, version: RowVersion(1), value };
-                    let reply = Event::Table { op: *op, reply: Ok(Reply::Rows(vec![row])) };
+                    let reply = Event::TableAnswered { op: *op, reply: Ok(Reply::Rows(vec![row])) };
                     all.extend(self.event(reply));
                 }
                 _ => {
@@ -198,7 +198,7 @@
         self.reports += 1;
         let stage = if ready { Stage::Ready } else { Stage::Loading };
         let copy = Copy { artifact: artifact(), memory_mb: 9_000, stage, requests: running };
-        self.event(Event::Reported(Box::new(Report {
+        self.event(Event::ReportReceived(Box::new(Report {
             engine: engine.into(),
             incarnation: life,
             seq: self.reports,
--- a/core/tests/graceful_stop.rs
+++ b/core/tests/graceful_stop.rs
@@ -65,7 +65,7 @@
             Effect::Table { op, call: Call::Each(writes) }
                 if writes.iter().all(|write| matches!(write.key, Key::Claim { .. })) =>
             {
-                Some((*op, Event::Table { op: *op, reply: Ok(Reply::Each(vec![Done::Written])) }))
+                Some((*op, Event::TableAnswered { op: *op, reply: Ok(Reply::Each(vec![Done::Written])) }))
             }
             _ => None,
         })
--- a/core/tests/idempotency_claims.rs
+++ b/core/tests/idempotency_claims.rs
@@ -58,7 +58,7 @@
                     Effect::Table { op, call } if about_claims(&call) => {
                         let fate = fates.next().copied().unwrap_or(Fate::Answered);
                         let reply = self.reply(&call, fate);
-                        next.extend(self.entry.event(Event::Table { op, reply }));
+                        next.extend(self.entry.event(Event::TableAnswered { op, reply }));
                     }
                     other => all.push(other),
                 }
@@ -112,7 +112,7 @@
             digest: "digest".into(),
             at: self.entry.now,
             deadline: self.entry.now + deadline,
-            past: None,
+            completion: None,
         };
         let key = Key::Claim { caller: "anonymous".into(), key: key.into() };
         self.rows.push(table::Row { key, version: Version(1), value: Value::Claim(row) });
@@ -255,9 +255,9 @@
             _ => None,
         })
         .expect("a write");
-    let _ended = claims.entry.event(Event::Gone(first));
+    let _ended = claims.entry.event(Event::CallerGone(first));
     let reply = claims.reply(&call, Fate::Answered);
-    let _none = claims.entry.event(Event::Table { op, reply });
+    let _none = claims.entry.event(Event::TableAnswered { op, reply });
     let _given_back = claims.settle(&[]);
     let _waits = claims.ask("k", "digest");
     let _sent = sent(&claims.settle(&[]));
--- a/core/tests/matrix/fakes.rs
+++ b/core/tests/matrix/fakes.rs
@@ -55,7 +55,7 @@
 
     /// Accepts an attempt to run or resume it, or refuses it.
     pub fn admit(&mut self, send: &Send) -> Result<(), Failure> {
-        let artifact = match &send.to {
+        let artifact = match &send.destination {
             Destination::Engine(artifact) => Some(artifact),
             _ => None,
         };
--- a/core/tests/matrix/outside.rs
+++ b/core/tests/matrix/outside.rs
@@ -68,24 +68,24 @@
                 self.cancel(*attempt);
                 Vec::new()
             }
-            Effect::List if off_platform => vec![Event::Unlisted],
-            Effect::List => vec![Event::Listed(self.list())],
+            Effect::ListVms if off_platform => vec![Event::VmListFailed],
+            Effect::ListVms => vec![Event::VmsListed(self.list())],
             Effect::Table { op, .. } if off_platform || self.lasts(Fault::TableDown) => {
-                vec![Event::Table { op: *op, reply: Err(Failure::Unavailable) }]
+                vec![Event::TableAnswered { op: *op, reply: Err(Failure::Unavailable) }]
             }
             Effect::Table { op, call } => return Ok(self.call(*op, call, wait)),
             Effect::Poll { cache_from, .. } => to.map_or_else(Vec::new, |to| self.poll(to, *cache_from)),
             Effect::Order { order, .. } => to.map_or_else(Vec::new, |to| self.order(to, order)),
-            Effect::Tell { peer, frame, .. } => {
+            Effect::SendFrame { peer, frame, .. } => {
                 let to = ENTRIES
                     .iter()
                     .position(|(name, _)| *peer == *name)
                     .ok_or("a frame to an unknown entry VM")?;
                 if self.nodes[to].state.is_some() && !self.is_cut(at, ENTRIES[to].1) {
-                    self.event_in(wait, to, self.nodes[to].life, Event::Heard(frame.clone()));
+                    self.event_in(wait, to, self.nodes[to].life, Event::FrameReceived(frame.clone()));
                     return Ok(Vec::new());
                 }
-                vec![Event::Unheard { peer: peer.clone() }]
+                vec![Event::FrameFailed { peer: peer.clone() }]
             }
             _ => Vec::new(),
         };
@@ -105,11 +105,11 @@
     }
 
     fn call(&mut self, op: id::Op, call: &Call, wait: Duration) -> Answers {
-        let reply = Event::Table { op, reply: Ok(self.table.call(call)) };
+        let reply = Event::TableAnswered { op, reply: Ok(self.table.call(call)) };
         if !self.lasts(Fault::TableSlow) {
             return vec![(wait, reply)];
         }
-        vec![(TIMEOUT, Event::Table { op, reply: Err(Failure::Unknown) }), (TIMEOUT * 2, reply)]
+        vec![(TIMEOUT, Event::TableAnswered { op, reply: Err(Failure::Unknown) }), (TIMEOUT * 2, reply)]
     }
 
     fn poll(&mut self, to: usize, from: u64) -> Vec<Event> {
@@ -130,7 +130,7 @@
             evicted: Vec::new(),
             cleared: false,
         };
-        vec![Event::Reported(Box::new(report)), Event::Cached(Box::new(update))]
+        vec![Event::ReportReceived(Box::new(report)), Event::CacheChanged(Box::new(update))]
     }
 
     fn order(&mut self, to: usize, order: &Order) -> Vec<Event> {
@@ -141,7 +141,7 @@
             let wait = Duration::from_millis(self.rng.u64(300..1_200));
             self.push(wait, Message::Loaded { backend: to, incarnation, order: Box::new(order.clone()) });
         }
-        vec![Event::Ordered { order: order.id, engine, receipt }]
+        vec![Event::OrderAnswered { order: order.id, engine, receipt }]
     }
 
     /// Injects a fault while `node` carries out an effect at back end `to`.
@@ -186,12 +186,12 @@
 /// Event by which the edge reports that an effect was not answered in time.
 pub fn given_up(effect: &Effect) -> Option<Event> {
     match effect {
-        Effect::List => Some(Event::Unlisted),
-        Effect::Poll { engine, .. } => Some(Event::Unreported(engine.clone())),
+        Effect::ListVms => Some(Event::VmListFailed),
+        Effect::Poll { engine, .. } => Some(Event::ReportFailed(engine.clone())),
         Effect::Order { engine, order, .. } => {
-            Some(Event::Ordered { order: order.id, engine: engine.clone(), receipt: None })
+            Some(Event::OrderAnswered { order: order.id, engine: engine.clone(), receipt: None })
         }
-        Effect::Table { op, .. } => Some(Event::Table { op: *op, reply: Err(Failure::Unknown) }),
+        Effect::Table { op, .. } => Some(Event::TableAnswered { op: *op, reply: Err(Failure::Unknown) }),
         _ => None,
     }
 }
--- a/core/tests/matrix/traffic.rs
+++ b/core/tests/matrix/traffic.rs
@@ -21,10 +21,10 @@
     /// Delivers an attempt to its back end. Returns the answers.
     pub fn send(&mut self, at: usize, life: u64, send: &Send) -> Result<Answers, String> {
         let (attempt, wait) = (send.attempt, self.soon());
-        if send.to == Destination::Peer {
+        if send.destination == Destination::Peer {
             return self.pass_on(at, life, send);
         }
-        if self.silent.contains_key(&(at, send.address)) && !send.fresh {
+        if self.silent.contains_key(&(at, send.address)) && !send.new_connection {
             return Ok(Vec::new());
         }
         let found = self.backends.iter().position(|backend| backend.vm.address == send.address);
@@ -48,7 +48,8 @@
         let mut answers = vec![(wait, Event::Head { attempt, echo: Some(attempt) })];
         let chunk = |offset| (wait + EVENT * (offset as u32 + 1), Event::Chunk { attempt, offset });
         answers.extend((from..length).filter(|_| stream).map(chunk));
-        answers.extend((!stream && length == scene::LONG).then_some((wait * 2, Event::Overflow(attempt))));
+        answers
+            .extend((!stream && length == scene::LONG).then_some((wait * 2, Event::BufferExceeded(attempt))));
         answers.push((last, Event::Finished { attempt, length }));
         Ok(answers)
     }
@@ -100,7 +101,7 @@
         let passed = self.truth.taken.iter().find(|(_, taken)| parent(taken));
         if let Some((request, node, life)) = passed.map(|(id, taken)| (*id, taken.node, taken.life)) {
             let wait = self.soon();
-            self.event_in(wait, node, life, Event::Gone(request));
+            self.event_in(wait, node, life, Event::CallerGone(request));
         }
     }
 
@@ -117,7 +118,7 @@
             Turn::Gone(n) => {
                 let caller = self.truth.taken.iter().find(|(request, _)| request.seq == n + 1);
                 if let Some((request, node, life)) = caller.map(|(id, taken)| (*id, taken.node, taken.life)) {
-                    self.event_in(Duration::ZERO, node, life, Event::Gone(request));
+                    self.event_in(Duration::ZERO, node, life, Event::CallerGone(request));
                 }
             }
             Turn::Apply { edition, .. } if edition <= self.edition => {}
@@ -166,7 +167,7 @@
         self.truth.offer(&document);
         let apply = Apply { document, base, who: "ops".into(), note: "".into(), dry_run: false };
         let query = Box::new(Query::Apply(Box::new(apply)));
-        self.event_in(Duration::ZERO, node, self.nodes[node].life, Event::Asked { ask, query });
+        self.event_in(Duration::ZERO, node, self.nodes[node].life, Event::QueryReceived { ask, query });
     }
 
     /// Replaces a back end that has left by a new VM.
@@ -245,7 +246,7 @@
         Event::Head { attempt, .. }
         | Event::Chunk { attempt, .. }
         | Event::Finished { attempt, .. }
-        | Event::Overflow(attempt) => Some(*attempt),
+        | Event::BufferExceeded(attempt) => Some(*attempt),
         _ => None,
     }
 }
--- a/core/tests/matrix/world.rs
+++ b/core/tests/matrix/world.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use boragecove_core::audit::Act;
+use boragecove_core::audit::Decision;
 use boragecove_core::config::Document;
 use boragecove_core::effect::Effect;
 use boragecove_core::engine::{Order, Report};
@@ -218,7 +218,7 @@
 
     fn config(&mut self, at: usize) -> Option<(u64, Arc<Document>)> {
         let ask = id::Ask { by: Incarnation(0), seq: 0 };
-        let event = Event::Asked { ask, query: Box::new(Query::Config) };
+        let event = Event::QueryReceived { ask, query: Box::new(Query::Config) };
         let effects = apply(self.nodes[at].state.as_mut()?, self.now, event);
         effects.into_iter().find_map(|effect| match effect {
             Effect::Answer { answer, .. } => match *answer {
@@ -318,7 +318,7 @@
         }
         if let Effect::Send(send) = &effect {
             self.not_leaving(at, to)?;
-            let known = !send.fresh && self.noticed.contains(&(at, send.address));
+            let known = !send.new_connection && self.noticed.contains(&(at, send.address));
             if known && self.silent.contains_key(&(at, send.address)) {
                 return Err(format!("{} is sent on a connection known to be silent", send.attempt));
             }
@@ -364,7 +364,7 @@
                 self.truth.end(*request, end, event)?;
                 self.relay_end(*request, end.outcome());
             }
-            Effect::Retire(address) => drop(self.silent.remove(&(at, *address))),
+            Effect::CloseConnections(address) => drop(self.silent.remove(&(at, *address))),
             Effect::Release(attempt) => self.notice(at, *attempt),
             Effect::WakeAt(time) => self.nodes[at].wake = *time,
             Effect::Ready(ready) => self.nodes[at].ready = *ready,
@@ -373,7 +373,7 @@
                 self.kill(at);
             }
             Effect::Record(record) => {
-                if let Act::Configured(version) = record.act {
+                if let Decision::Configured(version) = record.act {
                     let before = std::mem::replace(&mut self.nodes[at].version, version);
                     return if version < before {
                         Err(format!("version {before} is replaced by the older version {version}"))
--- a/core/tests/membership.rs
+++ b/core/tests/membership.rs
@@ -66,7 +66,7 @@
     cluster.nodes[0].paused = false;
     // Its timer comes before the frames that waited for it.
     let list = cluster.vms.clone();
-    cluster.event(0, Event::Listed(list));
+    cluster.event(0, Event::VmsListed(list));
     assert_eq!(alive(&mut cluster, 0).len(), 2, "it accuses nobody");
     assert_eq!(cluster.now, before);
     cluster.resume(0);
@@ -110,7 +110,7 @@
     cluster.advance(Duration::from_secs(2));
     let stale = cluster.nodes[0].state.counters().stale;
     let late = Frame { seq: old.seq + 50, stopping: true, ..old };
-    cluster.event(0, Event::Heard(Box::new(late)));
+    cluster.event(0, Event::FrameReceived(Box::new(late)));
     cluster.run();
     assert_eq!(cluster.nodes[0].state.counters().stale, stale + 1, "a frame of a life that ended");
     assert!(!members(&mut cluster, 0).iter().any(|member| member.leaving));
@@ -131,7 +131,7 @@
         stopping: false,
         items: Vec::new(),
     };
-    cluster.event(0, Event::Heard(Box::new(frame)));
+    cluster.event(0, Event::FrameReceived(Box::new(frame)));
     cluster.run();
     let alive = alive(&mut cluster, 0);
     assert!(alive.contains(&"entry-new".to_owned()) && !alive.contains(&"entry-1".to_owned()), "{alive:?}");
--- a/core/tests/overtaken_frame.rs
+++ b/core/tests/overtaken_frame.rs
@@ -15,7 +15,7 @@
 const NOW: Time = Time::from_millis(1_000);
 
 fn frame(seq: u64, items: Vec<Item>) -> Event {
-    Event::Heard(Box::new(Frame {
+    Event::FrameReceived(Box::new(Frame {
         from: "entry-2".into(),
         zone: "hall-a".into(),
         incarnation: Incarnation(2),
@@ -29,7 +29,7 @@
 
 fn version(state: &mut State) -> Option<u64> {
     let ask = id::Ask { by: Incarnation(1), seq: 1 };
-    let effects = apply(state, NOW, Event::Asked { ask, query: Box::new(Query::Config) });
+    let effects = apply(state, NOW, Event::QueryReceived { ask, query: Box::new(Query::Config) });
     effects.into_iter().find_map(|effect| match effect {
         Effect::Answer { answer, .. } => match *answer {
             Answer::Config { version, .. } => Some(version),
@@ -50,7 +50,7 @@
         role: Role::Entry,
         phase: Phase::Live,
     };
-    drop(apply(&mut state, NOW, Event::Listed(vec![peer])));
+    drop(apply(&mut state, NOW, Event::VmsListed(vec![peer])));
     drop(apply(&mut state, NOW, frame(2, Vec::new())));
     let op = id::Op { by: Incarnation(2), seq: 1 };
     let head = Head { version: 1, op, document: Document::default().into() };
--- a/core/tests/random_requests.rs
+++ b/core/tests/random_requests.rs
@@ -240,7 +240,7 @@
         self.known.push(attempt);
         let exchange = &mut self.open[at];
         exchange.reached = true;
-        assert!(matches!(exchange.send.to, Destination::Engine(_) | Destination::Service(_)));
+        assert!(matches!(exchange.send.destination, Destination::Engine(_) | Destination::Service(_)));
         Ok(())
     }
 
@@ -258,7 +258,7 @@
             }
             _ => Ok(self.perform(&call)),
         };
-        self.apply(Event::Table { op, reply });
+        self.apply(Event::TableAnswered { op, reply });
         Ok(())
     }
 
@@ -292,7 +292,7 @@
                 let ids: Vec<Request> = self.truths.keys().copied().collect();
                 if let Some(last) = ids.last() {
                     let id = if u.ratio(1, 2)? { *last } else { *u.choose(&ids)? };
-                    self.apply(Event::Gone(id));
+                    self.apply(Event::CallerGone(id));
                 }
             }
             3 => {
@@ -312,7 +312,7 @@
                 let open = self.open.len();
                 if open > 0 {
                     let attempt = self.open[u.choose_index(open)?].send.attempt;
-                    self.apply(Event::Overflow(attempt));
+                    self.apply(Event::BufferExceeded(attempt));
                 }
             }
             6 | 7 => self.table(u)?,
@@ -326,7 +326,7 @@
         for _ in 0..80 {
             for (op, call) in std::mem::take(&mut self.calls) {
                 let reply = Ok(self.perform(&call));
-                self.apply(Event::Table { op, reply });
+                self.apply(Event::TableAnswered { op, reply });
             }
             self.advance(Duration::from_millis(300));
         }
--- a/core/tests/retry_budget.rs
+++ b/core/tests/retry_budget.rs
@@ -39,7 +39,7 @@
     let effects = entry.fail(first.attempt, Failure::Connect);
     let second = sent(&effects);
     assert_ne!(second.backend, first.backend);
-    assert!(effects.contains(&Effect::Retire(first.address)));
+    assert!(effects.contains(&Effect::CloseConnections(first.address)));
     assert_eq!(entry.state.counters().retried(Reason::Connect), 1);
 }
 
@@ -172,10 +172,10 @@
     let (id, effects) = entry.ask(Ask { stream: false, ..Ask::default() });
     let attempt = sent(&effects).attempt;
     entry.head(attempt);
-    assert!(entry.event(Event::Overflow(attempt)).contains(&Effect::Commit(attempt)));
+    assert!(entry.event(Event::BufferExceeded(attempt)).contains(&Effect::Commit(attempt)));
     let effects = entry.fail(attempt, Failure::Broken);
     assert_eq!(outcome(&effects, id), Some((Code::Interrupted, Outcome::Unknown)));
-    assert!(entry.event(Event::Overflow(attempt)).is_empty(), "the request has ended");
+    assert!(entry.event(Event::BufferExceeded(attempt)).is_empty(), "the request has ended");
 }
 
 #[test]
@@ -187,7 +187,7 @@
     let effects = entry.refuse(first.attempt, Refusal::Leaving);
     assert_ne!(sent(&effects).backend, first.backend);
     let told = effects.iter().any(|effect| match effect {
-        Effect::Tell { frame, .. } => frame.items.contains(&Item::Leaving(first.backend.clone())),
+        Effect::SendFrame { frame, .. } => frame.items.contains(&Item::Leaving(first.backend.clone())),
         _ => false,
     });
     assert!(told, "peers are notified: {effects:?}");
@@ -203,7 +203,7 @@
     let mut entry = two();
     let (id, effects) = entry.ask(Ask::default());
     let attempt = sent(&effects).attempt;
-    let effects = entry.event(Event::Gone(id));
+    let effects = entry.event(Event::CallerGone(id));
     assert!(effects.contains(&Effect::Cancel(attempt)));
     assert_eq!(outcome(&effects, id), Some((Code::CallerGone, Outcome::Unknown)));
     assert!(entry.answer(attempt).is_empty(), "a late answer is dropped");
--- a/core/tests/routing.rs
+++ b/core/tests/routing.rs
@@ -55,17 +55,17 @@
     let prefix = [11, 22, 33];
     let cached = |seq, stored: &[u64], evicted: &[u64], cleared| {
         let (engine, stored, evicted) = ("engine-2".into(), stored.to_vec(), evicted.to_vec());
-        Event::Cached(Box::new(CacheUpdate { engine, seq, stored, evicted, cleared }))
+        Event::CacheChanged(Box::new(CacheUpdate { engine, seq, stored, evicted, cleared }))
     };
     entry.event(cached(5, &prefix, &[], false));
     let (id, effects) = entry.ask(Ask { prefix: prefix.to_vec(), ..Ask::default() });
     assert_eq!(sent(&effects).backend, "engine-2");
-    entry.event(Event::Gone(id));
+    entry.event(Event::CallerGone(id));
 
     entry.report("engine-2", SLOTS, true);
     let (id, effects) = entry.ask(Ask { prefix: vec![11], ..Ask::default() });
     assert_eq!(sent(&effects).backend, "engine-1", "a full engine is not chosen for its cache");
-    entry.event(Event::Gone(id));
+    entry.event(Event::CallerGone(id));
     for (event, holder) in [
         (cached(100, &[], &prefix, false), "engine-1"),
         (cached(200, &prefix, &[], false), "engine-2"),
@@ -76,8 +76,8 @@
         entry.report("engine-2", 0, true);
         let (id, effects) = entry.ask(Ask { prefix: vec![33], ..Ask::default() });
         assert_eq!(sent(&effects).backend, holder);
-        entry.event(Event::Gone(id));
-        entry.event(Event::Cached(Box::new(CacheUpdate {
+        entry.event(Event::CallerGone(id));
+        entry.event(Event::CacheChanged(Box::new(CacheUpdate {
             engine: "engine-1".into(),
             seq: 1,
             stored: Vec::new(),
@@ -93,7 +93,7 @@
     let prefix = [11, 22, 33];
     let (id, effects) = entry.ask(Ask { prefix: prefix.to_vec(), ..Ask::default() });
     let first = sent(&effects).backend;
-    entry.event(Event::Gone(id));
+    entry.event(Event::CallerGone(id));
     assert_eq!(pick(&mut entry, &prefix), first, "the prefix of a sent request is assumed to be cached");
     entry.report_as(&first, Incarnation(10), 0, true);
     assert_ne!(pick(&mut entry, &prefix), first);
@@ -138,7 +138,7 @@
         let first = sent(&effects);
         assert_eq!(first.backend, "engine-1");
         let _retried = entry.fail(first.attempt, Failure::Error);
-        entry.event(Event::Gone(id));
+        entry.event(Event::CallerGone(id));
     }
     assert_ne!(pick(&mut entry, &[]), "engine-1");
 }
@@ -150,7 +150,7 @@
         let (id, effects) = entry.ask(Ask::default());
         let second = sent(&entry.fail(sent(&effects).attempt, Failure::Error));
         let _third = entry.fail(second.attempt, Failure::Error);
-        entry.event(Event::Gone(id));
+        entry.event(Event::CallerGone(id));
     }
     for _ in 0..2 * SLOTS {
         let _sent = pick(&mut entry, &[]);
@@ -176,7 +176,7 @@
     let mut entry = engines(&["engine-1", "engine-2"]);
     let leaving = Vm { phase: Phase::Leaving, ..vm("engine-1", "hall-a", Role::Backend("writers".into())) };
     let other = vm("engine-2", "hall-a", Role::Backend("writers".into()));
-    entry.event(Event::Listed(vec![leaving, other]));
+    entry.event(Event::VmsListed(vec![leaving, other]));
     for _ in 0..SLOTS {
         assert_eq!(pick(&mut entry, &[]), "engine-2");
     }
@@ -186,7 +186,7 @@
 
 /// Passes in a summary of zone hall-b that offers the model at `load`, in eighths of its slots.
 fn offer(entry: &mut Entry, load: u32) {
-    let offers = vec![Offer { artifact: artifact().digest(), copies: 1, load }];
+    let offers = vec![Offer { artifact_digest: artifact().digest(), copies: 1, load }];
     let summary = Summary {
         zone: "hall-b".into(),
         by: Incarnation(21),
@@ -207,7 +207,7 @@
         stopping: false,
         items: vec![Item::Summary(Box::new(summary))],
     };
-    entry.event(Event::Heard(Box::new(frame)));
+    entry.event(Event::FrameReceived(Box::new(frame)));
 }
 
 #[test]
@@ -217,7 +217,7 @@
     offer(&mut entry, 3);
     let (id, effects) = entry.ask(Ask::default());
     let send = sent(&effects);
-    assert_eq!((send.backend.as_str(), &send.to), ("entry-b", &Destination::Peer));
+    assert_eq!((send.backend.as_str(), &send.destination), ("entry-b", &Destination::Peer));
     entry.head(send.attempt);
     assert_eq!(outcome(&entry.finish(send.attempt, 0), id), Some((Code::Ok, Outcome::Answered)));
 
@@ -238,7 +238,7 @@
     entry.now = entry.now + Duration::from_millis(1);
     offer(&mut entry, 2);
     let (_, effects) = entry.ask(Ask::default());
-    assert!(sends(&effects).iter().all(|send| send.to == Destination::Peer));
+    assert!(sends(&effects).iter().all(|send| send.destination == Destination::Peer));
     assert!(!sends(&effects).is_empty());
 }
 
@@ -263,7 +263,7 @@
     offer(&mut entry, 0);
     let (id, effects) = entry.ask(Ask::default());
     let effects = entry.fail(sent(&effects).attempt, Failure::Connect);
-    assert!(effects.iter().any(|effect| matches!(effect, Effect::Retire(_))));
+    assert!(effects.iter().any(|effect| matches!(effect, Effect::CloseConnections(_))));
     assert!(sends(&effects).is_empty(), "the request waits for a copy in this zone");
     entry.add(vm("engine-1", "hall-a", Role::Backend("writers".into())));
     let effects = entry.report("engine-1", 0, true);
--- a/core/tests/silent_connection.rs
+++ b/core/tests/silent_connection.rs
@@ -21,7 +21,7 @@
     let limit = Settings::default().first_byte;
     assert!(sends(&entry.advance(limit.saturating_sub(STEP))).is_empty());
     let effects = entry.advance(STEP);
-    assert!(effects.contains(&Effect::Retire(first.address)));
+    assert!(effects.contains(&Effect::CloseConnections(first.address)));
     assert!(effects.contains(&Effect::Cancel(first.attempt)));
     assert_ne!(sent(&effects).backend, first.backend);
 }
--- a/core/tests/stream_resume.rs
+++ b/core/tests/stream_resume.rs
@@ -29,7 +29,7 @@
     let backend = entry.sent()[0].backend.clone();
     let again = sent(&entry.fail(first, Failure::Broken));
     assert_eq!(again.resume, Resume::Same { of: first, offset: 3 });
-    assert!(again.fresh, "it is sent on a new connection");
+    assert!(again.new_connection, "it is sent on a new connection");
     assert_eq!(again.backend, backend);
     entry.head(again.attempt);
     assert!(!entry.chunk(again.attempt, 2).iter().any(|effect| matches!(effect, Effect::Deliver { .. })));
@@ -84,7 +84,10 @@
     let (mut entry, first) = streaming(true);
     let address = entry.sent()[0].address;
     let effects = entry.advance(Settings::default().idle + Duration::from_millis(20));
-    assert!(effects.contains(&Effect::Retire(address)), "no other request is sent on the silent connection");
+    assert!(
+        effects.contains(&Effect::CloseConnections(address)),
+        "no other request is sent on the silent connection"
+    );
     assert!(effects.contains(&Effect::Release(first)));
     let again = sent(&effects);
     assert_eq!(again.resume, Resume::Same { of: first, offset: 3 });
--- a/core/tests/whole_path.rs
+++ b/core/tests/whole_path.rs
@@ -44,7 +44,7 @@
 }
 
 fn report(seq: u64, fence: Fence, copies: Vec<Copy>, ended: Vec<Ended>) -> Event {
-    Event::Reported(Box::new(Report {
+    Event::ReportReceived(Box::new(Report {
         engine: "engine-1".into(),
         incarnation: Incarnation(9),
         seq,
@@ -84,7 +84,7 @@
                 Reply::Committed
             }
         };
-        pending.extend(apply(state, now, Event::Table { op, reply: Ok(reply) }));
+        pending.extend(apply(state, now, Event::TableAnswered { op, reply: Ok(reply) }));
     }
     rest
 }
@@ -105,7 +105,7 @@
         role: Role::Backend("brief-writer".into()),
         phase: Phase::Live,
     };
-    let effects = apply(&mut state, now, Event::Listed(vec![vm]));
+    let effects = apply(&mut state, now, Event::VmsListed(vec![vm]));
     let effects = settle(&mut state, now, &mut rows, effects);
     assert!(effects.contains(&Effect::Ready(true)), "{effects:?}");
     let _polls = apply(&mut state, now, report(1, Fence(0), Vec::new(), Vec::new()));
--- a/daemon/src/backends/control.rs
+++ b/daemon/src/backends/control.rs
@@ -28,21 +28,21 @@
         response.json::<Receipt>().limit(ANSWER_MAX).await.ok()
     };
     let receipt = tokio::time::timeout(limit, answer).await.ok().flatten();
-    Event::Ordered { order: order.id, engine, receipt }
+    Event::OrderAnswered { order: order.id, engine, receipt }
 }
 
 /// Asks for an engine's load report.
 pub(crate) async fn report(client: Client, engine: Name, address: SocketAddr, limit: Duration) -> Event {
     match get::<Report>(&client, &url(address, path::REPORT), limit).await {
-        Some(report) if report.engine == engine => Event::Reported(Box::new(report)),
-        _ => Event::Unreported(engine),
+        Some(report) if report.engine == engine => Event::ReportReceived(Box::new(report)),
+        _ => Event::ReportFailed(engine),
     }
 }
 
 /// Asks for an engine's cache events.
 pub(crate) async fn cache(client: Client, address: SocketAddr, from: u64, limit: Duration) -> Option<Event> {
     let url = format!("{}?from={from}", url(address, path::CACHE));
-    get::<CacheUpdate>(&client, &url, limit).await.map(|update| Event::Cached(Box::new(update)))
+    get::<CacheUpdate>(&client, &url, limit).await.map(|update| Event::CacheChanged(Box::new(update)))
 }
 
 /// Tells an engine to break an attempt off. The engine notices by itself if this is lost.
--- a/daemon/src/backends/exchange.rs
+++ b/daemon/src/backends/exchange.rs
@@ -117,8 +117,8 @@
             return;
         }
     };
-    let echo = classify::echo(&job.send.to, job.send.attempt, response.headers());
-    let outcome = match classify::head(&job.send.to, response.status(), response.headers()) {
+    let echo = classify::echo(&job.send.destination, job.send.attempt, response.headers());
+    let outcome = match classify::head(&job.send.destination, response.status(), response.headers()) {
         Verdict::Stream => stream(&job, echo, response, settings).await,
         Verdict::Whole => whole(&job, echo, response, settings).await,
         Verdict::Failed(failure) => Err(failure),
--- a/daemon/src/backends/request.rs
+++ b/daemon/src/backends/request.rs
@@ -19,7 +19,7 @@
     now: Time,
     secret: &Secret,
 ) -> ClientRequest {
-    let path = match send.to {
+    let path = match send.destination {
         Destination::Service(_) => &content.tail,
         Destination::Engine(_) | Destination::Peer => &content.path,
     };
@@ -28,7 +28,7 @@
         .request(content.method.clone(), format!("http://{}{path}", send.address))
         .insert_header((header::ATTEMPT, send.attempt.to_string()))
         .insert_header((header::DEADLINE_MS, left_ms.to_string()));
-    match &send.to {
+    match &send.destination {
         Destination::Engine(artifact) => resume(request, send.resume)
             .insert_header((header::ARTIFACT, artifact.to_string()))
             .insert_header((header::PRIORITY, priority(send.priority)))
--- a/daemon/src/metrics.rs
+++ b/daemon/src/metrics.rs
@@ -104,8 +104,12 @@
     let singles = [
         ("stale_events", "Events dropped since what they were for was over", counters.stale),
         ("foreign_answers", "Answers dropped since they carried another attempt's id", counters.foreign),
-        ("repeated_events", "Streamed events dropped since they had been delivered", counters.repeated),
-        ("unwritten_claims", "Outcomes that could not be written to their claims", counters.claims_left),
+        (
+            "repeated_events",
+            "Streamed events dropped since they had been delivered",
+            counters.duplicate_events,
+        ),
+        ("unwritten_claims", "Outcomes that could not be written to their claims", counters.claims_unwritten),
         ("orders", "Orders sent to engines", counters.orders),
         ("table_writes", "Calls of the platform's table that write", counters.table_writes),
         ("table_reads", "Calls of the platform's table that read", counters.table_reads),
--- a/daemon/src/node/carry.rs
+++ b/daemon/src/node/carry.rs
@@ -30,7 +30,7 @@
                 }
             }
             Effect::End { request, end } => self.end(now, request, end),
-            Effect::Retire(address) => {
+            Effect::CloseConnections(address) => {
                 self.pools.retire(address);
                 self.control.retire(address);
             }
@@ -39,15 +39,15 @@
                 let (client, limit) = (self.control.client(address), self.settings.timeouts.control);
                 later(ctx, control::order(client, engine, address, order, limit));
             }
-            Effect::List => {
+            Effect::ListVms => {
                 let vms = Rc::clone(&self.platform.vms);
-                later(ctx, async move { vms.list().await.map_or(Event::Unlisted, Event::Listed) });
+                later(ctx, async move { vms.list().await.map_or(Event::VmListFailed, Event::VmsListed) });
             }
             Effect::Table { op, call } => {
                 let table = Rc::clone(&self.platform.table);
-                later(ctx, async move { Event::Table { op, reply: table.call(call).await } });
+                later(ctx, async move { Event::TableAnswered { op, reply: table.call(call).await } });
             }
-            Effect::Tell { peer, address, frame } => {
+            Effect::SendFrame { peer, address, frame } => {
                 self.peers.tell(peer, address, frame, ctx.address());
             }
             Effect::Answer { ask, answer } => {
@@ -95,10 +95,10 @@
             later(ctx, async move { Event::Failed { attempt, failure: Failure::Error } });
             return;
         };
-        if send.fresh {
+        if send.new_connection {
             self.pools.retire(send.address);
         }
-        let (address, tell) = (send.address, matches!(send.to, Destination::Engine(_)));
+        let (address, tell) = (send.address, matches!(send.destination, Destination::Engine(_)));
         let client = self.pools.client(address);
         let job = Job {
             content: Arc::clone(&open.content),
--- a/daemon/src/node/message.rs
+++ b/daemon/src/node/message.rs
@@ -72,7 +72,7 @@
 
     fn handle(&mut self, Gone(request): Gone, ctx: &mut Context<Self>) {
         if self.requests.contains_key(&request) {
-            self.feed(Event::Gone(request), ctx);
+            self.feed(Event::CallerGone(request), ctx);
         }
     }
 }
@@ -110,7 +110,7 @@
         self.asked += 1;
         let ask = id::Ask { by: self.state.identity().incarnation, seq: self.asked };
         self.asks.insert(ask, sender);
-        self.feed(Event::Asked { ask, query: Box::new(query) }, ctx);
+        self.feed(Event::QueryReceived { ask, query: Box::new(query) }, ctx);
         Box::pin(async move { receiver.await.map_err(|_dropped| Ended) })
     }
 }
@@ -132,7 +132,7 @@
         self.asked += 1;
         let ask = id::Ask { by: self.state.identity().incarnation, seq: self.asked };
         self.asks.insert(ask, sender);
-        self.feed(Event::Asked { ask, query: Box::new(query) }, ctx);
+        self.feed(Event::QueryReceived { ask, query: Box::new(query) }, ctx);
         receiver.try_recv().ok()
     }
 }
--- a/daemon/src/node/progress.rs
+++ b/daemon/src/node/progress.rs
@@ -29,16 +29,16 @@
             }
             Step::Overflow { echo, head, body } => {
                 self.head(attempt, echo, head, body, ctx);
-                self.feed(Event::Overflow(attempt), ctx);
+                self.feed(Event::BufferExceeded(attempt), ctx);
             }
             Step::More(bytes) => {
                 if let Some(open) = self.requests.get(&attempt.request) {
                     open.more(bytes);
                 }
-                self.feed(Event::Alive(attempt), ctx);
+                self.feed(Event::Progress(attempt), ctx);
             }
             Step::Complete => self.finished(attempt, 0, ctx),
-            Step::Alive => self.feed(Event::Alive(attempt), ctx),
+            Step::Alive => self.feed(Event::Progress(attempt), ctx),
             Step::Failed { echo, failure } => self.failed(attempt, echo, failure, ctx),
         }
     }
--- a/daemon/src/peers/lane.rs
+++ b/daemon/src/peers/lane.rs
@@ -59,7 +59,7 @@
         let start = {
             let mut lane = lane.borrow_mut();
             if lane.waiting.len() >= WAITING_MAX {
-                node.do_send(Feed(Event::Unheard { peer }));
+                node.do_send(Feed(Event::FrameFailed { peer }));
                 return;
             }
             lane.waiting.push_back((address, frame));
@@ -89,7 +89,7 @@
         }
         match answer {
             Answer::Taken(version) => lane.borrow_mut().version = version,
-            Answer::Refused | Answer::Lost => node.do_send(Feed(Event::Unheard { peer: peer.clone() })),
+            Answer::Refused | Answer::Lost => node.do_send(Feed(Event::FrameFailed { peer: peer.clone() })),
         }
     }
 }
--- a/daemon/src/peers/mod.rs
+++ b/daemon/src/peers/mod.rs
@@ -32,7 +32,7 @@
             if received.skipped > 0 {
                 tracing::debug!(from = %received.frame.from, items = received.skipped, "items not known");
             }
-            edge.node.do_send(Feed(Event::Heard(Box::new(received.frame))));
+            edge.node.do_send(Feed(Event::FrameReceived(Box::new(received.frame))));
             HttpResponse::NoContent()
                 .insert_header((header::FRAME_VERSION, frame::VERSION.to_string()))
                 .finish()
--- a/fleet/src/freshness.rs
+++ b/fleet/src/freshness.rs
@@ -94,7 +94,7 @@
 /// Whether the process is just resuming from a stall that [`woke_late`] has not handled yet, and its view is too old to route by.
 pub(crate) fn is_resuming(state: &State, now: Time) -> bool {
     let bound = state.settings.departure_bound;
-    state.timers.late(now) >= bound.stall_threshold() && is_old(state, now)
+    state.timers.lateness(now) >= bound.stall_threshold() && is_old(state, now)
 }
 
 /// Whether the view of the engines' table is older than it gets in normal operation.
--- a/fleet/src/reduce.rs
+++ b/fleet/src/reduce.rs
@@ -42,7 +42,7 @@
 #[must_use]
 pub fn apply(state: &mut State, now: Time, event: Event) -> Vec<Effect> {
     let mut out = Vec::new();
-    let late = state.timers.late(now);
+    let late = state.timers.lateness(now);
     freshness::woke_late(state, now, late, &mut out);
     handle(state, now, event, &mut out);
     while let Some(timer) = state.timers.pop(now) {
@@ -52,7 +52,7 @@
         flow::rescan_waiting(state, now, &mut out);
     }
     exit_when_idle(state, &mut out);
-    if let Some(at) = state.timers.announce(now) {
+    if let Some(at) = state.timers.next_wake(now) {
         out.push(Effect::WakeAt(at));
     }
     out
