--- a/core/benches/policy.rs
+++ b/core/benches/policy.rs
@@ -67,7 +67,7 @@
 }
 
 /// Generates requests for bursty models with prompts that share prefixes.
-fn record(seed: u64, rate: f64) -> Vec<Demand> {
+fn generate(seed: u64, rate: f64) -> Vec<Demand> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut demand = Vec::new();
     let mut at = 0.0;
@@ -100,7 +100,7 @@
     now: u64,
     /// Entry VMs, for the policy `Reducer`.
     nodes: Vec<Node>,
-    woken: Vec<u64>,
+    wake_at: Vec<u64>,
     /// Current attempt of each request, its time to the first token in milliseconds, and whether it was
     /// refused.
     attempts: Vec<u16>,
@@ -127,7 +127,7 @@
             order: 0,
             now: 0,
             nodes,
-            woken: vec![u64::MAX; ENTRIES],
+            wake_at: vec![u64::MAX; ENTRIES],
             attempts: vec![0; demand.len()],
             first: vec![None; demand.len()],
             refused: vec![false; demand.len()],
@@ -167,8 +167,8 @@
             Step::First { request, attempt } => {
                 if self.attempts[request] == attempt {
                     self.first[request] = Some(self.now - self.demand[request].at);
-                    self.tell(request, |attempt| Event::Head { attempt, echo: Some(attempt) });
-                    self.tell(request, |attempt| Event::Chunk { attempt, offset: 0 });
+                    self.engine_event(request, |attempt| Event::Head { attempt, echo: Some(attempt) });
+                    self.engine_event(request, |attempt| Event::Chunk { attempt, offset: 0 });
                 }
             }
             Step::End { engine, request, attempt } => self.end(engine, request, attempt),
@@ -181,7 +181,7 @@
     fn arrive(&mut self, request: usize) {
         let entry = request % ENTRIES;
         let Policy::Reducer { affinity } = self.policy else {
-            self.give(request, 1);
+            self.send_plain(request, 1);
             return;
         };
         let demand = &self.demand[request];
@@ -193,7 +193,7 @@
     }
 
     /// Sends a request to an engine by round robin or to the one with the fewest open requests.
-    fn give(&mut self, request: usize, attempt: u16) {
+    fn send_plain(&mut self, request: usize, attempt: u16) {
         if attempt > TRIES {
             self.refused[request] = true;
             return;
@@ -225,11 +225,11 @@
             Ok(None) => {}
             Err(_) if self.nodes.is_empty() => {
                 self.outstanding[request % ENTRIES][engine] -= 1;
-                self.give(request, attempt + 1);
+                self.send_plain(request, attempt + 1);
             }
             Err(_) => {
                 let failure = Failure::Refused(Refusal::Busy);
-                self.tell(request, |attempt| Event::Failed { attempt, failure });
+                self.engine_event(request, |attempt| Event::Failed { attempt, failure });
             }
         }
     }
@@ -247,7 +247,7 @@
         if self.nodes.is_empty() {
             self.outstanding[request % ENTRIES][engine] -= 1;
         } else if self.attempts[request] == attempt {
-            self.tell(request, |attempt| Event::Finished { attempt, length: 1 });
+            self.engine_event(request, |attempt| Event::Finished { attempt, length: 1 });
         }
     }
 
@@ -271,7 +271,7 @@
         }
     }
 
-    fn tell(&mut self, request: usize, event: impl Fn(Attempt) -> Event) {
+    fn engine_event(&mut self, request: usize, event: impl Fn(Attempt) -> Event) {
         if self.nodes.is_empty() {
             return;
         }
@@ -297,8 +297,8 @@
                 }
                 Effect::WakeAt(at) => {
                     let at = at.as_millis().saturating_sub(1_000_000) + 1;
-                    if self.woken[entry] != at {
-                        self.woken[entry] = at;
+                    if self.wake_at[entry] != at {
+                        self.wake_at[entry] = at;
                         self.at(at.max(self.now), Step::Wake(entry));
                     }
                 }
@@ -329,7 +329,7 @@
 
 fn main() {
     for rate in [45.0, 60.0, 75.0] {
-        let demand = record(3, rate);
+        let demand = generate(3, rate);
         println!("\n{} requests, {rate} a second, {ENGINES} engines", demand.len());
         println!("policy                               met  p50 ms   p99 ms    refused  cached");
         for (name, policy) in [
--- a/core/benches/route.rs
+++ b/core/benches/route.rs
@@ -48,7 +48,7 @@
             (first..first + HELD).map(|number| works[number % artifacts].clone()).collect();
         held.sort_unstable();
         let name: Name = format!("engine-{engine}").into();
-        let facts = Description {
+        let description = Description {
             name: name.clone(),
             address: ([127, 0, 0, 1], 9_000).into(),
             local: true,
@@ -57,12 +57,12 @@
             incarnation: None,
             works: held,
         };
-        routes.set(Time::from_millis(1), facts, false);
+        routes.set(Time::from_millis(1), description, false);
         routes.record_load(&name, rng.u32(..SLOTS));
     }
     for (number, work) in works.iter().enumerate() {
-        let wanted = Query { work, prefix: &[], avoid: &[], priority: Priority::Normal };
-        if let Choice::Backend(site) = routes.pick(&mut rng, Time::from_millis(2), &wanted) {
+        let query = Query { work, prefix: &[], avoid: &[], priority: Priority::Normal };
+        if let Choice::Backend(site) = routes.pick(&mut rng, Time::from_millis(2), &query) {
             routes.attempt_sent(site, work, &prefix(number));
         }
     }
@@ -78,9 +78,9 @@
     let mut at = 0;
     bencher.bench_local(|| {
         at = (at + 7) % fleet.works.len();
-        let wanted =
+        let query =
             Query { work: &fleet.works[at], prefix: &prefixes[at], avoid: &[], priority: Priority::Normal };
-        fleet.routes.pick(&mut fleet.rng, now, &wanted)
+        fleet.routes.pick(&mut fleet.rng, now, &query)
     });
 }
 
--- a/core/src/claim.rs
+++ b/core/src/claim.rs
@@ -28,7 +28,7 @@
 use crate::timer::{Handle, Timer};
 
 /// Maximum number of concurrent calls of the table.
-const FLIGHTS_MAX: usize = 4;
+const CALLS_MAX: usize = 4;
 /// Failed writes of an outcome after which it is dropped. The key then counts as used until it expires. For a
 /// request that ended before its row was found, also the number of lost answers after which the row is no
 /// longer read back.
@@ -36,9 +36,9 @@
 /// Maximum number of outcomes that wait to be written.
 const CLOSINGS_MAX: usize = 16_384;
 /// Time for which an outcome waits to share a write with claims.
-const CLOSING_LINGER: Duration = Duration::from_millis(100);
+const OUTCOME_LINGER: Duration = Duration::from_millis(100);
 /// Pause of all writes after a failed call.
-const PAUSE: Duration = Duration::from_millis(250);
+const FAILURE_PAUSE: Duration = Duration::from_millis(250);
 
 /// Row of a claim in the table.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -105,21 +105,21 @@
     held: FxHashMap<Key, id::Request>,
     openings: VecDeque<Opening>,
     closings: VecDeque<Closing>,
-    flights: usize,
+    calls_in_flight: usize,
     due: Option<(Time, Handle)>,
     /// Earliest time of the next write.
-    rest: Time,
+    no_write_before: Time,
 }
 
 impl Part {
     /// Number of keys held, of rows to be written and of calls in flight.
     pub(crate) fn unsettled(&self) -> usize {
-        self.held.len() + self.openings.len() + self.closings.len() + self.flights
+        self.held.len() + self.openings.len() + self.closings.len() + self.calls_in_flight
     }
 
     /// Whether no row is to be written and no call is in flight.
     pub(crate) fn is_quiet(&self) -> bool {
-        self.openings.is_empty() && self.closings.is_empty() && self.flights == 0
+        self.openings.is_empty() && self.closings.is_empty() && self.calls_in_flight == 0
     }
 }
 
@@ -156,10 +156,10 @@
 }
 
 fn schedule(state: &mut State, at: Time) {
-    if state.claim.flights >= FLIGHTS_MAX {
+    if state.claim.calls_in_flight >= CALLS_MAX {
         return;
     }
-    let at = at.max(state.claim.rest);
+    let at = at.max(state.claim.no_write_before);
     if let Some((due, timer)) = state.claim.due {
         if due <= at {
             return;
@@ -188,8 +188,8 @@
         }
     }
     read_back(state, unsettled, out);
-    let rest = batch.saturating_sub(openings.len()).min(state.claim.closings.len());
-    let closings: Vec<Closing> = state.claim.closings.drain(..rest).collect();
+    let room = batch.saturating_sub(openings.len()).min(state.claim.closings.len());
+    let closings: Vec<Closing> = state.claim.closings.drain(..room).collect();
     if openings.is_empty() && closings.is_empty() {
         return;
     }
@@ -199,8 +199,8 @@
         expect: closing.over,
         value: Some(Value::Claim(closing.row.clone())),
     }));
-    state.claim.flights += 1;
-    state.claim.rest = now + state.settings.claim_every;
+    state.claim.calls_in_flight += 1;
+    state.claim.no_write_before = now + state.settings.claim_every;
     state.call(Call::Each(writes), Purpose::Claim(Step::Write { openings, closings }), out);
     if !state.claim.openings.is_empty() || !state.claim.closings.is_empty() {
         schedule(state, now);
@@ -221,7 +221,7 @@
     reply: Result<Reply, Failure>,
     out: &mut Vec<Effect>,
 ) {
-    state.claim.flights = state.claim.flights.saturating_sub(1);
+    state.claim.calls_in_flight = state.claim.calls_in_flight.saturating_sub(1);
     match (step, reply) {
         (Step::Write { openings, closings }, Ok(Reply::Each(done)))
             if done.len() == openings.len() + closings.len() =>
@@ -233,8 +233,8 @@
             }
         }
         (Step::Write { openings, closings }, Err(Failure::Unavailable)) => {
-            state.claim.rest = now + PAUSE;
-            again(state, closings);
+            state.claim.no_write_before = now + FAILURE_PAUSE;
+            requeue(state, closings);
             for opening in openings {
                 refuse(state, now, opening.request, out);
                 if opening.lost > 0 {
@@ -243,8 +243,8 @@
             }
         }
         (Step::Write { openings, closings }, _) => {
-            state.claim.rest = now + PAUSE;
-            again(state, closings);
+            state.claim.no_write_before = now + FAILURE_PAUSE;
+            requeue(state, closings);
             read_back(state, lost(openings), out);
         }
         (Step::ReadBack(openings), Ok(Reply::Rows(rows))) => {
@@ -255,7 +255,7 @@
         }
         // The write was conditional, so it can be repeated until its result is known.
         (Step::ReadBack(openings), _) => {
-            state.claim.rest = now + PAUSE;
+            state.claim.no_write_before = now + FAILURE_PAUSE;
             state.claim.openings.extend(lost(openings));
         }
     }
@@ -275,11 +275,11 @@
         return;
     }
     let keys = openings.iter().map(|opening| opening.key.clone()).collect();
-    state.claim.flights += 1;
+    state.claim.calls_in_flight += 1;
     state.call(Call::Get(keys), Purpose::Claim(Step::ReadBack(openings)), out);
 }
 
-fn again(state: &mut State, closings: Vec<Closing>) {
+fn requeue(state: &mut State, closings: Vec<Closing>) {
     for mut closing in closings {
         closing.tries += 1;
         if closing.tries < TRIES_MAX {
@@ -310,7 +310,7 @@
     match done {
         Done::Written => {
             let version = Version(opening.over.0 + 1);
-            mine(state, now, opening, version, out);
+            claimed(state, now, opening, version, out);
         }
         Done::Kept(row) => found(state, now, opening, row, out),
     }
@@ -318,7 +318,7 @@
 
 /// Queues a request whose row has been written. A request that has ended in the meantime was never sent, so
 /// its row is marked as not run to free the key.
-fn mine(state: &mut State, now: Time, opening: Opening, version: Version, out: &mut Vec<Effect>) {
+fn claimed(state: &mut State, now: Time, opening: Opening, version: Version, out: &mut Vec<Effect>) {
     let Opening { request, key, .. } = opening;
     let Some(flow) = state.flow.flows.get_mut(&request) else {
         let past = Some(Completion { outcome: Outcome::NotRun, code: Code::CallerGone });
@@ -349,7 +349,7 @@
         return;
     };
     if first.request == opening.request {
-        mine(state, now, opening, version, out);
+        claimed(state, now, opening, version, out);
         return;
     }
     let Some(claim) = state.flow.flows.get(&opening.request).and_then(|flow| flow.claim.as_ref()) else {
@@ -393,5 +393,5 @@
     let past = Completion { outcome: end.outcome(), code: end.code() };
     let row = Row { completion: Some(past), ..claim.row };
     close(state, Closing { key: claim.key, over, row, tries: 0 });
-    schedule(state, now + CLOSING_LINGER);
+    schedule(state, now + OUTCOME_LINGER);
 }
--- a/core/src/close.rs
+++ b/core/src/close.rs
@@ -25,9 +25,9 @@
 /// Time for which an entry VM sends nothing to a closed copy unless the close message is repeated.
 const MARK_LENGTH: Duration = Duration::from_secs(15);
 /// Interval at which the close message is repeated.
-const TELL_EVERY: Duration = Duration::from_secs(4);
+const REPEAT_EVERY: Duration = Duration::from_secs(4);
 /// Maximum wait for acknowledgements.
-const PATIENCE: Duration = Duration::from_secs(10);
+const ACKNOWLEDGE_MAX: Duration = Duration::from_secs(10);
 /// Time after which a closed copy that could not be dropped is used again.
 const CLOSED_MAX: Duration = Duration::from_mins(5);
 
@@ -46,8 +46,8 @@
 struct Pending {
     cause: Cause,
     since: Time,
-    told: Time,
-    acked: BTreeSet<Name>,
+    sent_at: Time,
+    acknowledged: BTreeSet<Name>,
     /// Latest report of the engine when the wait for acknowledgements ended. Only a later report can show
     /// that the copy is idle.
     settled: Option<(Incarnation, u64)>,
@@ -57,7 +57,7 @@
 struct Mark {
     until: Time,
     /// Entry VM that waits for an acknowledgement.
-    owed: Option<Name>,
+    acknowledge_to: Option<Name>,
 }
 
 impl Part {
@@ -80,13 +80,13 @@
     if state.close.pending.contains_key(&copy) {
         return;
     }
-    let pending = Pending { cause, since: now, told: now, acked: BTreeSet::new(), settled: None };
+    let pending = Pending { cause, since: now, sent_at: now, acknowledged: BTreeSet::new(), settled: None };
     state.close.pending.insert(copy.clone(), pending);
     mark(state, now, copy, None);
-    tell(state, Item::Close, engine, artifact, out);
+    broadcast(state, Item::Close, engine, artifact, out);
 }
 
-fn tell(
+fn broadcast(
     state: &mut State,
     item: fn(Closing) -> Item,
     engine: &Name,
@@ -108,7 +108,7 @@
     let copy = (engine.clone(), artifact.clone());
     if state.close.pending.remove(&copy).is_some() {
         unmark(state, now, &copy);
-        tell(state, Item::Reopen, engine, artifact, out);
+        broadcast(state, Item::Reopen, engine, artifact, out);
     }
 }
 
@@ -141,7 +141,7 @@
             reopen(state, now, engine, artifact, out);
             continue;
         }
-        remind(state, now, &copy, out);
+        repeat_close(state, now, &copy, out);
         if let Some(cause) = report.as_ref().and_then(|report| settled(state, now, &copy, report)) {
             ready.push((engine.clone(), artifact.clone(), cause));
         }
@@ -149,30 +149,30 @@
     ready
 }
 
-fn remind(state: &mut State, now: Time, copy: &Copy, out: &mut Vec<Effect>) {
+fn repeat_close(state: &mut State, now: Time, copy: &Copy, out: &mut Vec<Effect>) {
     let Some(pending) = state.close.pending.get_mut(copy) else {
         return;
     };
-    if now.since(pending.told) < TELL_EVERY {
+    if now.since(pending.sent_at) < REPEAT_EVERY {
         return;
     }
-    pending.told = now;
+    pending.sent_at = now;
     mark(state, now, copy.clone(), None);
-    tell(state, Item::Close, &copy.0, &copy.1, out);
+    broadcast(state, Item::Close, &copy.0, &copy.1, out);
 }
 
-/// Returns the cause of the drop once all entry VMs have acknowledged, or `PATIENCE` has passed, and a
+/// Returns the cause of the drop once all entry VMs have acknowledged, or `ACKNOWLEDGE_MAX` has passed, and a
 /// later report shows no running request.
 fn settled(state: &mut State, now: Time, copy: &Copy, report: &Report) -> Option<Cause> {
     let (engine, artifact) = copy;
-    let own = state.routes.open_attempts_for(engine, &Work::Artifact(artifact.clone()));
+    let own_attempts = state.routes.open_attempts_for(engine, &Work::Artifact(artifact.clone()));
     let peers: Vec<Name> = member::zone_peers(state)
         .filter(|(_, peer)| peer.is_available())
         .map(|(name, _)| name.clone())
         .collect();
     let pending = state.close.pending.get_mut(copy)?;
-    let all = own == 0 && peers.iter().all(|peer| pending.acked.contains(peer));
-    if !all && now.since(pending.since) < PATIENCE {
+    let all = own_attempts == 0 && peers.iter().all(|peer| pending.acknowledged.contains(peer));
+    if !all && now.since(pending.since) < ACKNOWLEDGE_MAX {
         return None;
     }
     let (incarnation, seq) = *pending.settled.get_or_insert((report.incarnation, report.seq));
@@ -184,14 +184,14 @@
     report.copies.iter().find(|copy| copy.artifact == *artifact).map(|copy| copy.requests)
 }
 
-fn mark(state: &mut State, now: Time, copy: Copy, owed: Option<Name>) {
+fn mark(state: &mut State, now: Time, copy: Copy, acknowledge_to: Option<Name>) {
     if let Some(backend) = state.fleet.backends.get_mut(&copy.0)
         && !backend.closing.contains(&copy.1)
     {
         backend.closing.push(copy.1.clone());
     }
     let engine = copy.0.clone();
-    state.close.marks.insert(copy, Mark { until: now + MARK_LENGTH, owed });
+    state.close.marks.insert(copy, Mark { until: now + MARK_LENGTH, acknowledge_to });
     route_sync::refresh(state, now, &engine);
 }
 
@@ -215,14 +215,14 @@
     for copy in expired {
         unmark(state, now, &copy);
     }
-    let owed: Vec<Copy> = state
+    let acknowledge_to: Vec<Copy> = state
         .close
         .marks
         .iter()
-        .filter(|(_, mark)| mark.owed.is_some())
+        .filter(|(_, mark)| mark.acknowledge_to.is_some())
         .map(|(copy, _)| copy.clone())
         .collect();
-    for copy in owed {
+    for copy in acknowledge_to {
         acknowledge(state, &copy, out);
     }
 }
@@ -231,7 +231,7 @@
     if state.routes.open_attempts_for(&copy.0, &Work::Artifact(copy.1.clone())) > 0 {
         return;
     }
-    let Some(peer) = state.close.marks.get_mut(copy).and_then(|mark| mark.owed.take()) else {
+    let Some(peer) = state.close.marks.get_mut(copy).and_then(|mark| mark.acknowledge_to.take()) else {
         return;
     };
     let closing = Closing { engine: copy.0.clone(), artifact: copy.1.clone() };
@@ -254,7 +254,7 @@
 /// Handles an acknowledgement of an entry VM.
 pub(crate) fn receive_closed(state: &mut State, from: &Name, closing: Closing) {
     if let Some(pending) = state.close.pending.get_mut(&(closing.engine, closing.artifact)) {
-        pending.acked.insert(from.clone());
+        pending.acknowledged.insert(from.clone());
     }
 }
 
--- a/core/src/dispatch.rs
+++ b/core/src/dispatch.rs
@@ -57,10 +57,11 @@
     if state.flow.queued() == 0 {
         return;
     }
-    let Some(facts) = state.routes.index(backend).and_then(|site| state.routes.description(site)) else {
+    let Some(description) = state.routes.index(backend).and_then(|index| state.routes.description(index))
+    else {
         return;
     };
-    let mut wanted: Vec<_> = facts
+    let mut wanted: Vec<_> = description
         .works
         .iter()
         .filter_map(|work| Some((state.flow.lanes.get(work)?.queue.urgency()?, work.clone())))
@@ -73,7 +74,7 @@
 
 /// Sends waiting requests for one model or service in queue order while there is room.
 pub(crate) fn lane(state: &mut State, now: Time, work: &Work, out: &mut Vec<Effect>) {
-    age(state, now, work, out);
+    mark_overdue(state, now, work, out);
     while let Some(id) = state.flow.lanes.get(work).and_then(|lane| lane.queue.peek()) {
         match target(state, now, id) {
             Ok(target) => {
@@ -88,7 +89,7 @@
 
 /// Moves requests that miss the first-token target behind the others, or ends those that could not be
 /// answered before their deadline.
-fn age(state: &mut State, now: Time, work: &Work, out: &mut Vec<Effect>) {
+fn mark_overdue(state: &mut State, now: Time, work: &Work, out: &mut Vec<Effect>) {
     let overdue = state.flow.lanes.get(work).map(|lane| lane.queue.overdue(now)).unwrap_or_default();
     for id in overdue {
         let Some(lane) = state.flow.lanes.get_mut(work) else {
@@ -123,7 +124,7 @@
         Query { work: &flow.work, prefix: &flow.prefix, avoid: &flow.avoid, priority: flow.ticket.priority };
     let choice = state.routes.pick(&mut state.rng, now, &wanted);
     match (choice, &flow.work) {
-        (Choice::Backend(site), _) => Ok(Target::Site(site)),
+        (Choice::Backend(index), _) => Ok(Target::Site(index)),
         (Choice::Full | Choice::NoBackend, Work::Artifact(_)) => {
             let absent = choice == Choice::NoBackend;
             spill::peer(state, now, flow, absent).map(Target::Peer).ok_or(None)
@@ -146,8 +147,8 @@
 /// Resumes an answer at the back end that holds it, without queueing. Queues the request if that back end
 /// is no longer known.
 pub(crate) fn resume(state: &mut State, now: Time, id: id::Request, backend: &Name, out: &mut Vec<Effect>) {
-    if let Some(site) = state.routes.index(backend) {
-        send(state, now, id, &Target::Site(site), out);
+    if let Some(index) = state.routes.index(backend) {
+        send(state, now, id, &Target::Site(index), out);
         return;
     }
     if let Some(flow) = state.flow.flows.get_mut(&id) {
@@ -166,33 +167,33 @@
         return;
     };
     let (backend, address, to) = match target {
-        Target::Site(site) => {
-            let Some(facts) = state.routes.description(*site) else {
+        Target::Site(index) => {
+            let Some(description) = state.routes.description(*index) else {
                 return;
             };
             let to = match &flow.work {
                 Work::Artifact(artifact) => Destination::Engine(artifact.clone()),
                 Work::Service(name) => Destination::Service(name.clone()),
             };
-            (facts.name.clone(), facts.address, to)
+            (description.name.clone(), description.address, to)
         }
         Target::Peer(peer) => (peer.name.clone(), peer.address, Destination::Peer),
     };
     let lane = state.flow.lanes.entry(flow.work.clone()).or_default();
     lane.open += 1;
-    let mut patience = state.settings.first_byte;
-    if let Target::Site(site) = target {
-        patience += lane.latency.mean().unwrap_or_default().mul_f32(state.routes.excess(*site));
-        state.routes.attempt_sent(*site, &flow.work, &flow.prefix);
+    let mut timeout = state.settings.first_byte;
+    if let Target::Site(index) = target {
+        timeout += lane.latency.mean().unwrap_or_default().mul_f32(state.routes.excess(*index));
+        state.routes.attempt_sent(*index, &flow.work, &flow.prefix);
     }
     if !flow.stream && !matches!(to, Destination::Service(_)) {
         let gap_ms = state.config.document.rules.weights.token_gap_ms;
-        patience += Duration::from_millis(u64::from(gap_ms)) * TOKEN_GAPS * flow.max_tokens;
+        timeout += Duration::from_millis(u64::from(gap_ms)) * TOKEN_GAPS * flow.max_tokens;
     }
     flow.attempts += 1;
     flow.execution.attempt_sent();
     let attempt = id::Attempt { request: id, n: flow.attempts };
-    let takes_up = match flow.resume {
+    let resumed_attempt = match flow.resume {
         Resume::Same { of, .. } => Some(of),
         Resume::Start | Resume::Continue { .. } => None,
     };
@@ -203,10 +204,10 @@
         sent_at: now,
         last_progress: now,
         head_received: false,
-        resumes: takes_up,
+        resumes: resumed_attempt,
         start_offset: flow.delivered,
-        head_timeout: patience,
-        silence_timer: state.timers.set(now + patience, Timer::Silence(attempt)),
+        head_timeout: timeout,
+        silence_timer: state.timers.set(now + timeout, Timer::Silence(attempt)),
     });
     out.push(Effect::Send(Box::new(Send {
         attempt,
@@ -216,6 +217,6 @@
         resume: flow.resume,
         deadline: flow.ticket.deadline,
         priority: flow.ticket.priority,
-        new_connection: takes_up.is_some(),
+        new_connection: resumed_attempt.is_some(),
     })));
 }
--- a/core/src/drain.rs
+++ b/core/src/drain.rs
@@ -16,7 +16,7 @@
     /// Refuses new requests and finishes open ones.
     Finishing,
     /// The process exits.
-    Over,
+    Exited,
 }
 
 /// State of the graceful stop of this entry VM.
@@ -28,7 +28,7 @@
 impl Part {
     /// Whether new requests are refused.
     pub(crate) fn is_stopping(&self) -> bool {
-        matches!(self.stage, Stage::Finishing | Stage::Over)
+        matches!(self.stage, Stage::Finishing | Stage::Exited)
     }
 
     /// Whether a stop was requested.
@@ -63,7 +63,7 @@
     }
     crate::lease::hand_back(state, now, out);
     if state.lease.is_handed_back() {
-        state.drain.stage = Stage::Over;
+        state.drain.stage = Stage::Exited;
         out.push(Effect::Exit);
     }
 }
--- a/core/src/flow.rs
+++ b/core/src/flow.rs
@@ -325,28 +325,28 @@
     let work = flow.work.clone();
     state.timers.cancel(closed.silence_timer);
     state.flow.close_lane(&work);
-    if let Some(site) = state.routes.index(&closed.backend) {
-        state.routes.attempt_closed(site, &work);
+    if let Some(index) = state.routes.index(&closed.backend) {
+        state.routes.attempt_closed(index, &work);
     }
     Some(closed)
 }
 
 /// Handles the deadline of a request.
 pub(crate) fn deadline_passed(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
-    give_up(state, now, id, Code::DeadlinePassed, out);
+    end_failed(state, now, id, Code::DeadlinePassed, out);
 }
 
 /// Handles a caller that closed the connection.
 pub(crate) fn caller_gone(state: &mut State, now: Time, id: id::Request, out: &mut Vec<Effect>) {
-    give_up(state, now, id, Code::CallerGone, out);
+    end_failed(state, now, id, Code::CallerGone, out);
 }
 
-fn give_up(state: &mut State, now: Time, id: id::Request, code: Code, out: &mut Vec<Effect>) {
+fn end_failed(state: &mut State, now: Time, id: id::Request, code: Code, out: &mut Vec<Effect>) {
     let Some(flow) = state.flow.flows.get(&id) else {
         return;
     };
-    let end_with = End::failed(flow.execution, code, None);
-    end(state, now, id, end_with, out);
+    let failed = End::failed(flow.execution, code, None);
+    end(state, now, id, failed, out);
 }
 
 /// Ends a request and closes its open attempt.
--- a/core/src/prefix.rs
+++ b/core/src/prefix.rs
@@ -11,12 +11,12 @@
 /// One cached block at one back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Entry {
-    print: u16,
-    site: u16,
+    fingerprint: u16,
+    backend: u16,
 }
 
 const NONE: u16 = u16::MAX;
-const EMPTY: Entry = Entry { print: 0, site: NONE };
+const EMPTY: Entry = Entry { fingerprint: 0, backend: NONE };
 
 /// Approximate table of the cached blocks of all back ends.
 #[derive(Clone, Debug)]
@@ -46,29 +46,29 @@
     }
 
     /// Records that a back end has cached a block.
-    pub fn store(&mut self, hash: u64, site: u16) {
-        let (set, print) = self.set(hash);
+    pub fn store(&mut self, hash: u64, backend: u16) {
+        let (set, fingerprint) = self.set(hash);
         let set = &mut self.entries[set];
-        let entry = Entry { print, site };
+        let entry = Entry { fingerprint, backend };
         let at = set.iter().position(|each| *each == entry).unwrap_or(WAYS - 1);
         set[..=at].rotate_right(1);
         set[0] = entry;
     }
 
     /// Records that a back end has evicted a block.
-    pub fn evict(&mut self, hash: u64, site: u16) {
-        let (set, print) = self.set(hash);
+    pub fn evict(&mut self, hash: u64, backend: u16) {
+        let (set, fingerprint) = self.set(hash);
         for entry in &mut self.entries[set] {
-            if *entry == (Entry { print, site }) {
+            if *entry == (Entry { fingerprint, backend }) {
                 *entry = EMPTY;
             }
         }
     }
 
     /// Removes all entries of a back end.
-    pub fn clear(&mut self, site: u16) {
+    pub fn clear(&mut self, backend: u16) {
         for entry in &mut self.entries {
-            if entry.site == site {
+            if entry.backend == backend {
                 *entry = EMPTY;
             }
         }
@@ -76,18 +76,18 @@
 
     /// Back ends that have probably cached a block.
     pub fn holders(&self, hash: u64) -> impl Iterator<Item = u16> {
-        let (set, print) = self.set(hash);
+        let (set, fingerprint) = self.set(hash);
         self.entries[set]
             .iter()
-            .filter(move |entry| entry.print == print && entry.site != NONE)
-            .map(|entry| entry.site)
+            .filter(move |entry| entry.fingerprint == fingerprint && entry.backend != NONE)
+            .map(|entry| entry.backend)
     }
 
     /// Number of leading blocks of a prompt that a back end has probably cached. Blocks are cached from the
     /// start of the prompt, so a binary search finds the last one.
     #[must_use]
-    pub fn matched(&self, hashes: &[u64], site: u16) -> usize {
-        hashes.partition_point(|hash| self.holders(*hash).any(|holder| holder == site))
+    pub fn matched(&self, hashes: &[u64], backend: u16) -> usize {
+        hashes.partition_point(|hash| self.holders(*hash).any(|holder| holder == backend))
     }
 
     /// Up to `N` back ends that have probably cached the most leading blocks of a prompt, with the number
@@ -97,8 +97,8 @@
         let mut best = [None; N];
         let held = hashes.partition_point(|hash| self.holders(*hash).next().is_some());
         if let Some(last) = held.checked_sub(1) {
-            for (place, site) in best.iter_mut().zip(self.holders(hashes[last])) {
-                *place = Some((site, held));
+            for (slot, backend) in best.iter_mut().zip(self.holders(hashes[last])) {
+                *slot = Some((backend, held));
             }
         }
         best
--- a/core/src/queue.rs
+++ b/core/src/queue.rs
@@ -38,19 +38,19 @@
 
 /// Sort key of a request within its caller's queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
-    first: Time,
-    then: Time,
+struct Position {
+    primary: Time,
+    secondary: Time,
     request: id::Request,
 }
 
-impl Place {
-    const fn timely(ticket: &Ticket) -> Self {
-        Self { first: ticket.due, then: ticket.deadline, request: ticket.request }
+impl Position {
+    const fn on_time(ticket: &Ticket) -> Self {
+        Self { primary: ticket.due, secondary: ticket.deadline, request: ticket.request }
     }
 
     const fn late(ticket: &Ticket) -> Self {
-        Self { first: ticket.deadline, then: ticket.due, request: ticket.request }
+        Self { primary: ticket.deadline, secondary: ticket.due, request: ticket.request }
     }
 }
 
@@ -64,27 +64,27 @@
 /// Requests of one priority. `turn` is the virtual time of the caller served last.
 #[derive(Debug, Default)]
 struct Class {
-    lines: BTreeMap<Name, Line>,
+    callers: BTreeMap<Name, CallerQueue>,
     turn: u64,
     served: u32,
-    timely: usize,
+    on_time: usize,
     late: usize,
 }
 
 /// Waiting requests of one caller, and the virtual start time of the next one.
 #[derive(Debug)]
-struct Line {
+struct CallerQueue {
     weight: u32,
     start: u64,
     /// Requests that can still meet the target, by the time they have to be sent, then by deadline.
-    timely: BTreeSet<Place>,
+    on_time: BTreeSet<Position>,
     /// Requests that miss the target, by deadline.
-    late: BTreeSet<Place>,
+    late: BTreeSet<Position>,
 }
 
-impl Line {
+impl CallerQueue {
     fn len(&self) -> usize {
-        self.timely.len() + self.late.len()
+        self.on_time.len() + self.late.len()
     }
 
     /// Waiting requests plus `more`, per unit of weight, in thousandths.
@@ -92,8 +92,8 @@
         share(self.len() + more, self.weight)
     }
 
-    fn waiting(&self, late: bool) -> &BTreeSet<Place> {
-        if late { &self.late } else { &self.timely }
+    fn waiting(&self, late: bool) -> &BTreeSet<Position> {
+        if late { &self.late } else { &self.on_time }
     }
 }
 
@@ -103,14 +103,14 @@
 
 impl Class {
     fn len(&self) -> usize {
-        self.timely + self.late
+        self.on_time + self.late
     }
 
-    fn next(&self) -> Option<Place> {
-        let late = self.timely == 0 || (self.late > 0 && self.served % LATE_TURN == LATE_TURN - 1);
-        let lines = self.lines.values().filter(|line| !line.waiting(late).is_empty());
-        let line = lines.min_by_key(|line| (line.start, line.waiting(late).first().copied()))?;
-        line.waiting(late).first().copied()
+    fn next(&self) -> Option<Position> {
+        let late = self.on_time == 0 || (self.late > 0 && self.served % LATE_TURN == LATE_TURN - 1);
+        let callers = self.callers.values().filter(|queue| !queue.waiting(late).is_empty());
+        let queue = callers.min_by_key(|queue| (queue.start, queue.waiting(late).first().copied()))?;
+        queue.waiting(late).first().copied()
     }
 }
 
@@ -128,7 +128,7 @@
     /// Number of requests that are served before a new one of `priority`, regardless of their caller.
     pub(crate) fn ahead(&self, priority: Priority) -> usize {
         let more_urgent: usize = self.classes.range(..priority).map(|(_, class)| class.len()).sum();
-        more_urgent + self.classes.get(&priority).map_or(0, |class| class.timely)
+        more_urgent + self.classes.get(&priority).map_or(0, |class| class.on_time)
     }
 
     /// Number of late requests of `priority`, and number of requests of more urgent priorities.
@@ -141,40 +141,40 @@
     pub(crate) fn push(&mut self, ticket: &Ticket) {
         let class = self.classes.entry(ticket.priority).or_default();
         let turn = class.turn;
-        let line = class.lines.entry(ticket.caller.clone()).or_insert_with(|| Line {
+        let queue = class.callers.entry(ticket.caller.clone()).or_insert_with(|| CallerQueue {
             weight: ticket.weight,
             start: turn,
-            timely: BTreeSet::new(),
+            on_time: BTreeSet::new(),
             late: BTreeSet::new(),
         });
-        if line.len() == 0 {
-            line.start = line.start.max(turn);
+        if queue.len() == 0 {
+            queue.start = queue.start.max(turn);
         }
-        line.weight = ticket.weight.max(1);
-        if line.timely.insert(Place::timely(ticket)) {
-            class.timely += 1;
+        queue.weight = ticket.weight.max(1);
+        if queue.on_time.insert(Position::on_time(ticket)) {
+            class.on_time += 1;
             self.len += 1;
         }
     }
 
     /// Requests that should have been sent before `now` to meet the target and are not marked late yet.
     pub(crate) fn overdue(&self, now: Time) -> Vec<id::Request> {
-        let lines =
-            self.classes.values().filter(|class| class.timely > 0).flat_map(|class| class.lines.values());
-        lines
-            .flat_map(|line| line.timely.iter().take_while(|place| place.first < now))
-            .map(|place| place.request)
+        let callers =
+            self.classes.values().filter(|class| class.on_time > 0).flat_map(|class| class.callers.values());
+        callers
+            .flat_map(|queue| queue.on_time.iter().take_while(|position| position.primary < now))
+            .map(|position| position.request)
             .collect()
     }
 
     /// Moves a request to the late ones.
     pub(crate) fn mark_late(&mut self, ticket: &Ticket) {
         if let Some(class) = self.classes.get_mut(&ticket.priority)
-            && let Some(line) = class.lines.get_mut(&ticket.caller)
-            && line.timely.remove(&Place::timely(ticket))
+            && let Some(queue) = class.callers.get_mut(&ticket.caller)
+            && queue.on_time.remove(&Position::on_time(ticket))
         {
-            line.late.insert(Place::late(ticket));
-            class.timely -= 1;
+            queue.late.insert(Position::late(ticket));
+            class.on_time -= 1;
             class.late += 1;
         }
     }
@@ -182,23 +182,23 @@
     /// Next request to be served.
     pub(crate) fn peek(&self) -> Option<id::Request> {
         let (_, class) = self.classes.first_key_value()?;
-        class.next().map(|place| place.request)
+        class.next().map(|position| position.request)
     }
 
     /// Priority and due time of the next request; its deadline if it is late.
     pub(crate) fn urgency(&self) -> Option<(Priority, Time)> {
         let (priority, class) = self.classes.first_key_value()?;
-        class.next().map(|place| (*priority, place.first))
+        class.next().map(|position| (*priority, position.primary))
     }
 
     /// Removes a request that is served and charges its cost to the caller.
     pub(crate) fn serve(&mut self, ticket: &Ticket) {
         if let Some(class) = self.classes.get_mut(&ticket.priority)
-            && let Some(line) = class.lines.get_mut(&ticket.caller)
+            && let Some(queue) = class.callers.get_mut(&ticket.caller)
         {
             class.served = class.served.wrapping_add(1);
-            class.turn = class.turn.max(line.start);
-            line.start += u64::from(ticket.cost.max(1)) * SCALE / u64::from(line.weight);
+            class.turn = class.turn.max(queue.start);
+            queue.start += u64::from(ticket.cost.max(1)) * SCALE / u64::from(queue.weight);
         }
         self.remove(ticket);
     }
@@ -208,12 +208,12 @@
         let Some(class) = self.classes.get_mut(&ticket.priority) else {
             return false;
         };
-        let Some(line) = class.lines.get_mut(&ticket.caller) else {
+        let Some(queue) = class.callers.get_mut(&ticket.caller) else {
             return false;
         };
-        if line.timely.remove(&Place::timely(ticket)) {
-            class.timely -= 1;
-        } else if line.late.remove(&Place::late(ticket)) {
+        if queue.on_time.remove(&Position::on_time(ticket)) {
+            class.on_time -= 1;
+        } else if queue.late.remove(&Position::late(ticket)) {
             class.late -= 1;
         } else {
             return false;
@@ -222,7 +222,7 @@
         let turn = class.turn;
         // The virtual time of a caller without waiting requests is kept until the others have caught up
         // with it. Else it would get a larger share than its weight by submitting one request at a time.
-        class.lines.retain(|_, line| line.len() > 0 || line.start > turn);
+        class.callers.retain(|_, queue| queue.len() > 0 || queue.start > turn);
         if class.len() == 0 {
             self.classes.remove(&ticket.priority);
         }
@@ -233,8 +233,8 @@
     /// request of the caller with the most waiting requests for its weight.
     pub(crate) fn preempted_by(&self, ticket: &Ticket) -> Option<id::Request> {
         let (priority, class) = self.classes.last_key_value()?;
-        let (caller, line) = class.lines.iter().max_by_key(|(_, line)| line.share(0))?;
-        let latest = line.late.last().or_else(|| line.timely.last()).map(|place| place.request);
+        let (caller, queue) = class.callers.iter().max_by_key(|(_, queue)| queue.share(0))?;
+        let latest = queue.late.last().or_else(|| queue.on_time.last()).map(|position| position.request);
         if *priority > ticket.priority {
             return latest;
         }
@@ -242,7 +242,7 @@
             return None;
         }
         let own =
-            class.lines.get(&ticket.caller).map_or_else(|| share(1, ticket.weight), |line| line.share(1));
-        if line.share(0) > own { latest } else { None }
+            class.callers.get(&ticket.caller).map_or_else(|| share(1, ticket.weight), |queue| queue.share(1));
+        if queue.share(0) > own { latest } else { None }
     }
 }
--- a/core/src/reduce.rs
+++ b/core/src/reduce.rs
@@ -35,9 +35,9 @@
     if state.timers.has_stalled(now) {
         state.resumed_at = now;
     }
-    hand(state, now, event, &mut out);
+    handle_event(state, now, event, &mut out);
     while let Some(timer) = state.timers.pop(now) {
-        fire(state, now, timer, &mut out);
+        handle_timer(state, now, timer, &mut out);
     }
     if let Some(at) = state.timers.next_wake(now) {
         out.push(Effect::WakeAt(at));
@@ -45,7 +45,7 @@
     out
 }
 
-fn hand(state: &mut State, now: Time, event: Event, out: &mut Vec<Effect>) {
+fn handle_event(state: &mut State, now: Time, event: Event, out: &mut Vec<Effect>) {
     match event {
         Event::Arrive(arrival) => flow::arrive(state, now, *arrival, out),
         Event::CallerGone(request) => flow::caller_gone(state, now, request, out),
@@ -89,7 +89,7 @@
     }
 }
 
-fn fire(state: &mut State, now: Time, timer: Timer, out: &mut Vec<Effect>) {
+fn handle_timer(state: &mut State, now: Time, timer: Timer, out: &mut Vec<Effect>) {
     match timer {
         Timer::Deadline(request) => flow::deadline_passed(state, now, request, out),
         Timer::Retry(request) => dispatch::retry_due(state, now, request, out),
--- a/core/src/retry.rs
+++ b/core/src/retry.rs
@@ -97,14 +97,14 @@
     }
 
     /// Whether the HTTP exchange of the attempt is still open.
-    const fn leaves_open(self) -> bool {
+    const fn exchange_open(self) -> bool {
         matches!(self, Self::Silent | Self::Gap | Self::Failed(Failure::Foreign))
     }
 
     /// Whether the attempt may have caused load at the back end. Other failures use no retry budget, and a
     /// request for a model is retried after them until its deadline, since placement may load the model
     /// elsewhere in the meantime.
-    const fn costs(self) -> bool {
+    const fn adds_load(self) -> bool {
         !matches!(
             self,
             Self::Failed(Failure::Connect | Failure::Refused(Refusal::Leaving | Refusal::NotLoaded))
@@ -117,39 +117,39 @@
     state: &mut State,
     now: Time,
     attempt: id::Attempt,
-    trouble: Fault,
+    fault: Fault,
     out: &mut Vec<Effect>,
 ) {
     let Some(closed) = flow::close(state, attempt) else {
         return;
     };
-    route_sync::attempt_failed(state, now, &closed, trouble, out);
+    route_sync::attempt_failed(state, now, &closed, fault, out);
     let Some(flow) = state.flow.flows.get_mut(&attempt.request) else {
         return;
     };
-    if let Some(evidence) = trouble.evidence() {
+    if let Some(evidence) = fault.evidence() {
         flow.execution.attempt_not_run(evidence);
     }
-    if trouble.costs() || !matches!(flow.work, Work::Artifact(_)) {
+    if fault.adds_load() || !matches!(flow.work, Work::Artifact(_)) {
         flow.failures += 1;
     }
     let attempts_max = state.settings.attempts_max;
     let in_time = now < flow.ticket.deadline;
-    let next = if in_time && flow.failures < attempts_max { next(flow, &closed, trouble) } else { Next::End };
-    if trouble.leaves_open() {
+    let next = if in_time && flow.failures < attempts_max { next(flow, &closed, fault) } else { Next::End };
+    if fault.exchange_open() {
         let same = matches!(next, Next::Same);
         out.push(if same { Effect::Release(attempt) } else { Effect::Cancel(attempt) });
     }
     match next {
         Next::Same => {
-            state.counters.retry(trouble.reason());
+            state.counters.retry(fault.reason());
             // The engine knows this attempt only if it has begun to answer it.
             let of = if closed.head_received { attempt } else { closed.resumes.unwrap_or(attempt) };
             flow.resume = Resume::Same { of, offset: flow.delivered };
             dispatch::resume(state, now, attempt.request, &closed.backend, out);
         }
-        Next::Other => other(state, now, attempt.request, &closed, trouble, out),
-        Next::End => give_up(state, now, attempt.request, trouble, None, out),
+        Next::Other => retry_elsewhere(state, now, attempt.request, &closed, fault, out),
+        Next::End => give_up(state, now, attempt.request, fault, None, out),
     }
     dispatch::to_backend(state, now, &closed.backend, out);
 }
@@ -164,33 +164,33 @@
     End,
 }
 
-fn next(flow: &Flow, closed: &OpenAttempt, trouble: Fault) -> Next {
+fn next(flow: &Flow, closed: &OpenAttempt, fault: Fault) -> Next {
     if flow.committed {
         return Next::End;
     }
     let holds_answer =
-        matches!(closed.destination, Destination::Engine(_)) && flow.stream && trouble.resumable();
-    let worth_it = flow.delivered > 0 || !flow.idempotent;
+        matches!(closed.destination, Destination::Engine(_)) && flow.stream && fault.resumable();
+    let must_resume = flow.delivered > 0 || !flow.idempotent;
     // A request that is not idempotent is resumed all the same, since no other back end may run it.
-    let fruitless = closed.resumes.is_some() && flow.delivered == closed.start_offset && flow.idempotent;
-    if holds_answer && worth_it && !fruitless {
+    let no_progress = closed.resumes.is_some() && flow.delivered == closed.start_offset && flow.idempotent;
+    if holds_answer && must_resume && !no_progress {
         return Next::Same;
     }
     if flow.idempotent || flow.execution.not_run_proof().is_some() { Next::Other } else { Next::End }
 }
 
-fn other(
+fn retry_elsewhere(
     state: &mut State,
     now: Time,
     id: id::Request,
     closed: &OpenAttempt,
-    trouble: Fault,
+    fault: Fault,
     out: &mut Vec<Effect>,
 ) {
-    if trouble.costs()
+    if fault.adds_load()
         && let Err(wait) = state.budget.take(now, &state.settings)
     {
-        give_up(state, now, id, trouble, Some(wait), out);
+        give_up(state, now, id, fault, Some(wait), out);
         return;
     }
     let Some(flow) = state.flow.flows.get_mut(&id) else {
@@ -203,10 +203,10 @@
     let wait = backoff(&state.settings, &mut state.rng, flow.requeued);
     flow.requeued += 1;
     if now + wait >= flow.ticket.deadline {
-        give_up(state, now, id, trouble, None, out);
+        give_up(state, now, id, fault, None, out);
         return;
     }
-    state.counters.retry(trouble.reason());
+    state.counters.retry(fault.reason());
     if wait.is_zero() {
         dispatch::enqueue(state, now, id, out);
         return;
@@ -228,7 +228,7 @@
     state: &mut State,
     now: Time,
     id: id::Request,
-    trouble: Fault,
+    fault: Fault,
     wait: Option<Duration>,
     out: &mut Vec<Effect>,
 ) {
@@ -237,7 +237,7 @@
     };
     let code = match flow.execution.not_run_proof() {
         Some(_) => Code::RetriesSpent,
-        None => trouble.code(),
+        None => fault.code(),
     };
     let wait = wait.unwrap_or(crate::admit::RETRY_AFTER);
     let end = End::failed(flow.execution, code, Some(wait));
--- a/core/src/route.rs
+++ b/core/src/route.rs
@@ -97,36 +97,49 @@
 
     /// Adds or updates a back end. One that is `fresh` or has restarted gets its full share of requests
     /// only gradually.
-    pub fn set(&mut self, now: Time, facts: Description, fresh: bool) {
-        let site = self.indices.get(&facts.name).copied().unwrap_or_else(|| self.add(now, &facts, fresh));
-        let Some(place) = self.backends[usize::from(site)].as_mut() else {
+    pub fn set(&mut self, now: Time, description: Description, fresh: bool) {
+        let index = self
+            .indices
+            .get(&description.name)
+            .copied()
+            .unwrap_or_else(|| self.add(now, &description, fresh));
+        let Some(backend) = self.backends[usize::from(index)].as_mut() else {
             return;
         };
-        let restarted =
-            place.description.incarnation.is_some() && place.description.incarnation != facts.incarnation;
+        let restarted = backend.description.incarnation.is_some()
+            && backend.description.incarnation != description.incarnation;
         if restarted {
-            place.health = Health::starting(now);
-            self.sketch.clear(site);
+            backend.health = Health::starting(now);
+            self.sketch.clear(index);
         }
-        if place.description.works != facts.works {
-            let lost: Vec<Work> =
-                place.description.works.iter().filter(|work| !facts.works.contains(work)).cloned().collect();
-            let won: Vec<Work> =
-                facts.works.iter().filter(|work| !place.description.works.contains(work)).cloned().collect();
-            self.unhold(&lost, site);
+        if backend.description.works != description.works {
+            let lost: Vec<Work> = backend
+                .description
+                .works
+                .iter()
+                .filter(|work| !description.works.contains(work))
+                .cloned()
+                .collect();
+            let won: Vec<Work> = description
+                .works
+                .iter()
+                .filter(|work| !backend.description.works.contains(work))
+                .cloned()
+                .collect();
+            self.remove_holder(&lost, index);
             for work in won {
-                self.holders.entry(work).or_default().push(site);
+                self.holders.entry(work).or_default().push(index);
             }
         }
-        if let Some(place) = self.backends[usize::from(site)].as_mut() {
-            place.description = facts;
+        if let Some(backend) = self.backends[usize::from(index)].as_mut() {
+            backend.description = description;
         }
     }
 
-    fn add(&mut self, now: Time, facts: &Description, fresh: bool) -> u16 {
+    fn add(&mut self, now: Time, description: &Description, fresh: bool) -> u16 {
         let free = self.backends.iter().position(Option::is_none).unwrap_or(self.backends.len());
-        let place = Backend {
-            description: Description { works: Vec::new(), ..facts.clone() },
+        let backend = Backend {
+            description: Description { works: Vec::new(), ..description.clone() },
             health: if fresh { Health::starting(now) } else { Health::default() },
             open: 0,
             open_by: Vec::new(),
@@ -135,19 +148,19 @@
             closed: 0,
         };
         if free == self.backends.len() {
-            self.backends.push(Some(place));
+            self.backends.push(Some(backend));
         } else {
-            self.backends[free] = Some(place);
+            self.backends[free] = Some(backend);
         }
-        let site = free as u16;
-        self.indices.insert(facts.name.clone(), site);
-        site
+        let index = free as u16;
+        self.indices.insert(description.name.clone(), index);
+        index
     }
 
-    fn unhold(&mut self, works: &[Work], site: u16) {
+    fn remove_holder(&mut self, works: &[Work], index: u16) {
         for work in works {
             if let Some(holders) = self.holders.get_mut(work) {
-                holders.retain(|holder| *holder != site);
+                holders.retain(|holder| *holder != index);
                 if holders.is_empty() {
                     self.holders.remove(work);
                 }
@@ -157,15 +170,15 @@
 
     /// Removes all back ends for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&Name) -> bool) {
-        let gone: Vec<Name> = self.indices.keys().filter(|name| !keep(name)).cloned().collect();
-        for name in gone {
-            let Some(site) = self.indices.remove(&name) else {
+        let removed: Vec<Name> = self.indices.keys().filter(|name| !keep(name)).cloned().collect();
+        for name in removed {
+            let Some(index) = self.indices.remove(&name) else {
                 continue;
             };
-            if let Some(place) = self.backends[usize::from(site)].take() {
-                self.unhold(&place.description.works, site);
+            if let Some(backend) = self.backends[usize::from(index)].take() {
+                self.remove_holder(&backend.description.works, index);
             }
-            self.sketch.clear(site);
+            self.sketch.clear(index);
         }
     }
 
@@ -177,11 +190,11 @@
 
     /// Removes `work` from a back end that refused a request because it does not hold it. The next report
     /// of the back end confirms or restores it.
-    pub fn unload(&mut self, site: Index, work: &Work) {
-        if let Some(place) = self.place_mut(site) {
-            place.description.works.retain(|each| each != work);
+    pub fn unload(&mut self, index: Index, work: &Work) {
+        if let Some(backend) = self.backend_mut(index) {
+            backend.description.works.retain(|each| each != work);
         }
-        self.unhold(std::slice::from_ref(work), site.0);
+        self.remove_holder(std::slice::from_ref(work), index.0);
     }
 
     /// Returns the index of a back end.
@@ -190,37 +203,39 @@
         self.indices.get(name).copied().map(Index)
     }
 
-    fn place(&self, site: Index) -> Option<&Backend> {
-        self.backends.get(usize::from(site.0))?.as_ref()
+    fn backend(&self, index: Index) -> Option<&Backend> {
+        self.backends.get(usize::from(index.0))?.as_ref()
     }
 
-    fn place_mut(&mut self, site: Index) -> Option<&mut Backend> {
-        self.backends.get_mut(usize::from(site.0))?.as_mut()
+    fn backend_mut(&mut self, index: Index) -> Option<&mut Backend> {
+        self.backends.get_mut(usize::from(index.0))?.as_mut()
     }
 
     /// Returns the properties of a back end.
     #[must_use]
-    pub fn description(&self, site: Index) -> Option<&Description> {
-        self.place(site).map(|place| &place.description)
+    pub fn description(&self, index: Index) -> Option<&Description> {
+        self.backend(index).map(|backend| &backend.description)
     }
 
     /// Returns the health of a back end for modification.
-    pub fn health(&mut self, site: Index) -> Option<&mut Health> {
-        self.place_mut(site).map(|place| &mut place.health)
+    pub fn health(&mut self, index: Index) -> Option<&mut Health> {
+        self.backend_mut(index).map(|backend| &mut backend.health)
     }
 
     /// Returns whether a back end is suspected to have failed.
     #[must_use]
     pub fn is_suspected(&self, name: &Name) -> bool {
-        self.index(name).and_then(|site| self.place(site)).is_some_and(|place| place.health.is_suspected())
+        self.index(name)
+            .and_then(|index| self.backend(index))
+            .is_some_and(|backend| backend.health.is_suspected())
     }
 
     /// Returns the number of requests at a back end beyond its slots, as a fraction of the slots.
     #[must_use]
-    pub fn excess(&self, site: Index) -> f32 {
-        self.place(site).map_or(0.0, |place| {
-            let slots = place.description.slots.max(1);
-            place.load().saturating_sub(slots) as f32 / slots as f32
+    pub fn excess(&self, index: Index) -> f32 {
+        self.backend(index).map_or(0.0, |backend| {
+            let slots = backend.description.slots.max(1);
+            backend.load().saturating_sub(slots) as f32 / slots as f32
         })
     }
 
@@ -233,76 +248,76 @@
     /// Returns the number of open attempts of this entry VM at a back end for `work`.
     #[must_use]
     pub fn open_attempts_for(&self, name: &Name, work: &Work) -> u32 {
-        let place = self.index(name).and_then(|site| self.place(site));
-        place.map_or(0, |place| {
-            place.open_by.iter().find(|(each, _)| each == work).map_or(0, |(_, open)| *open)
+        let backend = self.index(name).and_then(|index| self.backend(index));
+        backend.map_or(0, |backend| {
+            backend.open_by.iter().find(|(each, _)| each == work).map_or(0, |(_, open)| *open)
         })
     }
 
     /// Returns the number of open attempts of this entry VM at all back ends.
     #[must_use]
     pub fn open_attempts(&self) -> usize {
-        self.backends.iter().flatten().map(|place| place.open as usize).sum()
+        self.backends.iter().flatten().map(|backend| backend.open as usize).sum()
     }
 
     /// Records the load reported by a back end.
     pub fn record_load(&mut self, name: &Name, load: u32) {
-        if let Some(place) = self.index(name).and_then(|site| self.place_mut(site)) {
-            place.reported = load;
-            place.opened = 0;
-            place.closed = 0;
+        if let Some(backend) = self.index(name).and_then(|index| self.backend_mut(index)) {
+            backend.reported = load;
+            backend.opened = 0;
+            backend.closed = 0;
         }
     }
 
     /// Records that an attempt is sent, and that the back end will cache the prompt.
-    pub fn attempt_sent(&mut self, site: Index, work: &Work, prefix: &[u64]) {
+    pub fn attempt_sent(&mut self, index: Index, work: &Work, prefix: &[u64]) {
         for hash in prefix {
-            self.sketch.store(*hash, site.0);
+            self.sketch.store(*hash, index.0);
         }
-        let Some(place) = self.place_mut(site) else {
+        let Some(backend) = self.backend_mut(index) else {
             return;
         };
-        place.open += 1;
-        place.opened += 1;
-        match place.open_by.iter_mut().find(|(each, _)| each == work) {
+        backend.open += 1;
+        backend.opened += 1;
+        match backend.open_by.iter_mut().find(|(each, _)| each == work) {
             Some((_, open)) => *open += 1,
-            None => place.open_by.push((work.clone(), 1)),
+            None => backend.open_by.push((work.clone(), 1)),
         }
     }
 
     /// Records that an attempt is closed.
-    pub fn attempt_closed(&mut self, site: Index, work: &Work) {
-        let Some(place) = self.place_mut(site) else {
+    pub fn attempt_closed(&mut self, index: Index, work: &Work) {
+        let Some(backend) = self.backend_mut(index) else {
             return;
         };
-        place.open = place.open.saturating_sub(1);
-        place.closed += 1;
-        if let Some(at) = place.open_by.iter().position(|(each, _)| each == work) {
-            place.open_by[at].1 -= 1;
-            if place.open_by[at].1 == 0 {
-                place.open_by.swap_remove(at);
+        backend.open = backend.open.saturating_sub(1);
+        backend.closed += 1;
+        if let Some(at) = backend.open_by.iter().position(|(each, _)| each == work) {
+            backend.open_by[at].1 -= 1;
+            if backend.open_by[at].1 == 0 {
+                backend.open_by.swap_remove(at);
             }
         }
     }
 
     /// Records that a back end failed after accepting a request. It is ejected after several consecutive
     /// failures unless too many back ends of its kind are suspected already.
-    pub fn record_failure(&mut self, now: Time, site: Index) {
-        let Some(place) = self.place_mut(site) else {
+    pub fn record_failure(&mut self, now: Time, index: Index) {
+        let Some(backend) = self.backend_mut(index) else {
             return;
         };
-        if !place.health.record_failure() {
+        if !backend.health.record_failure() {
             return;
         }
-        let work = place.description.works.first().cloned();
-        let kin = work.and_then(|work| self.holders.get(&work)).map_or(&[][..], Vec::as_slice);
-        let doubted = kin
+        let work = backend.description.works.first().cloned();
+        let holders = work.and_then(|work| self.holders.get(&work)).map_or(&[][..], Vec::as_slice);
+        let suspected = holders
             .iter()
-            .filter_map(|site| self.place(Index(*site)))
-            .filter(|place| place.health.is_suspected())
+            .filter_map(|index| self.backend(Index(*index)))
+            .filter(|backend| backend.health.is_suspected())
             .count();
-        if (doubted + 1) * EJECTED_PART <= kin.len()
-            && let Some(health) = self.health(site)
+        if (suspected + 1) * EJECTED_PART <= holders.len()
+            && let Some(health) = self.health(index)
         {
             health.eject(now);
         }
@@ -310,17 +325,17 @@
 
     /// Records the prompt blocks that a back end has cached or evicted.
     pub fn cache_changed(&mut self, name: &Name, stored: &[u64], evicted: &[u64], cleared: bool) {
-        let Some(Index(site)) = self.index(name) else {
+        let Some(Index(index)) = self.index(name) else {
             return;
         };
         if cleared {
-            self.sketch.clear(site);
+            self.sketch.clear(index);
         }
         for hash in stored {
-            self.sketch.store(*hash, site);
+            self.sketch.store(*hash, index);
         }
         for hash in evicted {
-            self.sketch.evict(*hash, site);
+            self.sketch.evict(*hash, index);
         }
     }
 }
--- a/core/src/route/choose.rs
+++ b/core/src/route/choose.rs
@@ -51,72 +51,73 @@
 
 impl Routes {
     /// Chooses the back end with the lowest rank among those examined.
-    pub fn pick(&self, rng: &mut fastrand::Rng, now: Time, wanted: &Query<'_>) -> Choice {
-        let Some(holders) = self.holders.get(wanted.work) else {
+    pub fn pick(&self, rng: &mut fastrand::Rng, now: Time, query: &Query<'_>) -> Choice {
+        let Some(holders) = self.holders.get(query.work) else {
             return Choice::NoBackend;
         };
         let mut best = Best::default();
         if holders.len() <= SCAN_MAX {
-            for site in holders {
-                self.consider(now, wanted, *site, &mut best);
+            for index in holders {
+                self.consider(now, query, *index, &mut best);
             }
             return best.choice();
         }
-        for (site, _) in self.sketch.best::<HINTS>(wanted.prefix).into_iter().flatten() {
-            if self.backends[usize::from(site)]
+        for (index, _) in self.sketch.best::<HINTS>(query.prefix).into_iter().flatten() {
+            if self.backends[usize::from(index)]
                 .as_ref()
-                .is_some_and(|place| place.description.works.binary_search(wanted.work).is_ok())
+                .is_some_and(|backend| backend.description.works.binary_search(query.work).is_ok())
             {
-                self.consider(now, wanted, site, &mut best);
+                self.consider(now, query, index, &mut best);
             }
         }
-        for looked in 0..SAMPLE + SAMPLE_MORE {
-            if looked >= SAMPLE && best.is_good() {
+        for examined in 0..SAMPLE + SAMPLE_MORE {
+            if examined >= SAMPLE && best.is_good() {
                 break;
             }
-            let site = holders[rng.usize(..holders.len())];
-            self.consider(now, wanted, site, &mut best);
+            let index = holders[rng.usize(..holders.len())];
+            self.consider(now, query, index, &mut best);
         }
         best.choice()
     }
 
-    fn consider(&self, now: Time, wanted: &Query<'_>, site: u16, best: &mut Best) {
-        let Some(place) = self.place(Index(site)).filter(|place| place.description.accepts_work) else {
+    fn consider(&self, now: Time, query: &Query<'_>, index: u16, best: &mut Best) {
+        let Some(backend) = self.backend(Index(index)).filter(|backend| backend.description.accepts_work)
+        else {
             return;
         };
-        let standing = place.health.standing(now, place.open);
-        best.known = true;
-        best.sound |= standing != Standing::Suspected;
+        let standing = backend.health.standing(now, backend.open);
+        best.any_accepting = true;
+        best.any_unsuspected |= standing != Standing::Suspected;
         // A suspected back end gets one attempt at a time, and none while another one is not suspected.
-        if standing == Standing::Suspected && place.open > 0 {
+        if standing == Standing::Suspected && backend.open > 0 {
             return;
         }
-        let slots = place.description.slots.max(1) as f32 * place.health.slot_share(now);
-        let room = match wanted.priority {
+        let slots = backend.description.slots.max(1) as f32 * backend.health.slot_share(now);
+        let room = match query.priority {
             Priority::Deferrable => (slots * DEFERRABLE_PART).max(1.0),
             _ => slots * (1.0 + HEADROOM),
         };
-        let load = place.load() as f32;
+        let load = backend.load() as f32;
         if load >= room {
             return;
         }
-        let avoided = wanted.avoid.contains(&place.description.name);
+        let avoided = query.avoid.contains(&backend.description.name);
         let mut cost = (load + 1.0) / slots;
-        if !place.description.local {
+        if !backend.description.local {
             cost += ZONE_COST;
         }
-        if !wanted.prefix.is_empty() {
-            let matched = self.sketch.matched(wanted.prefix, site);
-            cost -= PREFIX_GAIN * matched as f32 / wanted.prefix.len() as f32;
+        if !query.prefix.is_empty() {
+            let matched = self.sketch.matched(query.prefix, index);
+            cost -= PREFIX_GAIN * matched as f32 / query.prefix.len() as f32;
         }
-        best.offer(Rank { doubtful: standing == Standing::Suspected, avoided, cost }, site);
+        best.offer(Rank { suspected: standing == Standing::Suspected, avoided, cost }, index);
     }
 }
 
 /// Rank of a candidate; the lowest is best.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 struct Rank {
-    doubtful: bool,
+    suspected: bool,
     avoided: bool,
     cost: f32,
 }
@@ -125,26 +126,26 @@
 #[derive(Debug, Default)]
 struct Best {
     found: Option<(Rank, u16)>,
-    known: bool,
-    sound: bool,
+    any_accepting: bool,
+    any_unsuspected: bool,
 }
 
 impl Best {
-    fn offer(&mut self, rank: Rank, site: u16) {
+    fn offer(&mut self, rank: Rank, index: u16) {
         if self.found.is_none_or(|(best, _)| rank < best) {
-            self.found = Some((rank, site));
+            self.found = Some((rank, index));
         }
     }
 
     fn is_good(&self) -> bool {
-        self.found.is_some_and(|(rank, _)| !rank.doubtful && !rank.avoided)
+        self.found.is_some_and(|(rank, _)| !rank.suspected && !rank.avoided)
     }
 
     fn choice(&self) -> Choice {
         match self.found {
-            Some((rank, _)) if rank.doubtful && self.sound => Choice::Full,
-            Some((_, site)) => Choice::Backend(Index(site)),
-            None if self.known => Choice::Full,
+            Some((rank, _)) if rank.suspected && self.any_unsuspected => Choice::Full,
+            Some((_, index)) => Choice::Backend(Index(index)),
+            None if self.any_accepting => Choice::Full,
             None => Choice::NoBackend,
         }
     }
--- a/core/src/stream.rs
+++ b/core/src/stream.rs
@@ -38,7 +38,7 @@
         foreign(state, now, attempt, out);
         return;
     }
-    let took = now.since(current.sent_at);
+    let elapsed = now.since(current.sent_at);
     let first = !std::mem::replace(&mut current.head_received, true);
     current.last_progress = now;
     let (backend, watch) = (current.backend.clone(), current.silence_timer);
@@ -47,7 +47,7 @@
     if let Some(flow) = state.flow.flows.get(&attempt.request)
         && let Some(lane) = state.flow.lanes.get_mut(&flow.work).filter(|_| first && flow.stream)
     {
-        lane.head_latency.record(took);
+        lane.head_latency.record(elapsed);
     }
     if let Some(health) = state.routes.index(&backend).and_then(|site| state.routes.health(site)) {
         health.clear_suspicion();
@@ -114,7 +114,7 @@
         foreign(state, now, attempt, out);
         return;
     }
-    let (took, backend) = (now.since(current.sent_at), current.backend.clone());
+    let (elapsed, backend) = (now.since(current.sent_at), current.backend.clone());
     let Some(flow) = state.flow.flows.get(&attempt.request) else {
         return;
     };
@@ -123,7 +123,7 @@
         return;
     }
     if let Some(lane) = state.flow.lanes.get_mut(&flow.work) {
-        lane.latency.record(took);
+        lane.latency.record(elapsed);
     }
     state.budget.earn(&state.settings);
     if let Some(health) = state.routes.index(&backend).and_then(|site| state.routes.health(site)) {
@@ -135,8 +135,8 @@
 /// Handles a non-streamed answer that exceeds the edge's buffer. It is passed on from now on, so that the
 /// request can no longer be retried.
 pub(crate) fn buffer_exceeded(state: &mut State, attempt: id::Attempt, out: &mut Vec<Effect>) {
-    let headed = open(state, attempt).is_some_and(|current| current.head_received);
-    if let Some(flow) = state.flow.flows.get_mut(&attempt.request).filter(|_| headed) {
+    let head_received = open(state, attempt).is_some_and(|current| current.head_received);
+    if let Some(flow) = state.flow.flows.get_mut(&attempt.request).filter(|_| head_received) {
         flow.committed = true;
         out.push(Effect::Commit(attempt));
     }
--- a/core/src/timer.rs
+++ b/core/src/timer.rs
@@ -37,7 +37,7 @@
 }
 
 /// Delay of a wake-up from which on the process counts as stalled.
-const PAUSE: Duration = Duration::from_millis(500);
+const STALL_MIN: Duration = Duration::from_millis(500);
 
 /// Identifies an active timer to cancel it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -51,12 +51,12 @@
 pub struct Timers<T> {
     set: BTreeMap<Handle, T>,
     seq: u64,
-    announced: Option<Time>,
+    wake_at: Option<Time>,
 }
 
 impl<T> Default for Timers<T> {
     fn default() -> Self {
-        Self { set: BTreeMap::new(), seq: 0, announced: None }
+        Self { set: BTreeMap::new(), seq: 0, wake_at: None }
     }
 }
 
@@ -77,13 +77,13 @@
     /// Time since the requested wake-up; zero if it is not reached yet.
     #[must_use]
     pub fn lateness(&self, now: Time) -> Duration {
-        self.announced.map_or(Duration::ZERO, |at| now.since(at))
+        self.wake_at.map_or(Duration::ZERO, |at| now.since(at))
     }
 
     /// Whether the process was woken so late that it must have stalled.
     #[must_use]
     pub fn has_stalled(&self, now: Time) -> bool {
-        self.lateness(now) >= PAUSE
+        self.lateness(now) >= STALL_MIN
     }
 
     /// Number of active timers.
@@ -107,11 +107,11 @@
     /// Time of the next wake-up, unless an earlier or equal one has been requested already.
     pub fn next_wake(&mut self, now: Time) -> Option<Time> {
         let next = self.set.first_key_value().map(|(handle, _)| handle.at)?;
-        let pending = self.announced.is_some_and(|at| at > now && at <= next);
+        let pending = self.wake_at.is_some_and(|at| at > now && at <= next);
         if pending {
             return None;
         }
-        self.announced = Some(next);
+        self.wake_at = Some(next);
         Some(next)
     }
 }
--- a/core/tests/admission.rs
+++ b/core/tests/admission.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn deferrable_returns() {
+fn deferrable_resumes() {
     let callers = vec![caller("duty", Priority::Urgent, 1)];
     let mut entry = filled(Settings::default(), callers, Some("duty"));
     let ask = Ask { caller: Some("duty"), priority: Some(Priority::Deferrable), ..Ask::default() };
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn no_more_urgent() {
+fn priority_capped_by_caller() {
     let callers = vec![caller("batch", Priority::Deferrable, 1), caller("desk", Priority::Normal, 1)];
     let mut entry = filled(Settings::default(), callers, Some("desk"));
     let urgent = Some(Priority::Urgent);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn late_give_way() {
+fn late_served_last() {
     let mut entry = filled(Settings::default(), Vec::new(), None);
     let (late, _) = entry.ask(Ask::default());
     entry.advance(Duration::from_secs(2));
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn given_up_late() {
+fn hopeless_refused_early() {
     let mut entry = filled(Settings::default(), Vec::new(), None);
     let oldest = entry.sent()[0].attempt;
     entry.advance(Duration::from_secs(1));
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn waits_for_load() {
+fn wait_for_load() {
     let mut entry = Entry::new(Settings::default(), Vec::new(), &[], &[]);
     let (id, _) = entry.ask(Ask { patience: Duration::from_secs(5), ..Ask::default() });
     entry.advance(Duration::from_secs(4));
--- a/core/tests/fault_matrix.rs
+++ b/core/tests/fault_matrix.rs
@@ -7,13 +7,13 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::{env, fs, thread};
 
-use matrix::fault::{Fault, Kind, Stage, Step, Strike};
+use matrix::fault::{Fault, Injection, Kind, Stage, Step};
 use matrix::{page, world};
 
 /// Number of threads that run cases.
 const WORKERS: usize = 4;
 /// Factor by which a fault that applies to few steps gets more seeds for each.
-const MORE: u64 = 8;
+const SEED_FACTOR: u64 = 8;
 /// Default number of random pairs.
 const PAIRS: u64 = 200;
 
@@ -21,20 +21,20 @@
 #[derive(Clone, Debug)]
 struct Case {
     seed: u64,
-    plan: Vec<Strike>,
+    plan: Vec<Injection>,
 }
 
 impl Case {
     /// Text form of the case in `FAULTS_CASE`.
     fn name(&self) -> String {
-        let strikes: Vec<String> = self.plan.iter().map(Strike::to_string).collect();
-        format!("{}|{}", self.seed, strikes.join("|"))
+        let injections: Vec<String> = self.plan.iter().map(Injection::to_string).collect();
+        format!("{}|{}", self.seed, injections.join("|"))
     }
 
     fn parse(name: &str) -> Option<Self> {
         let (seed, rest) = name.split_once('|')?;
         let plan = rest.split('|').filter(|part| !part.is_empty()).map(|part| part.parse().ok());
-        Some(Self { seed: seed.parse().ok()?, plan: plan.collect::<Option<Vec<Strike>>>()? })
+        Some(Self { seed: seed.parse().ok()?, plan: plan.collect::<Option<Vec<Injection>>>()? })
     }
 }
 
@@ -42,7 +42,7 @@
 /// an invariant that KNOWN-RED.txt does not list.
 fn run_all(cases: &[Case]) -> Vec<(&Case, u32)> {
     let next = AtomicUsize::new(0);
-    let (struck, broken) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
+    let (injected, broken) = (Mutex::new(Vec::new()), Mutex::new(Vec::new()));
     thread::scope(|scope| {
         for _ in 0..WORKERS {
             scope.spawn(|| {
@@ -51,13 +51,13 @@
                     if let Some(why) = run.broken {
                         broken.lock().expect("no panic").push((case, why));
                     }
-                    struck.lock().expect("no panic").push((case, run.struck));
+                    injected.lock().expect("no panic").push((case, run.injected));
                 }
             });
         }
     });
     report(broken.into_inner().expect("no panic"));
-    struck.into_inner().expect("no panic")
+    injected.into_inner().expect("no panic")
 }
 
 /// Whether KNOWN-RED.txt lists this case, as `[CASE]` in a line of this test.
@@ -70,8 +70,8 @@
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../KNOWN-RED.txt");
     let known = fs::read_to_string(path).unwrap_or_default();
     broken.sort_by_key(|(case, _)| case.seed);
-    let (red, new): (Vec<_>, Vec<_>) = broken.into_iter().partition(|(case, _)| is_known(&known, case));
-    for (case, why) in &red {
+    let (known_red, new): (Vec<_>, Vec<_>) = broken.into_iter().partition(|(case, _)| is_known(&known, case));
+    for (case, why) in &known_red {
         eprintln!("known red: {}: {why}", case.name());
     }
     for (case, why) in &new {
@@ -114,32 +114,32 @@
         // Faults of single messages apply to few steps, but differ with the message, so they get more
         // seeds.
         let few = cells.iter().filter(|(other, _)| *other == fault).count() < Kind::ALL.len();
-        for seed in 1..=if few { seeds * MORE } else { seeds } {
+        for seed in 1..=if few { seeds * SEED_FACTOR } else { seeds } {
             let count = reached.get(&step).copied().unwrap_or(1);
             let last = (count * 2 / 3).min(count.saturating_sub(2)).max(1);
             let seed = seed * 100_000 + at as u64;
             let nth = 1 + fastrand::Rng::with_seed(seed).u32(0..last);
             cases.extend(
-                [false, true].map(|twice| Case { seed, plan: vec![Strike { fault, step, nth, twice }] }),
+                [false, true].map(|twice| Case { seed, plan: vec![Injection { fault, step, nth, twice }] }),
             );
         }
     }
-    let mut attacked = BTreeMap::new();
-    let mut count = |case: &Case, strikes: u32| {
-        let most = attacked.entry((case.plan[0].fault, case.plan[0].step)).or_insert(0);
-        *most = strikes.max(*most);
+    let mut covered = BTreeMap::new();
+    let mut count = |case: &Case, injections: u32| {
+        let max = covered.entry((case.plan[0].fault, case.plan[0].step)).or_insert(0);
+        *max = injections.max(*max);
     };
     let mut missed = Vec::new();
-    for (case, strikes) in run_all(&cases) {
-        count(case, strikes);
-        if strikes <= u32::from(case.plan[0].twice) {
-            missed.push(Case { plan: vec![Strike { nth: 1, ..case.plan[0] }], ..case.clone() });
+    for (case, injections) in run_all(&cases) {
+        count(case, injections);
+        if injections <= u32::from(case.plan[0].twice) {
+            missed.push(Case { plan: vec![Injection { nth: 1, ..case.plan[0] }], ..case.clone() });
         }
     }
-    for (case, strikes) in run_all(&missed) {
-        count(case, strikes);
+    for (case, injections) in run_all(&missed) {
+        count(case, injections);
     }
-    page::check(&page::table(&attacked));
+    page::check(&page::table(&covered));
 }
 
 #[test]
@@ -151,7 +151,7 @@
             let mut plan = Vec::new();
             for _ in 0..2 {
                 let (fault, step) = *u.choose(&cells)?;
-                plan.push(Strike { fault, step, nth: u.int_in_range(1..=12)?, twice: u.arbitrary()? });
+                plan.push(Injection { fault, step, nth: u.int_in_range(1..=12)?, twice: u.arbitrary()? });
             }
             drawn.lock().expect("no panic").push(Case { seed: u.arbitrary()?, plan });
             Ok(())
--- a/core/tests/idempotency_claims.rs
+++ b/core/tests/idempotency_claims.rs
@@ -106,7 +106,7 @@
     }
 
     /// Inserts a claim of another entry VM on `key`.
-    fn foreign(&mut self, key: &str, deadline: Duration) {
+    fn insert_other_claim(&mut self, key: &str, deadline: Duration) {
         let row = Row {
             request: id::Request { by: id::Incarnation(77), seq: 1 },
             digest: "digest".into(),
@@ -195,7 +195,7 @@
 #[test]
 fn running_elsewhere() {
     let mut claims = Claims::new();
-    claims.foreign("k", Duration::from_secs(10));
+    claims.insert_other_claim("k", Duration::from_secs(10));
     let (again, _) = claims.ask("k", "digest");
     let effects = claims.settle(&[]);
     assert_eq!(outcome(&effects, again), Some((Code::InProgress, Outcome::Unknown)));
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn given_back() {
+fn freed_if_not_run() {
     let mut claims = Claims::new();
     let (first, _) = claims.ask("k", "digest");
     let mut effects = claims.settle(&[]);
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn gone_while_claiming() {
+fn caller_gone_while_claiming() {
     let mut claims = Claims::new();
     let (first, _) = claims.ask("k", "digest");
     let effects = claims.entry.advance(LINGER);
@@ -266,7 +266,7 @@
 #[test]
 fn expired_taken_over() {
     let mut claims = Claims::new();
-    claims.foreign("k", Duration::from_secs(10));
+    claims.insert_other_claim("k", Duration::from_secs(10));
     claims.entry.now = claims.entry.now + Settings::default().claim_keep;
     let _waits = claims.ask("k", "digest");
     let _sent = sent(&claims.settle(&[]));
--- a/core/tests/matrix/check.rs
+++ b/core/tests/matrix/check.rs
@@ -40,7 +40,7 @@
         u64::from(self.arrival.max_tokens)
     }
 
-    fn runs_once(&self) -> bool {
+    fn at_most_once(&self) -> bool {
         !self.arrival.idempotent.unwrap_or(matches!(self.arrival.subject, Subject::Model(_)))
     }
 }
@@ -60,7 +60,7 @@
     key_runs: BTreeMap<Name, u32>,
 }
 
-fn hold(promise: bool, broken: impl FnOnce() -> String) -> Check {
+fn ensure(promise: bool, broken: impl FnOnce() -> String) -> Check {
     if promise { Ok(()) } else { Err(broken()) }
 }
 
@@ -83,16 +83,18 @@
         let mut next = Some(attempt.request);
         while let Some(taken) = next.and_then(|id| self.taken.get_mut(&id)) {
             taken.runs += 1;
-            hold(taken.ended != Some(Outcome::NotRun), || {
+            ensure(taken.ended != Some(Outcome::NotRun), || {
                 format!("{attempt} runs after its request was reported as not run")
             })?;
-            let once = taken.runs_once();
-            hold(!once || taken.runs == 1, || format!("{attempt} runs again although it is not idempotent"))?;
+            let once = taken.at_most_once();
+            ensure(!once || taken.runs == 1, || {
+                format!("{attempt} runs again although it is not idempotent")
+            })?;
             next = taken.parent.map(|(.., attempt)| attempt.request);
             if let (None, true, Some(key)) = (next, once, &taken.arrival.key) {
                 let runs = self.key_runs.entry(key.clone()).or_default();
                 *runs += 1;
-                hold(*runs == 1, || format!("{attempt} runs again under idempotency key {key}"))?;
+                ensure(*runs == 1, || format!("{attempt} runs again under idempotency key {key}"))?;
             }
         }
         Ok(())
@@ -100,16 +102,18 @@
 
     /// Records that an event of a stream is delivered to the caller as a result of `event`.
     pub fn deliver(&mut self, attempt: id::Attempt, offset: u64, event: &Event) -> Check {
-        hold(*event == Event::Chunk { attempt, offset }, || {
+        ensure(*event == Event::Chunk { attempt, offset }, || {
             format!("{attempt} delivers an event that was not received")
         })?;
-        hold(!self.foreign.contains(&attempt), || {
+        ensure(!self.foreign.contains(&attempt), || {
             format!("{attempt} delivers the answer of another attempt")
         })?;
         let taken =
             self.taken.get_mut(&attempt.request).ok_or("an event is delivered for an unknown request")?;
-        hold(taken.ended.is_none(), || format!("{attempt} delivers an event after the end of its request"))?;
-        hold(taken.delivered == offset, || {
+        ensure(taken.ended.is_none(), || {
+            format!("{attempt} delivers an event after the end of its request")
+        })?;
+        ensure(taken.delivered == offset, || {
             format!("{attempt} delivers event {offset} instead of {}", taken.delivered)
         })?;
         taken.delivered += 1;
@@ -126,21 +130,21 @@
     /// Records that a request ends as a result of `event`.
     pub fn end(&mut self, request: id::Request, end: &End, event: &Event) -> Check {
         let taken = self.taken.get_mut(&request).ok_or("an unknown request ends")?;
-        hold(taken.ended.is_none(), || format!("{request} ends twice"))?;
+        ensure(taken.ended.is_none(), || format!("{request} ends twice"))?;
         taken.ended = Some(end.outcome());
         match (end.outcome(), end.attempt()) {
             (Outcome::NotRun, _) => {
-                hold(taken.runs == 0, || format!("{request} ran, but is reported as not run"))
+                ensure(taken.runs == 0, || format!("{request} ran, but is reported as not run"))
             }
             (Outcome::Answered, Some(attempt)) => {
                 let whole = matches!(event, Event::Finished { attempt: of, .. } if *of == attempt);
-                hold(whole, || format!("{request} ends as answered before the end of its answer"))?;
-                hold(!self.foreign.contains(&attempt), || {
+                ensure(whole, || format!("{request} ends as answered before the end of its answer"))?;
+                ensure(!self.foreign.contains(&attempt), || {
                     format!("{request} gets the answer of another attempt")
                 })?;
                 let other = taken.committed.is_some_and(|committed| committed != attempt);
-                hold(!other, || format!("{request} gets parts of two answers"))?;
-                hold(!taken.arrival.stream || taken.delivered == taken.length(), || {
+                ensure(!other, || format!("{request} gets parts of two answers"))?;
+                ensure(!taken.arrival.stream || taken.delivered == taken.length(), || {
                     format!("{request} is answered with {} of {} events", taken.delivered, taken.length())
                 })
             }
@@ -154,7 +158,7 @@
             .taken
             .iter()
             .find(|(_, taken)| taken.node == node && taken.life == life && taken.ended.is_none());
-        hold(open.is_none(), || format!("{open:?} has not ended"))
+        ensure(open.is_none(), || format!("{open:?} has not ended"))
     }
 
     /// Checks that every streamed request was answered, unless its caller disconnected. Silent connections
@@ -171,7 +175,7 @@
                 && taken.ended != Some(Outcome::Answered)
                 && !passed(request)
         });
-        hold(failed.is_none(), || format!("{failed:?} was not answered"))
+        ensure(failed.is_none(), || format!("{failed:?} was not answered"))
     }
 
     /// Records a submitted configuration. Models that it omits may be dropped from now on, whether it is
@@ -188,7 +192,7 @@
     /// Records an accepted configuration.
     pub fn accept(&mut self, version: u64, document: &Document) -> Check {
         let first = self.accepted.insert(version, document.clone());
-        hold(first.is_none(), || format!("two changes were accepted as version {version}"))
+        ensure(first.is_none(), || format!("two changes were accepted as version {version}"))
     }
 
     /// Checks the engines after each event: no memory is exceeded and no declared model loses its last
@@ -196,7 +200,7 @@
     pub fn engines(&mut self, backends: &[Backend]) -> Check {
         for backend in backends.iter().filter(|backend| backend.up) {
             let taken = backend.taken();
-            hold(taken <= MEMORY_MB, || format!("{} holds {taken} MB of {MEMORY_MB}", backend.vm.name))?;
+            ensure(taken <= MEMORY_MB, || format!("{} holds {taken} MB of {MEMORY_MB}", backend.vm.name))?;
         }
         for model in &self.declared {
             if is_ready(backends, model) {
@@ -215,7 +219,7 @@
         let (model, version) = (model.name.clone(), model.versions[0].name.clone());
         let artifact = Artifact { model, adapter: None, version };
         let ready = backends.iter().any(|backend| backend.up && backend.is_ready(&artifact));
-        hold(ready, || format!("{artifact} is declared, but no engine has it ready at the end"))?;
+        ensure(ready, || format!("{artifact} is declared, but no engine has it ready at the end"))?;
     }
     Ok(())
 }
--- a/core/tests/matrix/fault.rs
+++ b/core/tests/matrix/fault.rs
@@ -46,8 +46,8 @@
 closed!(
     /// Kind of effect.
     Kind {
-        Send = "send", Cancel = "cancel", Release = "release", Deliver = "deliver", Commit = "commit", End = "end", Retire = "retire",
-        List = "list", Poll = "poll", Order = "order", Table = "table", Tell = "tell", Answer = "answer",
+        Send = "send", Cancel = "cancel", Release = "release", Deliver = "deliver", Commit = "commit", End = "end", CloseConnections = "retire",
+        ListVms = "list", Poll = "poll", Order = "order", Table = "table", SendFrame = "tell", Answer = "answer",
         Record = "record", Ready = "ready", WakeAt = "wake-at", Exit = "exit",
     }
 );
@@ -70,12 +70,12 @@
             Effect::Deliver { .. } => Self::Deliver,
             Effect::Commit(_) => Self::Commit,
             Effect::End { .. } => Self::End,
-            Effect::CloseConnections(_) => Self::Retire,
-            Effect::ListVms => Self::List,
+            Effect::CloseConnections(_) => Self::CloseConnections,
+            Effect::ListVms => Self::ListVms,
             Effect::Poll { .. } => Self::Poll,
             Effect::Order { .. } => Self::Order,
             Effect::Table { .. } => Self::Table,
-            Effect::SendFrame { .. } => Self::Tell,
+            Effect::SendFrame { .. } => Self::SendFrame,
             Effect::Answer { .. } => Self::Answer,
             Effect::Record(_) => Self::Record,
             Effect::Ready(_) => Self::Ready,
@@ -86,12 +86,12 @@
 
     /// Whether the effect is sent to another process.
     pub fn is_remote(self) -> bool {
-        self.is_answered() || matches!(self, Self::Cancel | Self::Tell)
+        self.is_answered() || matches!(self, Self::Cancel | Self::SendFrame)
     }
 
     /// Whether the success of the effect is reported by an event.
     pub fn is_answered(self) -> bool {
-        matches!(self, Self::Send | Self::List | Self::Poll | Self::Order | Self::Table)
+        matches!(self, Self::Send | Self::ListVms | Self::Poll | Self::Order | Self::Table)
     }
 }
 
@@ -112,35 +112,35 @@
     /// message. An attempt cannot be duplicated, since it is sent on one connection.
     pub fn applies(self, step: Step) -> bool {
         let (kind, stage) = step;
-        let befalls = match self {
+        let step_matches = match self {
             Self::Lost | Self::Late => stage == Stage::Sent,
             Self::Twice => stage == Stage::Sent && kind != Kind::Send,
             Self::AnswerLost | Self::AnswerLate => stage == Stage::Done && kind.is_answered(),
             Self::OutOfOrder | Self::Foreign => stage == Stage::Done && kind == Kind::Send,
             _ => true,
         };
-        befalls && exists(step)
+        step_matches && exists(step)
     }
 }
 
 /// A fault to inject when a step is reached for the `nth` time in a run, and again at the next time if
 /// `twice`.
 #[derive(Clone, Copy, Debug)]
-pub struct Strike {
+pub struct Injection {
     pub fault: Fault,
     pub step: Step,
     pub nth: u32,
     pub twice: bool,
 }
 
-impl fmt::Display for Strike {
+impl fmt::Display for Injection {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (kind, stage) = self.step;
         write!(f, "{}/{kind}/{stage}/{}/{}", self.fault, self.nth, u8::from(self.twice))
     }
 }
 
-impl FromStr for Strike {
+impl FromStr for Injection {
     type Err = ();
 
     fn from_str(text: &str) -> Result<Self, ()> {
--- a/core/tests/matrix/outside.rs
+++ b/core/tests/matrix/outside.rs
@@ -15,7 +15,7 @@
 
 impl World {
     /// Injects a fault into the answers of an effect.
-    pub fn disturb(&mut self, fault: Fault, answers: &mut Answers) {
+    pub fn alter_answers(&mut self, fault: Fault, answers: &mut Answers) {
         match fault {
             Fault::AnswerLost => answers.clear(),
             Fault::AnswerLate => answers.iter_mut().for_each(|(wait, _)| *wait += OUTAGE),
@@ -47,19 +47,19 @@
         entries.chain(self.backends.iter().map(|backend| backend.vm.clone())).collect()
     }
 
-    pub fn lasts(&self, fault: Fault) -> bool {
+    pub fn is_active(&self, fault: Fault) -> bool {
         self.until.get(&fault).is_some_and(|until| *until > self.now)
     }
 
     /// Whether an entry VM cannot reach a zone.
     pub fn is_cut(&self, at: usize, zone: &str) -> bool {
-        self.lasts(Fault::ZonesCut) && ENTRIES[at].1 != zone
+        self.is_active(Fault::ZonesCut) && ENTRIES[at].1 != zone
     }
 
     /// Carries out a remote effect. Returns the answers, if any.
     pub fn perform(&mut self, at: usize, life: u64, effect: &Effect) -> Result<Answers, String> {
-        let wait = self.soon();
-        let off_platform = self.lasts(Fault::PlatformCut) && self.cut_zone == at / 2;
+        let wait = self.random_delay();
+        let platform_cut = self.is_active(Fault::PlatformCut) && self.cut_zone == at / 2;
         let to = self.target(effect);
         let to = to.filter(|to| self.backends[*to].up && !self.is_cut(at, &self.backends[*to].vm.zone));
         let answers = match effect {
@@ -68,9 +68,9 @@
                 self.cancel(*attempt);
                 Vec::new()
             }
-            Effect::ListVms if off_platform => vec![Event::VmListFailed],
+            Effect::ListVms if platform_cut => vec![Event::VmListFailed],
             Effect::ListVms => vec![Event::VmsListed(self.list())],
-            Effect::Table { op, .. } if off_platform || self.lasts(Fault::TableDown) => {
+            Effect::Table { op, .. } if platform_cut || self.is_active(Fault::TableDown) => {
                 vec![Event::TableAnswered { op: *op, reply: Err(Failure::Unavailable) }]
             }
             Effect::Table { op, call } => return Ok(self.call(*op, call, wait)),
@@ -93,7 +93,7 @@
     }
 
     fn list(&mut self) -> Vec<Vm> {
-        if self.lasts(Fault::ListStale) {
+        if self.is_active(Fault::ListStale) {
             return self.old_list.clone();
         }
         for (to, backend) in self.backends.iter().enumerate() {
@@ -106,15 +106,15 @@
 
     fn call(&mut self, op: id::Op, call: &Call, wait: Duration) -> Answers {
         let reply = Event::TableAnswered { op, reply: Ok(self.table.call(call)) };
-        if !self.lasts(Fault::TableSlow) {
+        if !self.is_active(Fault::TableSlow) {
             return vec![(wait, reply)];
         }
         vec![(TIMEOUT, Event::TableAnswered { op, reply: Err(Failure::Unknown) }), (TIMEOUT * 2, reply)]
     }
 
     fn poll(&mut self, to: usize, from: u64) -> Vec<Event> {
-        let stale = self.lasts(Fault::ReportStale);
-        let gap = if self.lasts(Fault::CacheGaps) { 100 } else { 0 };
+        let stale = self.is_active(Fault::ReportStale);
+        let gap = if self.is_active(Fault::CacheGaps) { 100 } else { 0 };
         let backend = &mut self.backends[to];
         let mut report = backend.report();
         let old = self.old_reports.iter().find(|old| old.engine == report.engine);
@@ -145,7 +145,7 @@
     }
 
     /// Injects a fault while `node` carries out an effect at back end `to`.
-    pub fn befall(&mut self, fault: Fault, node: usize, to: Option<usize>) {
+    pub fn inject(&mut self, fault: Fault, node: usize, to: Option<usize>) {
         let until = self.now + OUTAGE;
         // Engines come first in the list. Servers of plain services are affected by `Leaves` only.
         let among = if fault == Fault::Leaves { self.backends.len() } else { ENGINES };
@@ -169,8 +169,8 @@
             Fault::Silent => self.silence(node, to),
             Fault::Race => {
                 let (edition, base) = (self.edition.max(1), self.truth.accepted.keys().last().copied());
-                self.operate(node, edition, base);
-                self.operate((node + 2) % ENTRIES.len(), edition, base);
+                self.apply_config(node, edition, base);
+                self.apply_config((node + 2) % ENTRIES.len(), edition, base);
             }
             Fault::Demand => (0..10).for_each(|n| self.turn_in(n, Turn::Arrive(1_008 + 9 * n))),
             _ => {}
@@ -184,7 +184,7 @@
 }
 
 /// Event by which the edge reports that an effect was not answered in time.
-pub fn given_up(effect: &Effect) -> Option<Event> {
+pub fn timeout_event(effect: &Effect) -> Option<Event> {
     match effect {
         Effect::ListVms => Some(Event::VmListFailed),
         Effect::Poll { engine, .. } => Some(Event::ReportFailed(engine.clone())),
--- a/core/tests/matrix/page.rs
+++ b/core/tests/matrix/page.rs
@@ -12,7 +12,7 @@
 
 /// Renders the table: a letter for each step at which the fault was injected, a capital letter if it was
 /// injected twice in a run.
-pub fn table(attacked: &BTreeMap<(Fault, Step), u32>) -> String {
+pub fn table(covered: &BTreeMap<(Fault, Step), u32>) -> String {
     let heads: Vec<String> = Kind::ALL.iter().map(Kind::to_string).collect();
     let mut text = format!("\n| fault | {} |\n|", heads.join(" | "));
     text.push_str(&" --- |".repeat(Kind::ALL.len() + 1));
@@ -21,7 +21,7 @@
         for kind in Kind::ALL {
             let mark = |(stage, letter): (&Stage, char)| {
                 let step = (*kind, *stage);
-                match attacked.get(&(*fault, step)) {
+                match covered.get(&(*fault, step)) {
                     Some(0) => '?',
                     Some(1) => letter,
                     Some(_) => letter.to_ascii_uppercase(),
@@ -35,13 +35,13 @@
     }
     let steps = Kind::ALL.iter().flat_map(|kind| Stage::ALL.iter().map(|stage| (*kind, *stage)));
     let steps = steps.filter(|step| exists(*step)).count();
-    let count = |least: u32| attacked.values().filter(|strikes| **strikes >= least).count();
+    let count = |least: u32| covered.values().filter(|injections| **injections >= least).count();
     let _ = write!(
         text,
         "\n\n{steps} steps × {} faults = {} cells: {} have a meaning, {} are attacked, {} of them twice in a run.\n\n",
         Fault::ALL.len(),
         steps * Fault::ALL.len(),
-        attacked.len(),
+        covered.len(),
         count(1),
         count(2),
     );
--- a/core/tests/matrix/traffic.rs
+++ b/core/tests/matrix/traffic.rs
@@ -20,9 +20,9 @@
 impl World {
     /// Delivers an attempt to its back end. Returns the answers.
     pub fn send(&mut self, at: usize, life: u64, send: &Send) -> Result<Answers, String> {
-        let (attempt, wait) = (send.attempt, self.soon());
+        let (attempt, wait) = (send.attempt, self.random_delay());
         if send.destination == Destination::Peer {
-            return self.pass_on(at, life, send);
+            return self.forward(at, life, send);
         }
         if self.silent.contains_key(&(at, send.address)) && !send.new_connection {
             return Ok(Vec::new());
@@ -55,8 +55,8 @@
     }
 
     /// Delivers an attempt to an entry VM of another zone, where it is a new request.
-    fn pass_on(&mut self, at: usize, life: u64, send: &Send) -> Result<Answers, String> {
-        let (attempt, wait) = (send.attempt, self.soon());
+    fn forward(&mut self, at: usize, life: u64, send: &Send) -> Result<Answers, String> {
+        let (attempt, wait) = (send.attempt, self.random_delay());
         let to = ENTRIES
             .iter()
             .position(|(name, _)| send.backend == *name)
@@ -100,7 +100,7 @@
         let parent = |taken: &Taken| taken.parent.is_some_and(|(.., parent)| parent == attempt);
         let passed = self.truth.taken.iter().find(|(_, taken)| parent(taken));
         if let Some((request, node, life)) = passed.map(|(id, taken)| (*id, taken.node, taken.life)) {
-            let wait = self.soon();
+            let wait = self.random_delay();
             self.event_in(wait, node, life, Event::CallerGone(request));
         }
     }
@@ -109,12 +109,12 @@
     pub fn turn(&mut self, turn: Turn) {
         match turn {
             Turn::Arrive(n) => {
-                if self.call_in(n, n as usize) {
+                if self.submit(n, n as usize) {
                     let wait = self.rng.u64(0..400);
                     self.turn_in(wait, Turn::Repeat(n));
                 }
             }
-            Turn::Repeat(n) => drop(self.call_in(n, n as usize + 1)),
+            Turn::Repeat(n) => drop(self.submit(n, n as usize + 1)),
             Turn::Gone(n) => {
                 let caller = self.truth.taken.iter().find(|(request, _)| request.seq == n + 1);
                 if let Some((request, node, life)) = caller.map(|(id, taken)| (*id, taken.node, taken.life)) {
@@ -123,7 +123,7 @@
             }
             Turn::Apply { edition, .. } if edition <= self.edition => {}
             Turn::Apply { node, edition } => {
-                self.operate(node, edition, None);
+                self.apply_config(node, edition, None);
                 self.turn_in(4_000, Turn::Apply { node: (node + 1) % ENTRIES.len(), edition });
             }
             Turn::Stop(node) => self.event_in(Duration::ZERO, node, self.nodes[node].life, Event::Stop),
@@ -141,7 +141,7 @@
 
     /// Delivers a request of a caller to a ready entry VM. Returns whether the caller submits it again to
     /// another one, as it does if the request has a key.
-    fn call_in(&mut self, n: u64, first: usize) -> bool {
+    fn submit(&mut self, n: u64, first: usize) -> bool {
         let mut all = (0..ENTRIES.len()).map(|at| (first + at) % ENTRIES.len());
         let Some(at) = all.find(|at| self.nodes[*at].ready) else { return false };
         let life = self.nodes[at].life;
@@ -156,7 +156,7 @@
     }
 
     /// Submits an edition of the configuration as an operator.
-    pub fn operate(&mut self, node: usize, edition: u32, base: Option<u64>) {
+    pub fn apply_config(&mut self, node: usize, edition: u32, base: Option<u64>) {
         if self.nodes[node].state.is_none() {
             return;
         }
@@ -195,7 +195,7 @@
     /// later.
     pub fn silence(&mut self, node: usize, to: usize) {
         let connection = (node, self.backends[to].vm.address);
-        self.noticed.retain(|noticed| *noticed != connection);
+        self.known_silent.retain(|known_silent| *known_silent != connection);
         self.silent.insert(connection, self.now);
         let by =
             |attempt: &&id::Attempt| self.truth.taken.get(&attempt.request).is_some_and(|t| t.node == node);
@@ -206,11 +206,11 @@
     }
 
     /// Records that an entry VM knows a connection to be silent, since it resumes an answer on another one.
-    pub fn notice(&mut self, node: usize, attempt: id::Attempt) {
+    pub fn record_known_silent(&mut self, node: usize, attempt: id::Attempt) {
         let back_end = self.backends.iter().find(|backend| backend.known.contains(&attempt));
         let connection = back_end.map(|backend| (node, backend.vm.address));
         let old = |at: &(usize, SocketAddr)| self.silent.get(at).is_some_and(|since| *since < self.now);
-        self.noticed.extend(connection.filter(old));
+        self.known_silent.extend(connection.filter(old));
     }
 
     /// Makes all connections to an engine silent in the middle of a stream. Tries again later if no stream
--- a/core/tests/matrix/world.rs
+++ b/core/tests/matrix/world.rs
@@ -20,8 +20,8 @@
 
 use super::check::{Check, Truth, all_ready};
 use super::fakes::Backend;
-use super::fault::{Fault, Kind, Stage, Step, Strike, exists};
-use super::outside::{given_up, vm};
+use super::fault::{Fault, Injection, Kind, Stage, Step, exists};
+use super::outside::{timeout_event, vm};
 use super::scene::{self, BACKENDS, ENTRIES};
 use super::table::Table;
 
@@ -84,7 +84,7 @@
     /// Number of times that each step was reached.
     pub reached: BTreeMap<Step, u32>,
     /// Number of injected faults.
-    pub struck: u32,
+    pub injected: u32,
     /// Events and effects in order.
     pub trace: Vec<String>,
 }
@@ -107,7 +107,7 @@
     /// Silent connections by entry VM and address, with the time since when they are silent.
     pub silent: BTreeMap<(usize, SocketAddr), Time>,
     /// Silent connections that the entry VM knows to be silent.
-    pub noticed: Vec<(usize, SocketAddr)>,
+    pub known_silent: Vec<(usize, SocketAddr)>,
     /// Time since when back ends are listed as leaving.
     pub leaving: BTreeMap<usize, Time>,
     /// End times of lasting faults.
@@ -117,24 +117,24 @@
     pub table: Table,
     pub old_list: Vec<Vm>,
     pub old_reports: Vec<Report>,
-    plan: Vec<Strike>,
+    plan: Vec<Injection>,
     run: Run,
     traced: bool,
 }
 
 /// Runs a case.
-pub fn run(seed: u64, plan: &[Strike], traced: bool) -> Run {
+pub fn run(seed: u64, plan: &[Injection], traced: bool) -> Run {
     let mut world = World::new(seed, plan, traced);
     for (ms, turn) in scene::script() {
         world.turn_in(ms, turn);
     }
-    let broken = world.play().err();
+    let broken = world.run_events().err();
     Run { broken, ..world.run }
 }
 
 impl World {
-    fn new(seed: u64, plan: &[Strike], traced: bool) -> Self {
-        let checks = !plan.iter().any(|strike| strike.fault == Fault::IgnoresFences);
+    fn new(seed: u64, plan: &[Injection], traced: bool) -> Self {
+        let checks = !plan.iter().any(|injection| injection.fault == Fault::IgnoresFences);
         let backends = BACKENDS.iter().zip(0_u16..).map(|((name, zone, group), at)| {
             let role = Role::Backend((*group).into());
             Backend::new(
@@ -155,7 +155,7 @@
             edition: 0,
             fresh: 1_000,
             silent: BTreeMap::new(),
-            noticed: Vec::new(),
+            known_silent: Vec::new(),
             leaving: BTreeMap::new(),
             until: BTreeMap::new(),
             cut_zone: 0,
@@ -171,7 +171,7 @@
         world
     }
 
-    fn play(&mut self) -> Check {
+    fn run_events(&mut self) -> Check {
         while self.now < END {
             let up = self.nodes.iter().zip(0..).filter(|(node, _)| node.state.is_some());
             let wake = up.map(|(node, at)| (node.wake.max(node.resume), at)).min();
@@ -180,7 +180,7 @@
                 (Some((at, node)), next) if next.is_none_or(|next| at < next) => {
                     self.now = self.now.max(at);
                     self.nodes[node].wake = END;
-                    self.feed(node, None, &Event::Wake)?;
+                    self.handle(node, None, &Event::Wake)?;
                 }
                 _ => {
                     let Some(((at, _), message)) = self.queue.pop_first() else { break };
@@ -198,7 +198,7 @@
         let mut last = None;
         for (at, (name, _)) in ENTRIES.iter().enumerate() {
             self.truth.all_ended(at, self.nodes[at].life)?;
-            let once = |strike: &Strike| strike.fault == Fault::Silent && !strike.twice;
+            let once = |injection: &Injection| injection.fault == Fault::Silent && !injection.twice;
             if scene::LOADED && self.plan.len() <= 1 && self.plan.iter().all(once) {
                 self.truth.all_answered()?;
             }
@@ -242,7 +242,7 @@
         self.queue.insert((self.now + after, self.fresh), message);
     }
 
-    pub fn soon(&mut self) -> Duration {
+    pub fn random_delay(&mut self) -> Duration {
         Duration::from_millis(self.rng.u64(1..=30))
     }
 
@@ -252,7 +252,7 @@
         let (vm, zone) = ENTRIES[at];
         let me = Identity { vm: vm.into(), zone: zone.into(), incarnation: incarnation(at, life) };
         let state = State::new(me, scene::settings(), self.rng.u64(..), self.now);
-        let wake = self.now + self.soon();
+        let wake = self.now + self.random_delay();
         self.nodes[at] = Node { state: Some(Box::new(state)), life, wake, ..Node::default() };
     }
 
@@ -263,7 +263,7 @@
         self.turn_in(1_000, Turn::Start(at));
     }
 
-    fn note(&mut self, at: usize, line: impl FnOnce() -> String) {
+    fn record_trace(&mut self, at: usize, line: impl FnOnce() -> String) {
         if self.traced {
             self.run.trace.push(format!("{} {}: {}", self.now, ENTRIES[at].0, line()));
         }
@@ -277,26 +277,26 @@
         let count = self.run.reached.entry(step).or_default();
         *count += 1;
         let count = *count;
-        let due = |at: &&Strike| at.step == step && (count == at.nth || at.twice && count == at.nth + 1);
-        let faults: Vec<Fault> = self.plan.iter().filter(due).map(|strike| strike.fault).collect();
+        let due = |at: &&Injection| at.step == step && (count == at.nth || at.twice && count == at.nth + 1);
+        let faults: Vec<Fault> = self.plan.iter().filter(due).map(|injection| injection.fault).collect();
         for fault in &faults {
-            self.run.struck += 1;
-            self.note(node, || format!("FAULT {fault} at {step:?}"));
-            self.befall(*fault, node, to);
+            self.run.injected += 1;
+            self.record_trace(node, || format!("FAULT {fault} at {step:?}"));
+            self.inject(*fault, node, to);
         }
         faults
     }
 
     /// Passes an event to a process and starts its effects.
-    fn feed(&mut self, at: usize, kind: Option<Kind>, event: &Event) -> Check {
-        self.note(at, || format!("{event:?}"));
+    fn handle(&mut self, at: usize, kind: Option<Kind>, event: &Event) -> Check {
+        self.record_trace(at, || format!("{event:?}"));
         let life = self.nodes[at].life;
         let Some(state) = self.nodes[at].state.as_mut() else { return Ok(()) };
         for effect in apply(state, self.now, event.clone()) {
             if self.nodes[at].life != life || self.nodes[at].state.is_none() {
                 return Ok(());
             }
-            self.emit(at, effect, event)?;
+            self.start_effect(at, effect, event)?;
         }
         if let Some(kind) = kind {
             self.step(at, None, (kind, Stage::Answered));
@@ -304,8 +304,8 @@
         Ok(())
     }
 
-    fn emit(&mut self, at: usize, effect: Effect, event: &Event) -> Check {
-        self.note(at, || format!("  -> {effect:?}"));
+    fn start_effect(&mut self, at: usize, effect: Effect, event: &Event) -> Check {
+        self.record_trace(at, || format!("  -> {effect:?}"));
         let (kind, to) = (Kind::of(&effect), self.target(&effect));
         self.step(at, to, (kind, Stage::Before));
         if self.nodes[at].state.is_none() {
@@ -318,12 +318,12 @@
         }
         if let Effect::Send(send) = &effect {
             self.not_leaving(at, to)?;
-            let known = !send.new_connection && self.noticed.contains(&(at, send.address));
+            let known = !send.new_connection && self.known_silent.contains(&(at, send.address));
             if known && self.silent.contains_key(&(at, send.address)) {
                 return Err(format!("{} is sent on a connection known to be silent", send.attempt));
             }
         }
-        let wait = self.soon() + self.nodes[at].resume.since(self.now);
+        let wait = self.random_delay() + self.nodes[at].resume.since(self.now);
         let to = to.map(|to| (to, self.backends[to].incarnation));
         self.push(wait, Message::Out { node: at, life: self.nodes[at].life, effect, to });
         Ok(())
@@ -365,7 +365,7 @@
                 self.relay_end(*request, end.outcome());
             }
             Effect::CloseConnections(address) => drop(self.silent.remove(&(at, *address))),
-            Effect::Release(attempt) => self.notice(at, *attempt),
+            Effect::Release(attempt) => self.record_known_silent(at, *attempt),
             Effect::WakeAt(time) => self.nodes[at].wake = *time,
             Effect::Ready(ready) => self.nodes[at].ready = *ready,
             Effect::Exit => {
@@ -399,7 +399,7 @@
             Message::In { node, life, kind, event } if self.nodes[node].life == life => {
                 let resume = self.nodes[node].resume;
                 if resume <= self.now {
-                    return self.feed(node, kind, &event);
+                    return self.handle(node, kind, &event);
                 }
                 let wait = resume.since(self.now) + Duration::from_millis(1);
                 self.push(wait, Message::In { node, life, kind, event });
@@ -430,10 +430,10 @@
             self.perform(at, life, &effect)?;
         }
         for fault in self.step(at, target, (kind, Stage::Done)) {
-            self.disturb(fault, &mut answers);
+            self.alter_answers(fault, &mut answers);
         }
         if answers.iter().all(|(wait, _)| *wait >= OUTAGE) {
-            answers.extend(given_up(&effect).map(|event| (TIMEOUT, event)));
+            answers.extend(timeout_event(&effect).map(|event| (TIMEOUT, event)));
         }
         for (wait, event) in answers {
             self.push(wait, Message::In { node: at, life, kind: Some(kind), event });
--- a/core/tests/random_requests.rs
+++ b/core/tests/random_requests.rs
@@ -47,7 +47,7 @@
     send: Send,
     /// Whether it has reached the back end.
     reached: bool,
-    headed: bool,
+    head_received: bool,
     next: u64,
 }
 
@@ -91,7 +91,7 @@
                         Resume::Same { offset, .. } | Resume::Continue { offset } => offset,
                     };
                     assert!(next <= truth.delivered, "no event is skipped");
-                    let exchange = Exchange { send: *send, reached: false, headed: false, next };
+                    let exchange = Exchange { send: *send, reached: false, head_received: false, next };
                     self.open.push(exchange);
                 }
                 Effect::Cancel(attempt) => {
@@ -164,7 +164,7 @@
     }
 
     /// Lets one open attempt reach its back end, or delivers the next event of one that has.
-    fn move_on(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
+    fn advance_exchange(&mut self, u: &mut Unstructured<'_>) -> Result<()> {
         if self.open.is_empty() {
             return Ok(());
         }
@@ -173,9 +173,9 @@
         if !self.open[at].reached {
             return self.reach(at, u);
         }
-        if !self.open[at].headed {
+        if !self.open[at].head_received {
             let echo = if u.ratio(1, 12)? { None } else { Some(attempt) };
-            self.open[at].headed = true;
+            self.open[at].head_received = true;
             self.apply(Event::Head { attempt, echo });
             return Ok(());
         }
@@ -316,7 +316,7 @@
                 }
             }
             6 | 7 => self.table(u)?,
-            _ => self.move_on(u)?,
+            _ => self.advance_exchange(u)?,
         }
         Ok(())
     }
@@ -348,7 +348,7 @@
     }
 }
 
-fn play(u: &mut Unstructured<'_>) -> Result<()> {
+fn run_case(u: &mut Unstructured<'_>) -> Result<()> {
     let mut world = World::new();
     for _ in 0..STEPS {
         if u.is_empty() {
@@ -365,7 +365,7 @@
     for seed in 0..CASES {
         let mut choices = vec![0; CHOICES];
         fastrand::Rng::with_seed(seed).fill(&mut choices);
-        let played = std::panic::catch_unwind(|| play(&mut Unstructured::new(&choices)));
-        assert!(played.is_ok_and(|done| done.is_ok()), "case {seed}");
+        let result = std::panic::catch_unwind(|| run_case(&mut Unstructured::new(&choices)));
+        assert!(result.is_ok_and(|done| done.is_ok()), "case {seed}");
     }
 }
--- a/core/tests/retry_budget.rs
+++ b/core/tests/retry_budget.rs
@@ -27,13 +27,13 @@
     hops: 0,
 };
 
-fn two() -> Entry {
+fn two_engines() -> Entry {
     Entry::new(Settings::default(), Vec::new(), &["engine-1", "engine-2"], &["gate-1", "gate-2"])
 }
 
 #[test]
-fn elsewhere_at_once() {
-    let mut entry = two();
+fn first_retry_immediate() {
+    let mut entry = two_engines();
     let (_, effects) = entry.ask(Ask::default());
     let first = sent(&effects);
     let effects = entry.fail(first.attempt, Failure::Connect);
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn suspects_left_out() {
-    let mut entry = two();
+fn suspected_engine_avoided() {
+    let mut entry = two_engines();
     let (_, effects) = entry.ask(Ask::default());
     let dead = sent(&effects);
     let _second = entry.fail(dead.attempt, Failure::Connect);
@@ -66,8 +66,8 @@
 }
 
 #[test]
-fn only_once() {
-    let mut entry = two();
+fn not_idempotent_not_retried() {
+    let mut entry = two_engines();
     let (id, effects) = entry.ask(ONCE);
     let effects = entry.fail(sent(&effects).attempt, Failure::Broken);
     assert!(sends(&effects).is_empty());
@@ -138,7 +138,7 @@
 
 #[test]
 fn another_requests_answer() {
-    let mut entry = two();
+    let mut entry = two_engines();
     let (id, effects) = entry.ask(Ask::default());
     let first = sent(&effects).attempt;
     let (_, effects) = entry.ask(Ask::default());
@@ -158,7 +158,7 @@
 
 #[test]
 fn service_need_not_echo() {
-    let mut entry = two();
+    let mut entry = two_engines();
     let (id, effects) = entry.ask(ONCE);
     let attempt = sent(&effects).attempt;
     let effects = entry.event(Event::Head { attempt, echo: None });
@@ -168,7 +168,7 @@
 
 #[test]
 fn whole_answer_committed() {
-    let mut entry = two();
+    let mut entry = two_engines();
     let (id, effects) = entry.ask(Ask { stream: false, ..Ask::default() });
     let attempt = sent(&effects).attempt;
     entry.head(attempt);
@@ -179,18 +179,18 @@
 }
 
 #[test]
-fn leaving_told() {
-    let mut entry = two();
+fn leaving_announced() {
+    let mut entry = two_engines();
     entry.add(vm("entry-2", "hall-a", Role::Entry));
     let (_, effects) = entry.ask(Ask::default());
     let first = sent(&effects);
     let effects = entry.refuse(first.attempt, Refusal::Leaving);
     assert_ne!(sent(&effects).backend, first.backend);
-    let told = effects.iter().any(|effect| match effect {
+    let announced = effects.iter().any(|effect| match effect {
         Effect::SendFrame { frame, .. } => frame.items.contains(&Item::Leaving(first.backend.clone())),
         _ => false,
     });
-    assert!(told, "peers are notified: {effects:?}");
+    assert!(announced, "peers are notified: {effects:?}");
     entry.advance(Duration::from_secs(5));
     for _ in 0..3 {
         let (_, effects) = entry.ask(Ask::default());
@@ -199,8 +199,8 @@
 }
 
 #[test]
-fn gone_cancels() {
-    let mut entry = two();
+fn caller_gone_cancels() {
+    let mut entry = two_engines();
     let (id, effects) = entry.ask(Ask::default());
     let attempt = sent(&effects).attempt;
     let effects = entry.event(Event::CallerGone(id));
--- a/core/tests/routing.rs
+++ b/core/tests/routing.rs
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn leaving_gets_nothing() {
+fn leaving_gets_no_requests() {
     let mut entry = engines(&["engine-1", "engine-2"]);
     let leaving = Vm { phase: Phase::Leaving, ..vm("engine-1", "hall-a", Role::Backend("writers".into())) };
     let other = vm("engine-2", "hall-a", Role::Backend("writers".into()));
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn spilled_once() {
+fn forwarded_once() {
     let mut entry = engines(&[]);
     entry.add(vm("entry-b", "hall-b", Role::Entry));
     offer(&mut entry, 3);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn spilled_when_full() {
+fn forwarded_when_full() {
     let mut entry = engines(&["engine-1"]);
     entry.add(vm("entry-b", "hall-b", Role::Entry));
     offer(&mut entry, 8);
--- a/core/tests/silent_connection.rs
+++ b/core/tests/silent_connection.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn whole_answer_takes_time() {
+fn unstreamed_answer_has_time() {
     let engines = ["engine-1", "engine-2"];
     let mut entry = Entry::new(Settings::default(), Vec::new(), &engines, &[]);
     let _sent = entry.ask(Ask { stream: false, ..Ask::default() });
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn paused_process() {
+fn stalled_process() {
     let mut entry = Entry::new(Settings::default(), Vec::new(), &["engine-1"], &[]);
     let (_, effects) = entry.ask(Ask::default());
     let attempt = sent(&effects).attempt;
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn progress_is_life() {
+fn progress_prevents_timeout() {
     let mut entry = Entry::new(Settings::default(), Vec::new(), &["engine-1"], &[]);
     let (id, effects) = entry.ask(Ask::default());
     let attempt = sent(&effects).attempt;
--- a/core/tests/stream_resume.rs
+++ b/core/tests/stream_resume.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn not_elsewhere() {
+fn not_idempotent_stays() {
     let (mut entry, first) = streaming(false);
     let again = sent(&entry.fail(first, Failure::Broken));
     assert_eq!(again.resume, Resume::Same { of: first, offset: 3 }, "a resumption runs nothing twice");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn short_end() {
+fn missing_last_event() {
     let (mut entry, first) = streaming(true);
     let effects = entry.finish(first, 4);
     assert_eq!(outcome(&effects, first.request), None);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn progress_counts() {
+fn progress_resets_failures() {
     let (mut entry, mut attempt) = streaming(true);
     for offset in 3..13 {
         let again = sent(&entry.fail(attempt, Failure::Broken));
