--- a/core/benches/capacity/fleet.rs
+++ b/core/benches/capacity/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of reducers over fakes, on a clock of its own, and what each of them spends.
+//! A fleet of reducers with fake engines on a simulated clock, and the costs of each entry VM.
 
 use std::collections::BTreeMap;
 use std::mem::{Discriminant, discriminant};
@@ -23,8 +23,8 @@
 use super::sample::{arrival, document, vm};
 use super::table::Table;
 
-/// What is told apart of what an entry VM spends, each with its unit; the first six by kind of event.
-pub const HEADS: [(&str, &str); 17] = [
+/// The measured costs of an entry VM, each with its unit; the first six are processing times by kind of event.
+pub const METRICS: [(&str, &str); 17] = [
     ("reports", "µs/s"),
     ("frames", "µs/s"),
     ("table", "µs/s"),
@@ -55,22 +55,22 @@
 const LIST_BYTES: usize = 15;
 const STATE: usize = 16;
 
-/// What an entry VM spends, by [`HEADS`].
-pub type Cost = [f64; HEADS.len()];
+/// The costs of an entry VM, in the order of [`METRICS`].
+pub type Cost = [f64; METRICS.len()];
 
 const START: Time = Time::from_millis(1_000_000);
-/// Until everything is loaded and told.
-const SETTLE: Duration = Duration::from_secs(14);
-/// How long is measured.
+/// Time until all models are loaded and all reports are distributed.
+const SETTLE_TIME: Duration = Duration::from_secs(14);
+/// Duration of a measurement.
 const WINDOW: Duration = Duration::from_secs(6);
-/// How long a message takes.
-const HOP: Duration = Duration::from_millis(1);
-/// Requests a second at each entry VM.
-const RATE: u64 = 17;
-/// Bytes around a frame's content: version and proof.
-const FRAME_HEAD: usize = 33;
+/// Delay of each message.
+const MESSAGE_DELAY: Duration = Duration::from_millis(1);
+/// Requests per second at each entry VM.
+const REQUESTS_PER_S: u64 = 17;
+/// Bytes added to a frame's content: version and authentication.
+const FRAME_OVERHEAD: usize = 33;
 
-/// Sizes of a fleet; entry VMs and engines are those of a zone.
+/// Sizes of a fleet; the numbers of entry VMs and engines are per zone.
 #[derive(Clone, Copy, Debug)]
 pub struct Scale {
     pub zones: usize,
@@ -79,21 +79,22 @@
     pub models: usize,
 }
 
-/// Things of one kind that were said in frames.
+/// Items of one kind that were sent in frames.
 #[derive(Clone, Debug)]
-pub struct Said {
+pub struct Sent {
     pub name: String,
     pub count: f64,
     pub bytes: f64,
 }
 
-/// What the first zone's lease holder spends, what the mean of the others there do, what one change of the
-/// configuration costs (bytes in the whole fleet, and milliseconds until it is everywhere), and what is said.
+/// Costs of the first zone's lease holder, mean costs of the zone's other entry VMs, costs of one change of
+/// the configuration (bytes in the whole fleet, and milliseconds until it is in force everywhere), and items
+/// sent.
 pub struct Costs {
     pub holder: Cost,
     pub other: Cost,
     pub change: [f64; 2],
-    pub said: Vec<Said>,
+    pub sent: Vec<Sent>,
 }
 
 struct Node {
@@ -114,50 +115,50 @@
     table: Table,
     entries: usize,
     models: usize,
-    calls: u64,
-    said: FxHashMap<Discriminant<Item>, Said>,
+    requests_sent: u64,
+    sent: FxHashMap<Discriminant<Item>, Sent>,
 }
 
 impl Fleet {
-    /// Builds a fleet, lets it settle, and measures a while.
+    /// Builds a fleet, waits until it has settled, and measures its costs.
     pub fn measure(scale: &Scale) -> Costs {
         let mut fleet = Self::new(scale);
         fleet.apply(1);
-        fleet.run(SETTLE);
+        fleet.run(SETTLE_TIME);
         fleet.reset();
         fleet.run(WINDOW);
         let holder = fleet.holder();
-        let quiet: Vec<Cost> = fleet.nodes.iter().map(|node| node.cost).collect();
-        let said = std::mem::take(&mut fleet.said);
+        let baseline: Vec<Cost> = fleet.nodes.iter().map(|node| node.cost).collect();
+        let sent = std::mem::take(&mut fleet.sent);
         fleet.reset();
         fleet.apply(2);
         let from = fleet.now;
         let (version, mut everywhere) = (fleet.nodes[0].version, None);
         while fleet.now < from + WINDOW {
-            fleet.run(HOP * 10);
+            fleet.run(MESSAGE_DELAY * 10);
             if everywhere.is_none() && fleet.nodes.iter().all(|node| node.version > version) {
                 everywhere = Some(fleet.now.since(from).as_millis() as f64);
             }
         }
         let total = |costs: &[Cost]| costs.iter().map(|cost| cost[SENT]).sum::<f64>();
         let changed: Vec<Cost> = fleet.nodes.iter().map(|node| node.cost).collect();
-        let change = [total(&changed) - total(&quiet), everywhere.unwrap_or(f64::NAN)];
+        let change = [total(&changed) - total(&baseline), everywhere.unwrap_or(f64::NAN)];
         let rate = |cost: &Cost| cost.map(|sum| sum / WINDOW.as_secs_f64());
         let others: Vec<Cost> =
-            (0..scale.entries).filter(|at| *at != holder).map(|at| rate(&quiet[at])).collect();
+            (0..scale.entries).filter(|at| *at != holder).map(|at| rate(&baseline[at])).collect();
         let mut other = Cost::default();
         for (at, mean) in other.iter_mut().enumerate() {
             *mean = others.iter().map(|cost| cost[at]).sum::<f64>() / others.len() as f64;
         }
-        let said = said.into_values().collect();
-        let mut costs = Costs { holder: rate(&quiet[holder]), other, change, said };
-        let (holder, other) = (fleet.weigh(holder), fleet.weigh((holder + 1) % scale.entries));
+        let sent = sent.into_values().collect();
+        let mut costs = Costs { holder: rate(&baseline[holder]), other, change, sent };
+        let (holder, other) = (fleet.state_bytes(holder), fleet.state_bytes((holder + 1) % scale.entries));
         (costs.holder[STATE], costs.other[STATE]) = (holder / 1e3, other / 1e3);
         costs
     }
 
-    /// Bytes that a process' state holds, which ends it.
-    fn weigh(&mut self, at: usize) -> f64 {
+    /// Bytes allocated by the state of a process. Replaces that state by an empty one.
+    fn state_bytes(&mut self, at: usize) -> f64 {
         let node = &mut self.nodes[at];
         let me = node.state.identity().clone();
         let state = std::mem::replace(&mut node.state, State::new(me, Settings::default(), 0, self.now));
@@ -176,8 +177,8 @@
             table: Table::default(),
             entries: scale.entries,
             models: scale.models,
-            calls: 0,
-            said: FxHashMap::default(),
+            requests_sent: 0,
+            sent: FxHashMap::default(),
         };
         for at in 0..scale.zones * scale.entries {
             let vm = vm(format!("entry-{at:03}"), at / scale.entries, at, Role::Entry);
@@ -197,13 +198,13 @@
     }
 
     fn reset(&mut self) {
-        self.said.clear();
+        self.sent.clear();
         for node in &mut self.nodes {
             node.cost = Cost::default();
         }
     }
 
-    /// An operator applies a document at the first entry VM.
+    /// Applies a document at the first entry VM.
     fn apply(&mut self, edition: u64) {
         let apply = Apply {
             document: document(self.models, edition),
@@ -214,7 +215,7 @@
         };
         let ask = id::Ask { by: Incarnation(0), seq: edition };
         let query = Box::new(Query::Apply(Box::new(apply)));
-        let wait = if edition == 1 { Duration::from_secs(3) } else { HOP };
+        let wait = if edition == 1 { Duration::from_secs(3) } else { MESSAGE_DELAY };
         self.push(wait, 0, Event::QueryReceived { ask, query });
     }
 
@@ -223,8 +224,8 @@
         self.queue.insert((self.now + wait, self.seq), (to, event));
     }
 
-    fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             let wake = self.nodes.iter().zip(0..).map(|(node, at)| (node.wake, at)).min();
             let next = self.queue.first_key_value().map(|((at, _), _)| *at);
@@ -232,43 +233,43 @@
                 (Some((at, node)), next) if next.is_none_or(|next| at <= next) => {
                     self.now = self.now.max(at);
                     self.nodes[node].wake = Time(u64::MAX);
-                    self.feed(node, Event::Wake);
+                    self.handle(node, Event::Wake);
                 }
                 _ => {
                     let Some(((at, _), (node, event))) = self.queue.pop_first() else { return };
                     self.now = self.now.max(at);
-                    self.feed(node, event);
+                    self.handle(node, event);
                 }
             }
-            self.callers();
+            self.send_requests();
         }
     }
 
-    /// Callers send requests at a steady rate, spread over entry VMs and models.
-    fn callers(&mut self) {
+    /// Sends requests at a steady rate, spread over entry VMs and models.
+    fn send_requests(&mut self) {
         let nodes = self.nodes.len() as u64;
-        let due = self.now.since(START + SETTLE).as_micros() as u64 * RATE * nodes / 1_000_000;
-        while self.calls < due {
-            self.calls += 1;
-            let at = (self.calls % nodes) as usize;
-            let request = id::Request { by: Incarnation(at as u64 + 1), seq: self.calls };
-            let model = (self.calls / nodes * 7 % self.models as u64) as usize;
-            self.push(HOP, at, Event::Arrive(Box::new(arrival(request, model, self.now))));
+        let due = self.now.since(START + SETTLE_TIME).as_micros() as u64 * REQUESTS_PER_S * nodes / 1_000_000;
+        while self.requests_sent < due {
+            self.requests_sent += 1;
+            let at = (self.requests_sent % nodes) as usize;
+            let request = id::Request { by: Incarnation(at as u64 + 1), seq: self.requests_sent };
+            let model = (self.requests_sent / nodes * 7 % self.models as u64) as usize;
+            self.push(MESSAGE_DELAY, at, Event::Arrive(Box::new(arrival(request, model, self.now))));
         }
     }
 
-    fn feed(&mut self, at: usize, event: Event) {
-        let class = class(&event);
+    fn handle(&mut self, at: usize, event: Event) {
+        let event_kind = event_kind(&event);
         let node = &mut self.nodes[at];
-        let began = Instant::now();
+        let started_at = Instant::now();
         let effects = apply(&mut node.state, self.now, event);
-        node.cost[class] += micros(began);
+        node.cost[event_kind] += elapsed_micros(started_at);
         for effect in effects {
-            self.perform(at, effect);
+            self.carry_out(at, effect);
         }
     }
 
-    fn perform(&mut self, at: usize, effect: Effect) {
+    fn carry_out(&mut self, at: usize, effect: Effect) {
         let cost = &mut self.nodes[at].cost;
         let answer = match effect {
             Effect::WakeAt(time) => {
@@ -276,26 +277,26 @@
                 return;
             }
             Effect::SendFrame { peer, frame, .. } => {
-                let began = Instant::now();
+                let started_at = Instant::now();
                 let packed = rmp_serde::to_vec(&frame).expect("a frame packs");
-                cost[CODING] += micros(began);
+                cost[CODING] += elapsed_micros(started_at);
                 cost[FRAMES] += 1.0;
-                let bytes = (packed.len() + FRAME_HEAD) as f64;
+                let bytes = (packed.len() + FRAME_OVERHEAD) as f64;
                 cost[SENT] += bytes;
                 for item in &frame.items {
                     let name = || format!("{item:?}").split(['(', ' ']).next().unwrap_or_default().into();
-                    let fresh = || Said { name: name(), count: 0.0, bytes: 0.0 };
-                    let said = self.said.entry(discriminant(item)).or_insert_with(fresh);
-                    said.count += 1.0;
-                    said.bytes += rmp_serde::to_vec(item).expect("an item packs").len() as f64;
+                    let fresh = || Sent { name: name(), count: 0.0, bytes: 0.0 };
+                    let sent = self.sent.entry(discriminant(item)).or_insert_with(fresh);
+                    sent.count += 1.0;
+                    sent.bytes += rmp_serde::to_vec(item).expect("an item packs").len() as f64;
                 }
                 let to = self.names[&peer];
                 let cost = &mut self.nodes[to].cost;
-                let began = Instant::now();
+                let started_at = Instant::now();
                 let unpacked = rmp_serde::from_slice(&packed).expect("it unpacks");
-                cost[CODING] += micros(began);
+                cost[CODING] += elapsed_micros(started_at);
                 cost[RECEIVED] += bytes;
-                self.push(HOP, to, Event::FrameReceived(unpacked));
+                self.push(MESSAGE_DELAY, to, Event::FrameReceived(unpacked));
                 return;
             }
             Effect::ListVms => {
@@ -305,13 +306,13 @@
                     .map(|(name, at)| vm(name.to_string(), at / self.entries, *at, Role::Entry));
                 let vms: Vec<Vm> =
                     entries.chain(self.engines.iter().map(|engine| engine.vm.clone())).collect();
-                let (vms, bytes) = copied(&vms);
+                let (vms, bytes) = round_trip(&vms);
                 cost[LIST_BYTES] += bytes;
                 Event::VmsListed(vms)
             }
             Effect::Poll { engine, .. } => {
                 let report = self.engines[self.engine_names[&engine]].report();
-                let (report, bytes) = copied(&report);
+                let (report, bytes) = round_trip(&report);
                 cost[REPORTS] += 1.0;
                 cost[REPORT_BYTES] += bytes;
                 Event::ReportReceived(Box::new(report))
@@ -330,14 +331,14 @@
                     }
                 }
                 cost[TABLE_BYTES] += serde_json::to_vec(&call).expect("a call packs").len() as f64;
-                let (reply, bytes) = copied(&self.table.call(&call));
+                let (reply, bytes) = round_trip(&self.table.call(&call));
                 cost[TABLE_BYTES] += bytes;
                 Event::TableAnswered { op, reply: Ok(reply) }
             }
             Effect::Send(send) => {
                 let attempt = send.attempt;
-                self.push(HOP, at, Event::Head { attempt, echo: Some(attempt) });
-                self.push(HOP * 300, at, Event::Finished { attempt, length: 0 });
+                self.push(MESSAGE_DELAY, at, Event::Head { attempt, echo: Some(attempt) });
+                self.push(MESSAGE_DELAY * 300, at, Event::Finished { attempt, length: 0 });
                 return;
             }
             Effect::Record(record) => {
@@ -352,7 +353,7 @@
             }
             _ => return,
         };
-        self.push(HOP, at, answer);
+        self.push(MESSAGE_DELAY, at, answer);
     }
 
     /// The first zone's lease holder.
@@ -364,17 +365,18 @@
     }
 }
 
-fn micros(since: Instant) -> f64 {
+fn elapsed_micros(since: Instant) -> f64 {
     since.elapsed().as_secs_f64() * 1e6
 }
 
-/// What comes out at the other end of a connection, sharing no memory, and its bytes as JSON.
-fn copied<T: Serialize + DeserializeOwned>(value: &T) -> (T, f64) {
+/// Encodes and decodes a value as JSON, so that the result shares no memory with it. Also returns the number
+/// of bytes.
+fn round_trip<T: Serialize + DeserializeOwned>(value: &T) -> (T, f64) {
     let bytes = serde_json::to_vec(value).expect("it packs");
     (serde_json::from_slice(&bytes).expect("it unpacks"), bytes.len() as f64)
 }
 
-fn class(event: &Event) -> usize {
+fn event_kind(event: &Event) -> usize {
     match event {
         Event::ReportReceived(_) | Event::ReportFailed(_) | Event::CacheChanged(_) => 0,
         Event::FrameReceived(_) | Event::FrameFailed { .. } => 1,
--- a/core/benches/capacity/sample.rs
+++ b/core/benches/capacity/sample.rs
@@ -1,4 +1,4 @@
-//! The inventory, the machines and the requests that the measurements are made with.
+//! Inventory, VMs and requests for the measurements.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 
 use super::scene::MEMORY_MB;
 
-/// `models` models for one group; `edition` changes the memory of the first.
+/// A document with `models` models for one group; `edition` changes the memory of the first.
 pub fn document(models: usize, edition: u64) -> Document {
     let group = Group {
         name: "brief-writer".into(),
@@ -47,7 +47,7 @@
     Vm { name: name.into(), zone: format!("hall-{zone:02}").into(), address, role, phase: Phase::Live }
 }
 
-/// A request for a model, whole.
+/// A non-streaming request for a model.
 pub fn arrival(request: id::Request, model: usize, now: Time) -> Arrival {
     Arrival {
         id: request,
--- a/core/benches/capacity/state.rs
+++ b/core/benches/capacity/state.rs
@@ -1,4 +1,4 @@
-//! What one process' state holds for each thing it knows, and what a request costs it.
+//! Memory of one process' state by its content, and processing time of requests and changes.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +23,7 @@
 /// Copies on each engine.
 const COPIES: usize = 4;
 
-/// A process of the first zone that has a configuration of `models` models.
+/// State of a process of the first zone that has a configuration of `models` models.
 fn configured(models: usize) -> State {
     let me = Identity { vm: "entry-000".into(), zone: "hall-00".into(), incarnation: Incarnation(1) };
     let mut state = State::new(me, Settings::default(), 1, NOW);
@@ -74,23 +74,23 @@
     }
 }
 
-/// The process knows `here` engines of its own zone, with their reports, and `away` others.
-fn with_engines(state: &mut State, here: usize, away: usize, models: usize) {
+/// Adds `in_zone` engines of the process's own zone with their reports, and `in_other_zones` others.
+fn with_engines(state: &mut State, in_zone: usize, in_other_zones: usize, models: usize) {
     let role = || Role::Backend("brief-writer".into());
-    let listed = (0..here + away)
-        .map(|at| vm(format!("engine-{at:04}"), usize::from(at >= here), 20_000 + at, role()));
+    let listed = (0..in_zone + in_other_zones)
+        .map(|at| vm(format!("engine-{at:04}"), usize::from(at >= in_zone), 20_000 + at, role()));
     drop(apply(state, NOW, Event::VmsListed(listed.collect())));
-    for at in 0..here {
+    for at in 0..in_zone {
         drop(apply(state, NOW, Event::ReportReceived(Box::new(report(at, models)))));
     }
 }
 
-/// Bytes that the state a function builds holds.
-fn held(build: impl FnOnce() -> State) -> f64 {
+/// Bytes allocated by the state that `build` returns.
+fn allocated_bytes(build: impl FnOnce() -> State) -> f64 {
     let mut kept = None;
-    let held = allocation_counter::measure(|| kept = Some(build())).bytes_current;
+    let allocated_bytes = allocation_counter::measure(|| kept = Some(build())).bytes_current;
     drop(kept);
-    held as f64
+    allocated_bytes as f64
 }
 
 pub fn print() {
@@ -99,25 +99,25 @@
     };
     let zone = [60, 120, 240, 480];
     let engines = |n| {
-        held(|| {
+        allocated_bytes(|| {
             let mut state = configured(100);
             with_engines(&mut state, n, 0, 100);
             state
         })
     };
     Series::new("engines of the zone, 4 copies each", "KB", points(&zone, &engines)).print();
-    let away = |n| {
-        held(|| {
+    let in_other_zones = |n| {
+        allocated_bytes(|| {
             let mut state = configured(100);
             with_engines(&mut state, 0, n, 100);
             state
         })
     };
-    Series::new("engines of other zones", "KB", points(&[500, 1_500, 3_000, 6_220], &away)).print();
-    let models = |n| held(|| configured(n));
+    Series::new("engines of other zones", "KB", points(&[500, 1_500, 3_000, 6_220], &in_other_zones)).print();
+    let models = |n| allocated_bytes(|| configured(n));
     Series::new("models", "KB", points(&[100, 200, 400, 780], &models)).print();
     let members = |n| {
-        held(|| {
+        allocated_bytes(|| {
             let mut state = configured(100);
             let listed = (0..n).map(|at| vm(format!("entry-{at:03}"), at / 29, at, Role::Entry));
             drop(apply(&mut state, NOW, Event::VmsListed(listed.collect())));
@@ -129,7 +129,7 @@
     };
     Series::new("entry VMs", "KB", points(&[50, 100, 200, 410], &members)).print();
     let open = |n| {
-        held(|| {
+        allocated_bytes(|| {
             let mut state = configured(100);
             with_engines(&mut state, 60, 0, 100);
             for at in 0..n {
@@ -143,21 +143,21 @@
     Series::new("open requests", "KB", points(&[100, 200, 400, 800], &open)).print();
 }
 
-/// Time of one event that a function prepares, the median of some.
-fn micros(prepare: impl Fn() -> (State, Event)) -> f64 {
-    let mut spent: Vec<f64> = (0..15)
+/// Median processing time of the event that `prepare` returns, in microseconds.
+fn event_micros(prepare: impl Fn() -> (State, Event)) -> f64 {
+    let mut durations: Vec<f64> = (0..15)
         .map(|_| {
             let (mut state, event) = prepare();
-            let began = Instant::now();
+            let started_at = Instant::now();
             drop(apply(&mut state, NOW + Duration::from_millis(1), event));
-            began.elapsed().as_secs_f64() * 1e6
+            started_at.elapsed().as_secs_f64() * 1e6
         })
         .collect();
-    spent.sort_by(f64::total_cmp);
-    spent[spent.len() / 2]
+    durations.sort_by(f64::total_cmp);
+    durations[durations.len() / 2]
 }
 
-/// Time to take over a configuration.
+/// Prints the time to adopt a configuration.
 pub fn changes() {
     let points = [100, 200, 400, 780].map(|n| {
         let change = || {
@@ -167,12 +167,12 @@
             let head = Head { version: 2, op, document: document(n, 2).into() };
             (state, Event::FrameReceived(Box::new(frame(3, vec![Item::Config(Box::new(head))]))))
         };
-        (n as f64, micros(change))
+        (n as f64, event_micros(change))
     });
     Series::new("taking over a change, by models", "µs", points.to_vec()).print();
 }
 
-/// Time of a request's decisions, from its arrival to its end, 1 event of an answer and 16.
+/// Prints the processing time of a whole request, from its arrival to its end.
 pub fn requests() {
     for (what, sizes, of) in [
         ("whole request, by engines of the zone", [60, 120, 240, 480], Vary::Engines),
@@ -196,13 +196,13 @@
 
 fn request_micros(state: &mut State, models: usize) -> f64 {
     const ROUNDS: u64 = 4_000;
-    let mut spent = Duration::ZERO;
+    let mut total = Duration::ZERO;
     let mut now = NOW;
     for round in 0..ROUNDS {
         now = now + Duration::from_micros(100);
         let request = id::Request { by: Incarnation(1), seq: round + 1 };
         let arrival = arrival(request, (round as usize * 7) % models, now);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let effects = apply(state, now, Event::Arrive(Box::new(arrival)));
         let attempt = effects.iter().find_map(|effect| match effect {
             Effect::Send(send) => Some(send.attempt),
@@ -212,8 +212,8 @@
             drop(apply(state, now, Event::Head { attempt, echo: Some(attempt) }));
             drop(apply(state, now, Event::Finished { attempt, length: 0 }));
         }
-        spent += began.elapsed();
+        total += started_at.elapsed();
         assert!(attempt.is_some(), "request {round} is not sent: {effects:?}");
     }
-    spent.as_secs_f64() * 1e6 / ROUNDS as f64
+    total.as_secs_f64() * 1e6 / ROUNDS as f64
 }
--- a/core/src/check.rs
+++ b/core/src/check.rs
@@ -105,8 +105,8 @@
         first: Artifact,
         /// Its memory, in MB.
         first_mb: u64,
-        /// The zones that may hold it, each with the number of engines, their memory and the largest free memory
-        /// on one of them.
+        /// The zones that may hold it, each with the number of engines, their memory and the largest free
+        /// memory on one of them.
         zones: Name,
     },
 }
@@ -115,8 +115,8 @@
 /// in force, so that a change is accepted while engines are missing if it does not make the lack worse.
 pub(crate) fn validate(document: &Document, in_force: &Document, fleet: &fleet::Part) -> Vec<Fault> {
     let mut faults = Vec::new();
-    inventory(&document.inventory, &mut faults);
-    rules(&document.rules, &document.inventory, &mut faults);
+    check_inventory(&document.inventory, &mut faults);
+    check_rules(&document.rules, &document.inventory, &mut faults);
     if faults.is_empty() {
         faults = fit::worsened_shortages(document, in_force, fleet);
     }
@@ -129,32 +129,32 @@
     Some(if matches!(first, Fault::Full { .. }) { Code::DoesNotFit } else { Code::InvalidConfiguration })
 }
 
-fn inventory(inventory: &Inventory, faults: &mut Vec<Fault>) {
-    names("group", inventory.groups.iter().map(|group| &group.name), faults);
-    names("model", inventory.models.iter().map(|model| &model.name), faults);
-    names("service", inventory.services.iter().map(|service| &service.name), faults);
+fn check_inventory(inventory: &Inventory, faults: &mut Vec<Fault>) {
+    check_names("group", inventory.groups.iter().map(|group| &group.name), faults);
+    check_names("model", inventory.models.iter().map(|model| &model.name), faults);
+    check_names("service", inventory.services.iter().map(|service| &service.name), faults);
     for group in &inventory.groups {
         let needs_memory = group.kind == Kind::Engine;
-        above_zero("group", &group.name, "slots", u64::from(group.slots), faults);
+        check_above_zero("group", &group.name, "slots", u64::from(group.slots), faults);
         if needs_memory {
-            above_zero("group", &group.name, "memory_mb", group.memory_mb, faults);
+            check_above_zero("group", &group.name, "memory_mb", group.memory_mb, faults);
         }
     }
     for model in &inventory.models {
-        member(inventory, "model", &model.name, &model.group, Kind::Engine, faults);
-        versions("model", &model.name, &model.versions, faults);
-        names("adapter", model.adapters.iter().map(|adapter| &adapter.name), faults);
+        check_group(inventory, "model", &model.name, &model.group, Kind::Engine, faults);
+        check_versions("model", &model.name, &model.versions, faults);
+        check_names("adapter", model.adapters.iter().map(|adapter| &adapter.name), faults);
         for adapter in &model.adapters {
             let full = Name::from(format!("{}:{}", model.name, adapter.name));
-            versions("adapter", &full, &adapter.versions, faults);
+            check_versions("adapter", &full, &adapter.versions, faults);
         }
     }
     for service in &inventory.services {
-        member(inventory, "service", &service.name, &service.group, Kind::Service, faults);
+        check_group(inventory, "service", &service.name, &service.group, Kind::Service, faults);
     }
 }
 
-fn member(
+fn check_group(
     inventory: &Inventory,
     what: &'static str,
     name: &Name,
@@ -172,7 +172,7 @@
     }
 }
 
-fn versions(what: &'static str, name: &Name, versions: &[Version], faults: &mut Vec<Fault>) {
+fn check_versions(what: &'static str, name: &Name, versions: &[Version], faults: &mut Vec<Fault>) {
     if versions.is_empty() {
         faults.push(Fault::NoVersion { what, name: name.clone() });
     }
@@ -185,14 +185,14 @@
         if !seen.insert(&version.name) {
             faults.push(Fault::Duplicate { what: "version", name: full.clone() });
         }
-        above_zero("version", &full, "memory_mb", version.memory_mb, faults);
+        check_above_zero("version", &full, "memory_mb", version.memory_mb, faults);
     }
 }
 
-fn rules(rules: &Rules, inventory: &Inventory, faults: &mut Vec<Fault>) {
+fn check_rules(rules: &Rules, inventory: &Inventory, faults: &mut Vec<Fault>) {
     let models: BTreeSet<&Name> = inventory.models.iter().map(|model| &model.name).collect();
     let services: BTreeSet<&Name> = inventory.services.iter().map(|service| &service.name).collect();
-    names("caller", rules.callers.iter().map(|caller| &caller.name), faults);
+    check_names("caller", rules.callers.iter().map(|caller| &caller.name), faults);
     let mut tokens = BTreeSet::new();
     for caller in &rules.callers {
         if !is_digest(&caller.token_sha256) {
@@ -200,20 +200,26 @@
         } else if !tokens.insert(&caller.token_sha256) {
             faults.push(Fault::Duplicate { what: "the token of caller", name: caller.name.clone() });
         }
-        above_zero("caller", &caller.name, "weight", u64::from(caller.weight), faults);
-        above_zero("caller", &caller.name, "open_limit", caller.open_limit.map_or(1, u64::from), faults);
+        check_above_zero("caller", &caller.name, "weight", u64::from(caller.weight), faults);
+        check_above_zero(
+            "caller",
+            &caller.name,
+            "open_limit",
+            caller.open_limit.map_or(1, u64::from),
+            faults,
+        );
         for target in caller.reach.iter().filter(|each| !models.contains(each) && !services.contains(each)) {
             faults.push(unknown("caller", &caller.name, "model or service", target));
         }
     }
-    names("place for model", rules.places.iter().map(|place| &place.model), faults);
+    check_names("place for model", rules.places.iter().map(|place| &place.model), faults);
     for place in &rules.places {
-        above_zero("place for model", &place.model, "copies", u64::from(place.copies), faults);
+        check_above_zero("place for model", &place.model, "copies", u64::from(place.copies), faults);
         if !models.contains(&place.model) {
             faults.push(unknown("place", &place.model, "model", &place.model));
         }
     }
-    names("priority for model", rules.priorities.iter().map(|rank| &rank.model), faults);
+    check_names("priority for model", rules.priorities.iter().map(|rank| &rank.model), faults);
     for rank in rules.priorities.iter().filter(|rank| !models.contains(&rank.model)) {
         faults.push(unknown("priority", &rank.model, "model", &rank.model));
     }
@@ -223,7 +229,7 @@
     }
 }
 
-fn names<'a>(what: &'static str, names: impl Iterator<Item = &'a Name>, faults: &mut Vec<Fault>) {
+fn check_names<'a>(what: &'static str, names: impl Iterator<Item = &'a Name>, faults: &mut Vec<Fault>) {
     let mut seen = BTreeSet::new();
     for name in names {
         if name.is_empty() || name.contains(SEPARATORS) {
@@ -235,7 +241,13 @@
     }
 }
 
-fn above_zero(what: &'static str, name: &Name, field: &'static str, number: u64, faults: &mut Vec<Fault>) {
+fn check_above_zero(
+    what: &'static str,
+    name: &Name,
+    field: &'static str,
+    number: u64,
+    faults: &mut Vec<Fault>,
+) {
     if number == 0 {
         faults.push(Fault::Zero { what, name: name.clone(), field });
     }
--- a/core/src/check/fit.rs
+++ b/core/src/check/fit.rs
@@ -19,7 +19,7 @@
 
 /// The engines of one group in one zone.
 #[derive(Debug, Default)]
-struct Room {
+struct Pool {
     /// Free memory and index of each engine, ordered so that the smallest sufficient one is found quickly.
     free: BTreeSet<(u64, usize)>,
     engines: usize,
@@ -29,11 +29,11 @@
 /// State of a trial placement.
 #[derive(Debug, Default)]
 struct Trial {
-    rooms: BTreeMap<(Name, Name), Room>,
+    pools: BTreeMap<(Name, Name), Pool>,
     /// Free memory of each engine, in MB.
     free: Vec<u64>,
     /// The group and zone of each engine.
-    place: Vec<(Name, Name)>,
+    location: Vec<(Name, Name)>,
     /// Engines that hold a copy of a model, by model.
     holders: BTreeMap<Name, BTreeSet<usize>>,
     /// Copies that could not be placed, by group: their memory in MB, and the first artifact.
@@ -53,9 +53,9 @@
         return Vec::new();
     }
     let before = trial(in_force, fleet);
-    let lacked = |group: &Name| before.lacking.get(group).map_or(0, |(mb, _)| *mb);
-    let worse = after.lacking.iter().filter(|(group, (mb, _))| *mb > lacked(group));
-    worse.map(|(group, (mb, first))| after.fault(group, *mb, first)).collect()
+    let lacked_before = |group: &Name| before.lacking.get(group).map_or(0, |(mb, _)| *mb);
+    let worsened = after.lacking.iter().filter(|(group, (mb, _))| *mb > lacked_before(group));
+    worsened.map(|(group, (mb, first))| after.fault(group, *mb, first)).collect()
 }
 
 fn trial(document: &Document, fleet: &fleet::Part) -> Trial {
@@ -68,11 +68,11 @@
     }
     let mut entries: Vec<&Entry> = catalog.entries.iter().collect();
     let adapters = adapters(&catalog);
-    let beside = |entry: &Entry| adapters.get(&entry.artifact.model).copied().unwrap_or_default();
+    let adapter_memory = |entry: &Entry| adapters.get(&entry.artifact.model).copied().unwrap_or_default();
     let mut bundles: BTreeMap<&Name, u64> = BTreeMap::new();
     for entry in catalog.entries.iter().filter(|entry| entry.artifact.adapter.is_none()) {
         let bundle = bundles.entry(&entry.artifact.model).or_default();
-        *bundle = (entry.memory_mb + beside(entry)).max(*bundle);
+        *bundle = (entry.memory_mb + adapter_memory(entry)).max(*bundle);
     }
     entries.sort_by_key(|entry| {
         let model = &entry.artifact.model;
@@ -83,7 +83,7 @@
     for entry in entries {
         *trial.needed.entry(entry.group.clone()).or_default() += entry.memory_mb * u64::from(entry.copies);
         let placed = match entry.artifact.adapter {
-            None => trial.place_model(entry, beside(entry)),
+            None => trial.place_model(entry, adapter_memory(entry)),
             Some(_) => trial.place_adapter(entry, smallest.get(&entry.artifact.model).copied()),
         };
         let missing = u64::from(entry.copies.saturating_sub(placed));
@@ -116,24 +116,24 @@
 impl Trial {
     fn add(&mut self, group: &Name, zone: &Name, memory_mb: u64) {
         let index = self.free.len();
-        let room = self.rooms.entry((group.clone(), zone.clone())).or_default();
-        room.free.insert((memory_mb, index));
-        room.engines += 1;
-        room.memory_mb += memory_mb;
+        let pool = self.pools.entry((group.clone(), zone.clone())).or_default();
+        pool.free.insert((memory_mb, index));
+        pool.engines += 1;
+        pool.memory_mb += memory_mb;
         self.free.push(memory_mb);
-        self.place.push((group.clone(), zone.clone()));
+        self.location.push((group.clone(), zone.clone()));
     }
 
     /// Places each copy of a version of a model on an engine of its own, preferably with room left for its
     /// adapters. Returns how many copies could be placed.
-    fn place_model(&mut self, entry: &Entry, beside_mb: u64) -> u32 {
+    fn place_model(&mut self, entry: &Entry, adapters_mb: u64) -> u32 {
         let mut used = BTreeSet::new();
         while (used.len() as u32) < entry.copies {
-            let roomy = self.best(entry, entry.memory_mb + beside_mb, &used);
-            let Some(engine) = roomy.or_else(|| self.best(entry, entry.memory_mb, &used)) else {
+            let with_adapters = self.best_fit(entry, entry.memory_mb + adapters_mb, &used);
+            let Some(engine) = with_adapters.or_else(|| self.best_fit(entry, entry.memory_mb, &used)) else {
                 break;
             };
-            self.take(engine, entry.memory_mb);
+            self.reserve(engine, entry.memory_mb);
             self.holders.entry(entry.artifact.model.clone()).or_default().insert(engine);
             used.insert(engine);
         }
@@ -146,23 +146,24 @@
         let mut used = BTreeSet::new();
         while (used.len() as u32) < entry.copies {
             let holders = self.holders.get(&entry.artifact.model);
-            let beside = holders
+            let holder = holders
                 .into_iter()
                 .flatten()
                 .filter(|engine| self.free[**engine] >= entry.memory_mb && !used.contains(*engine))
                 .min_by_key(|engine| self.free[**engine])
                 .copied();
-            if let Some(engine) = beside {
-                self.take(engine, entry.memory_mb);
+            if let Some(engine) = holder {
+                self.reserve(engine, entry.memory_mb);
                 used.insert(engine);
                 continue;
             }
-            let together = model_mb.map(|model_mb| model_mb + entry.memory_mb);
-            let engine = together.and_then(|mb| self.best(entry, mb, &used).map(|engine| (mb, engine)));
-            let Some((together, engine)) = engine else {
+            let combined_mb = model_mb.map(|model_mb| model_mb + entry.memory_mb);
+            let engine =
+                combined_mb.and_then(|mb| self.best_fit(entry, mb, &used).map(|engine| (mb, engine)));
+            let Some((combined_mb, engine)) = engine else {
                 break;
             };
-            self.take(engine, together);
+            self.reserve(engine, combined_mb);
             self.holders.entry(entry.artifact.model.clone()).or_default().insert(engine);
             used.insert(engine);
         }
@@ -170,40 +171,40 @@
     }
 
     /// The engine with the least sufficient free memory, in the zones that may hold the artifact.
-    fn best(&self, entry: &Entry, memory_mb: u64, used: &BTreeSet<usize>) -> Option<usize> {
+    fn best_fit(&self, entry: &Entry, memory_mb: u64, used: &BTreeSet<usize>) -> Option<usize> {
         self.allowed(entry)
-            .filter_map(|(_, room)| {
-                room.free.range((memory_mb, 0)..).find(|(_, engine)| !used.contains(engine)).copied()
+            .filter_map(|(_, pool)| {
+                pool.free.range((memory_mb, 0)..).find(|(_, engine)| !used.contains(engine)).copied()
             })
             .min()
             .map(|(_, engine)| engine)
     }
 
-    fn allowed<'a>(&'a self, entry: &'a Entry) -> impl Iterator<Item = (&'a Name, &'a Room)> {
-        let rooms = self.rooms.iter();
-        rooms
+    fn allowed<'a>(&'a self, entry: &'a Entry) -> impl Iterator<Item = (&'a Name, &'a Pool)> {
+        let pools = self.pools.iter();
+        pools
             .filter(|((group, zone), _)| *group == entry.group && entry.allows_zone(zone))
-            .map(|((_, zone), room)| (zone, room))
+            .map(|((_, zone), pool)| (zone, pool))
     }
 
-    fn take(&mut self, engine: usize, memory_mb: u64) {
+    fn reserve(&mut self, engine: usize, memory_mb: u64) {
         let free = self.free[engine];
         let left = free - memory_mb;
         self.free[engine] = left;
-        if let Some(room) = self.rooms.get_mut(&self.place[engine]) {
-            room.free.remove(&(free, engine));
-            room.free.insert((left, engine));
+        if let Some(pool) = self.pools.get_mut(&self.location[engine]) {
+            pool.free.remove(&(free, engine));
+            pool.free.insert((left, engine));
         }
     }
 
     fn fault(&self, group: &Name, lacking_mb: u64, first: &Entry) -> Fault {
-        let rooms = || self.rooms.iter().filter(|((each, _), _)| each == group).map(|(_, room)| room);
+        let pools = || self.pools.iter().filter(|((each, _), _)| each == group).map(|(_, pool)| pool);
         Fault::Full {
             group: group.clone(),
             lacking_mb,
             needed_mb: self.needed.get(group).copied().unwrap_or_default(),
-            engines: rooms().map(|room| room.engines).sum(),
-            memory_mb: rooms().map(|room| room.memory_mb).sum(),
+            engines: pools().map(|pool| pool.engines).sum(),
+            memory_mb: pools().map(|pool| pool.memory_mb).sum(),
             first: Artifact::clone(&first.artifact),
             first_mb: first.memory_mb,
             zones: self.zones(first),
@@ -211,9 +212,9 @@
     }
 
     fn zones(&self, entry: &Entry) -> Name {
-        let each = |(zone, room): (&Name, &Room)| {
-            let most = room.free.last().map_or(0, |(free, _)| *free);
-            format!("{zone} ({} engines, {} MB, at most {most} MB free on one)", room.engines, room.memory_mb)
+        let each = |(zone, pool): (&Name, &Pool)| {
+            let most = pool.free.last().map_or(0, |(free, _)| *free);
+            format!("{zone} ({} engines, {} MB, at most {most} MB free on one)", pool.engines, pool.memory_mb)
         };
         let zones: Vec<String> = self.allowed(entry).map(each).collect();
         if zones.is_empty() { "no zone with an engine of the group".into() } else { zones.join(", ").into() }
--- a/core/src/collect.rs
+++ b/core/src/collect.rs
@@ -24,26 +24,26 @@
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     /// Engines whose collector is this entry VM.
-    mine: BTreeSet<Name>,
+    collected: BTreeSet<Name>,
     /// Engines with a timer set for their next poll.
-    armed: BTreeSet<Name>,
+    scheduled: BTreeSet<Name>,
     /// Reports as last sent to the zone, by engine.
-    told: BTreeMap<Name, Report>,
+    announced: BTreeMap<Name, Report>,
     /// Engines of the zone by the digest of their name; none where two engines have the same digest.
     digests: BTreeMap<u32, Option<Name>>,
     /// Time at which each peer was last asked for full reports.
-    wanted: BTreeMap<Name, Time>,
+    requested_at: BTreeMap<Name, Time>,
 }
 
 /// Short digest of an engine's name, used in frames within a zone.
-fn digest(name: &str) -> u32 {
+fn name_digest(name: &str) -> u32 {
     xxh3_64(name.as_bytes()) as u32
 }
 
 /// Digest of everything in a report but the load.
-fn shape(report: &Report) -> u32 {
-    let mut text = Vec::with_capacity(256);
-    let mut number = |number: u64| text.extend_from_slice(&number.to_le_bytes());
+fn report_digest(report: &Report) -> u32 {
+    let mut bytes = Vec::with_capacity(256);
+    let mut number = |number: u64| bytes.extend_from_slice(&number.to_le_bytes());
     number(report.incarnation.0);
     number(report.fence.0);
     number(report.role as u64);
@@ -59,47 +59,47 @@
         number(copy.stage as u64);
     }
     for copy in &report.copies {
-        text.extend_from_slice(copy.artifact.to_string().as_bytes());
-        text.push(0);
+        bytes.extend_from_slice(copy.artifact.to_string().as_bytes());
+        bytes.push(0);
     }
-    xxh3_64(&text) as u32
+    xxh3_64(&bytes) as u32
 }
 
 /// Recomputes which engines this entry VM collects, after engines or entry VMs were added or removed.
 pub(crate) fn assign_collectors(state: &mut State, now: Time) {
-    let live: Vec<&str> = member::available_in_zone(state).collect();
+    let members: Vec<&str> = member::available_in_zone(state).collect();
     let groups = &state.config.catalog.groups;
     let engines = state.fleet.backends.values().filter(|backend| {
         backend.zone == state.me.zone
             && groups.get(&backend.group).is_some_and(|group| group.kind == Kind::Engine)
     });
     let mut digests = BTreeMap::new();
-    let mut mine = BTreeSet::new();
+    let mut collected = BTreeSet::new();
     for engine in engines {
         digests
-            .entry(digest(&engine.name))
+            .entry(name_digest(&engine.name))
             .and_modify(|same| *same = None)
             .or_insert_with(|| Some(engine.name.clone()));
-        if rendezvous::pick(live.iter().copied(), &engine.name) == Some(state.me.vm.as_str()) {
-            mine.insert(engine.name.clone());
+        if rendezvous::pick(members.iter().copied(), &engine.name) == Some(state.me.vm.as_str()) {
+            collected.insert(engine.name.clone());
         }
     }
-    let every = state.settings.poll_every;
-    for engine in mine.iter().filter(|engine| !state.collect.armed.contains(*engine)) {
-        let first = if state.collect.told.is_empty() { 0.0 } else { state.rng.f64() };
-        state.timers.set(now + every.mul_f64(first), Timer::Poll(engine.clone()));
+    let interval = state.settings.poll_every;
+    for engine in collected.iter().filter(|engine| !state.collect.scheduled.contains(*engine)) {
+        let fraction = if state.collect.announced.is_empty() { 0.0 } else { state.rng.f64() };
+        state.timers.set(now + interval.mul_f64(fraction), Timer::Poll(engine.clone()));
     }
-    state.collect.armed.extend(mine.iter().cloned());
-    state.collect.told.retain(|engine, _| mine.contains(engine));
-    state.collect.mine = mine;
+    state.collect.scheduled.extend(collected.iter().cloned());
+    state.collect.announced.retain(|engine, _| collected.contains(engine));
+    state.collect.collected = collected;
     state.collect.digests = digests;
 }
 
 /// Polls an engine's report and schedules the next poll.
 pub(crate) fn poll(state: &mut State, now: Time, engine: Name, out: &mut Vec<Effect>) {
-    let backend = state.fleet.backends.get(&engine).filter(|_| state.collect.mine.contains(&engine));
+    let backend = state.fleet.backends.get(&engine).filter(|_| state.collect.collected.contains(&engine));
     let Some(backend) = backend else {
-        state.collect.armed.remove(&engine);
+        state.collect.scheduled.remove(&engine);
         return;
     };
     let (address, cache_from) = (backend.address, backend.cache_seq);
@@ -110,14 +110,14 @@
 /// Handles the report of an engine that this entry VM polled.
 pub(crate) fn poll_answered(state: &mut State, now: Time, report: &Report, out: &mut Vec<Effect>) {
     fleet::report_received(state, now, report, out);
-    if !state.collect.mine.contains(&report.engine) {
+    if !state.collect.collected.contains(&report.engine) {
         return;
     }
-    let told = state.collect.told.get(&report.engine);
-    if told.is_some_and(|told| shape(told) == shape(report)) {
+    let announced = state.collect.announced.get(&report.engine);
+    if announced.is_some_and(|announced| report_digest(announced) == report_digest(report)) {
         return;
     }
-    state.collect.told.insert(report.engine.clone(), report.clone());
+    state.collect.announced.insert(report.engine.clone(), report.clone());
     member::send_to_zone(state, &[Item::Report(Box::new(report.clone()))], out);
 }
 
@@ -125,28 +125,28 @@
 /// report is recent.
 pub(crate) fn take_load_updates(state: &mut State) -> Option<Item> {
     let mut loads = Vec::new();
-    for (engine, told) in &mut state.collect.told {
+    for (engine, announced) in &mut state.collect.announced {
         let report = state.fleet.backends.get(engine).and_then(|backend| backend.report.as_ref());
-        let Some(report) = report.filter(|report| report.seq > told.seq) else {
+        let Some(report) = report.filter(|report| report.seq > announced.seq) else {
             continue;
         };
         loads.push(Load {
-            engine: digest(engine),
-            report_digest: shape(report),
+            engine: name_digest(engine),
+            report_digest: report_digest(report),
             seq: report.seq,
             running: report.running,
             waiting: report.waiting,
             tokens_per_second: report.tokens_per_second,
             requests: report.copies.iter().map(|copy| copy.requests).collect(),
         });
-        told.clone_from(report);
+        announced.clone_from(report);
     }
     (!loads.is_empty()).then_some(Item::Loads(loads))
 }
 
 /// All reports as last sent to the zone, for a peer that has none.
 pub(crate) fn all_reports(state: &State) -> Vec<Item> {
-    state.collect.told.values().map(|report| Item::Report(Box::new(report.clone()))).collect()
+    state.collect.announced.values().map(|report| Item::Report(Box::new(report.clone()))).collect()
 }
 
 /// Handles loads from a collector. Asks it for full reports if one does not match the known report.
@@ -157,26 +157,26 @@
     loads: &[Load],
     out: &mut Vec<Effect>,
 ) {
-    let mut missing = false;
+    let mut has_mismatch = false;
     for load in loads {
-        match apply(state, load) {
+        match apply_load(state, load) {
             Some(report) => fleet::report_received(state, now, &report, out),
-            None => missing = true,
+            None => has_mismatch = true,
         }
     }
     let interval = member::frame_interval(state);
-    let asked = state.collect.wanted.get(from).is_some_and(|at| now.since(*at) < interval);
-    if missing && !asked {
-        state.collect.wanted.insert(from.clone(), now);
+    let recently_requested = state.collect.requested_at.get(from).is_some_and(|at| now.since(*at) < interval);
+    if has_mismatch && !recently_requested {
+        state.collect.requested_at.insert(from.clone(), now);
         member::send(state, from, vec![Item::WantReports], out);
     }
 }
 
 /// The known report with the new load; none if the load belongs to another report.
-fn apply(state: &State, load: &Load) -> Option<Report> {
+fn apply_load(state: &State, load: &Load) -> Option<Report> {
     let name = state.collect.digests.get(&load.engine)?.as_ref()?;
     let known = state.fleet.backends.get(name)?.report.as_ref()?;
-    if shape(known) != load.report_digest || known.copies.len() != load.requests.len() {
+    if report_digest(known) != load.report_digest || known.copies.len() != load.requests.len() {
         return None;
     }
     let mut report = known.clone();
--- a/core/src/config.rs
+++ b/core/src/config.rs
@@ -149,11 +149,11 @@
 pub(crate) fn table_answered(
     state: &mut crate::State,
     now: Time,
-    wait: &TableCall,
+    call: &TableCall,
     reply: Result<crate::table::Reply, crate::table::Failure>,
     out: &mut Vec<crate::effect::Effect>,
 ) {
-    match wait {
+    match call {
         TableCall::Head | TableCall::Changes => spread::read_answered(state, now, reply, out),
         TableCall::History(ask) => spread::history_answered(state, *ask, reply, out),
         TableCall::Write(op) => accept::write_answered(state, now, *op, reply, out),
--- a/core/src/config/accept.rs
+++ b/core/src/config/accept.rs
@@ -21,36 +21,36 @@
     head: Head,
     change: Change,
     /// Time at which the operator is told that the outcome is unknown.
-    until: Time,
+    give_up_at: Time,
     /// Attempts so far to find out whether the write took effect.
-    tries: u32,
+    attempts: u32,
 }
 
 /// Validates an operator's configuration and writes it to the table, or refuses it.
 pub(crate) fn apply(state: &mut State, now: Time, ask: id::Ask, apply: Apply, out: &mut Vec<Effect>) {
     let current = state.config.version;
     if apply.base.is_some_and(|base| base < current) {
-        conflict(ask, current, out);
+        answer_conflict(ask, current, out);
         return;
     }
     let faults = check::validate(&apply.document, &state.config.document, &state.fleet);
     if let Some(code) = check::code(&faults) {
         let reasons = faults.iter().map(|fault| Name::from(fault.to_string())).collect();
         let hint = "correct what is listed and apply again";
-        refuse(ask, Refusal { code, reasons, hint: hint.into(), version: Some(current) }, out);
+        answer_refusal(ask, Refusal { code, reasons, hint: hint.into(), version: Some(current) }, out);
         return;
     }
     let base = apply.base.unwrap_or(current);
     let op = state.next_op();
     let head = Head { version: base + 1, op, document: Arc::new(apply.document) };
     if apply.dry_run {
-        accepted(ask, &head, out);
+        answer_accepted(ask, &head, out);
         return;
     }
     let delta = (base == current).then(|| Delta::between(&state.config.document, &head.document)).flatten();
     let change = Change { version: head.version, op, who: apply.who, at: now, note: apply.note, delta };
-    let until = now + state.settings.settle_limit;
-    state.config.pending.insert(op, Pending { ask, head, change, until, tries: 0 });
+    let give_up_at = now + state.settings.settle_limit;
+    state.config.pending.insert(op, Pending { ask, head, change, give_up_at, attempts: 0 });
     write(state, op, out);
 }
 
@@ -79,18 +79,18 @@
     reply: Result<Reply, Failure>,
     out: &mut Vec<Effect>,
 ) {
-    let sure = state.config.pending.get(&op).is_some_and(|pending| pending.tries == 0);
+    let first_attempt = state.config.pending.get(&op).is_some_and(|pending| pending.attempts == 0);
     match reply {
         Ok(Reply::Committed) => accept(state, now, op, out),
         Ok(Reply::Conflict(rows)) => match winner(state, op, &rows) {
             // A commit that was delivered twice conflicts with its own first delivery.
-            Some(winner) if winner == op => take(state, now, op, rows, out),
-            Some(_) => lose(state, now, op, rows, out),
-            None if sure => lose(state, now, op, rows, out),
-            None => settle_later(state, now, op, out),
+            Some(winner) if winner == op => adopt_and_accept(state, now, op, rows, out),
+            Some(_) => reject(state, now, op, rows, out),
+            None if first_attempt => reject(state, now, op, rows, out),
+            None => schedule_settle(state, now, op, out),
         },
-        Err(Failure::Unavailable) if sure => not_accepted(state, op, out),
-        Ok(_) | Err(_) => settle_later(state, now, op, out),
+        Err(Failure::Unavailable) if first_attempt => reject_unwritten(state, op, out),
+        Ok(_) | Err(_) => schedule_settle(state, now, op, out),
     }
 }
 
@@ -103,8 +103,8 @@
     out: &mut Vec<Effect>,
 ) {
     match reply {
-        Ok(Reply::Rows(rows)) => judge(state, now, op, rows, out),
-        Ok(_) | Err(_) => settle_later(state, now, op, out),
+        Ok(Reply::Rows(rows)) => resolve(state, now, op, rows, out),
+        Ok(_) | Err(_) => schedule_settle(state, now, op, out),
     }
 }
 
@@ -113,7 +113,7 @@
     let Some(pending) = state.config.pending.get(&op) else {
         return;
     };
-    if now >= pending.until {
+    if now >= pending.give_up_at {
         let refusal = Refusal {
             code: Code::Unsettled,
             reasons: vec![Name::from(format!(
@@ -125,19 +125,19 @@
         };
         let ask = pending.ask;
         state.config.pending.remove(&op);
-        refuse(ask, refusal, out);
+        answer_refusal(ask, refusal, out);
         return;
     }
     let keys = vec![Key::Config, Key::Change(pending.head.version)];
     state.call(Call::Get(keys), Purpose::Config(TableCall::ReadBack(op)), out);
 }
 
-fn settle_later(state: &mut State, now: Time, op: id::Op, out: &mut Vec<Effect>) {
+fn schedule_settle(state: &mut State, now: Time, op: id::Op, out: &mut Vec<Effect>) {
     let Some(pending) = state.config.pending.get_mut(&op) else {
         return;
     };
-    pending.tries += 1;
-    if pending.tries == 1 {
+    pending.attempts += 1;
+    if pending.attempts == 1 {
         settle_due(state, now, op, out);
         return;
     }
@@ -149,16 +149,16 @@
 /// Decides from the rows of the table whether a change took effect. While its version is still free, the
 /// first write may yet arrive, so it is written again: only one of the two takes effect, and both have
 /// the same operation id.
-fn judge(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
+fn resolve(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
     let Some(pending) = state.config.pending.get(&op) else {
         return;
     };
     let base = pending.head.version - 1;
     match winner(state, op, &rows) {
-        Some(winner) if winner == op => take(state, now, op, rows, out),
-        Some(_) => lose(state, now, op, rows, out),
+        Some(winner) if winner == op => adopt_and_accept(state, now, op, rows, out),
+        Some(_) => reject(state, now, op, rows, out),
         None if head_version(&rows) == base => write(state, op, out),
-        None => settle_later(state, now, op, out),
+        None => schedule_settle(state, now, op, out),
     }
 }
 
@@ -180,7 +180,7 @@
     versions.max().unwrap_or(0)
 }
 
-fn take(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
+fn adopt_and_accept(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
     spread::adopt_rows(state, now, rows, out);
     accept(state, now, op, out);
 }
@@ -189,7 +189,7 @@
     let Some(pending) = state.config.pending.remove(&op) else {
         return;
     };
-    accepted(pending.ask, &pending.head, out);
+    answer_accepted(pending.ask, &pending.head, out);
     let version = pending.head.version;
     match pending.change.delta {
         Some(delta) if state.config.version + 1 == version => {
@@ -211,16 +211,16 @@
     state.call(Call::Each(vec![write]), Purpose::Config(TableCall::Trim), out);
 }
 
-fn lose(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
+fn reject(state: &mut State, now: Time, op: id::Op, rows: Vec<Row>, out: &mut Vec<Effect>) {
     let Some(pending) = state.config.pending.remove(&op) else {
         return;
     };
     spread::adopt_rows(state, now, rows, out);
     spread::push(state, Audience::All, out);
-    conflict(pending.ask, state.config.version, out);
+    answer_conflict(pending.ask, state.config.version, out);
 }
 
-fn not_accepted(state: &mut State, op: id::Op, out: &mut Vec<Effect>) {
+fn reject_unwritten(state: &mut State, op: id::Op, out: &mut Vec<Effect>) {
     let Some(pending) = state.config.pending.remove(&op) else {
         return;
     };
@@ -230,24 +230,24 @@
         hint: "try again once the platform answers".into(),
         version: Some(state.config.version),
     };
-    refuse(pending.ask, refusal, out);
+    answer_refusal(pending.ask, refusal, out);
 }
 
-fn conflict(ask: id::Ask, version: u64, out: &mut Vec<Effect>) {
+fn answer_conflict(ask: id::Ask, version: u64, out: &mut Vec<Effect>) {
     let refusal = Refusal {
         code: Code::Conflict,
         reasons: vec![Name::from(format!("version {version} is in force and was accepted first"))],
         hint: "read the version in force and apply to that".into(),
         version: Some(version),
     };
-    refuse(ask, refusal, out);
+    answer_refusal(ask, refusal, out);
 }
 
-fn accepted(ask: id::Ask, head: &Head, out: &mut Vec<Effect>) {
+fn answer_accepted(ask: id::Ask, head: &Head, out: &mut Vec<Effect>) {
     let answer = Answer::Applied(Applied { version: head.version, op: head.op });
     out.push(Effect::Answer { ask, answer: Box::new(answer) });
 }
 
-fn refuse(ask: id::Ask, refusal: Refusal, out: &mut Vec<Effect>) {
+fn answer_refusal(ask: id::Ask, refusal: Refusal, out: &mut Vec<Effect>) {
     out.push(Effect::Answer { ask, answer: Box::new(Answer::Error(refusal)) });
 }
--- a/core/src/config/delta.rs
+++ b/core/src/config/delta.rs
@@ -52,12 +52,12 @@
     pub fn between(old: &Document, new: &Document) -> Option<Self> {
         let weights = new.rules.weights;
         let delta = Self {
-            groups: Patch::between(&old.inventory.groups, &new.inventory.groups, group),
-            models: Patch::between(&old.inventory.models, &new.inventory.models, model),
-            services: Patch::between(&old.inventory.services, &new.inventory.services, service),
-            callers: Patch::between(&old.rules.callers, &new.rules.callers, caller),
-            places: Patch::between(&old.rules.places, &new.rules.places, place),
-            priorities: Patch::between(&old.rules.priorities, &new.rules.priorities, precedence),
+            groups: Patch::between(&old.inventory.groups, &new.inventory.groups, group_name),
+            models: Patch::between(&old.inventory.models, &new.inventory.models, model_name),
+            services: Patch::between(&old.inventory.services, &new.inventory.services, service_name),
+            callers: Patch::between(&old.rules.callers, &new.rules.callers, caller_name),
+            places: Patch::between(&old.rules.places, &new.rules.places, place_name),
+            priorities: Patch::between(&old.rules.priorities, &new.rules.priorities, precedence_name),
             weights: (weights != old.rules.weights).then_some(weights),
         };
         (delta.apply(old) == *new).then_some(delta)
@@ -67,12 +67,12 @@
     #[must_use]
     pub fn apply(&self, old: &Document) -> Document {
         let mut new = old.clone();
-        self.groups.apply(&mut new.inventory.groups, group);
-        self.models.apply(&mut new.inventory.models, model);
-        self.services.apply(&mut new.inventory.services, service);
-        self.callers.apply(&mut new.rules.callers, caller);
-        self.places.apply(&mut new.rules.places, place);
-        self.priorities.apply(&mut new.rules.priorities, precedence);
+        self.groups.apply(&mut new.inventory.groups, group_name);
+        self.models.apply(&mut new.inventory.models, model_name);
+        self.services.apply(&mut new.inventory.services, service_name);
+        self.callers.apply(&mut new.rules.callers, caller_name);
+        self.places.apply(&mut new.rules.places, place_name);
+        self.priorities.apply(&mut new.rules.priorities, precedence_name);
         if let Some(weights) = self.weights {
             new.rules.weights = weights;
         }
@@ -102,26 +102,26 @@
     list.iter().find(|each| name(each) == wanted)
 }
 
-fn group(group: &Group) -> &Name {
+fn group_name(group: &Group) -> &Name {
     &group.name
 }
 
-fn model(model: &Model) -> &Name {
+fn model_name(model: &Model) -> &Name {
     &model.name
 }
 
-fn service(service: &Service) -> &Name {
+fn service_name(service: &Service) -> &Name {
     &service.name
 }
 
-fn caller(caller: &Caller) -> &Name {
+fn caller_name(caller: &Caller) -> &Name {
     &caller.name
 }
 
-fn place(place: &Place) -> &Name {
+fn place_name(place: &Place) -> &Name {
     &place.model
 }
 
-fn precedence(precedence: &Precedence) -> &Name {
+fn precedence_name(precedence: &Precedence) -> &Name {
     &precedence.model
 }
--- a/core/src/config/spread.rs
+++ b/core/src/config/spread.rs
@@ -19,9 +19,9 @@
 use crate::timer::Timer;
 
 /// Minimum time between two requests to peers for newer versions.
-const WANT_AGAIN: Duration = Duration::from_millis(500);
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
 /// Doublings of the read interval while there is no configuration; the regular interval is its limit.
-const DOUBLINGS_MAX: u32 = 8;
+const STARTUP_DOUBLINGS: u32 = 8;
 /// Doublings of the regular read interval while the table does not answer.
 const SLOWDOWN_DOUBLINGS: u32 = 2;
 
@@ -39,13 +39,13 @@
 /// seldom, to limit the load on the table.
 pub(crate) fn poll(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     read(state, out);
-    let first = member::is_forwarder(state, &state.me.zone);
-    let every = if first { state.settings.config_first } else { state.settings.config_every };
-    let misses = state.config.failed_reads;
+    let is_reader = member::is_forwarder(state, &state.me.zone);
+    let interval = if is_reader { state.settings.config_first } else { state.settings.config_every };
+    let failed_reads = state.config.failed_reads;
     let base = if state.config.version == 0 {
-        every.min(state.settings.settle_every * (1 << misses.min(DOUBLINGS_MAX)))
+        interval.min(state.settings.settle_every * (1 << failed_reads.min(STARTUP_DOUBLINGS)))
     } else {
-        every * (1 << misses.min(SLOWDOWN_DOUBLINGS))
+        interval * (1 << failed_reads.min(SLOWDOWN_DOUBLINGS))
     };
     let wait = base.mul_f64(0.75 + 0.5 * state.rng.f64());
     state.timers.set(now + wait, Timer::Config);
@@ -77,13 +77,13 @@
     if state.config.version > before {
         push(state, Audience::All, out);
     }
-    let missed = state.config.version == 0;
-    state.config.failed_reads = if missed { state.config.failed_reads.saturating_add(1) } else { 0 };
+    let not_found = state.config.version == 0;
+    state.config.failed_reads = if not_found { state.config.failed_reads.saturating_add(1) } else { 0 };
 }
 
 /// Adopts newer versions from rows of the table.
 pub(super) fn adopt_rows(state: &mut State, now: Time, rows: Vec<Row>, out: &mut Vec<Effect>) {
-    let mut missing = false;
+    let mut has_gap = false;
     for row in rows {
         match row.value {
             Value::Config(head) => adopt(state, now, &head, out),
@@ -91,12 +91,12 @@
                 Some(delta) if change.version == state.config.version + 1 && state.config.version > 0 => {
                     adopt_step(state, now, Step { version: change.version, op: change.op, delta }, out);
                 }
-                _ => missing = true,
+                _ => has_gap = true,
             },
             _ => {}
         }
     }
-    if missing && state.config.version > 0 {
+    if has_gap && state.config.version > 0 {
         state.call(Call::Get(vec![Key::Config]), Purpose::Config(TableCall::Head), out);
     }
 }
@@ -115,7 +115,7 @@
     let delta = (head.version == current + 1)
         .then(|| Delta::between(&state.config.document, &head.document))
         .flatten();
-    enforce(state, now, head.clone(), out);
+    put_in_force(state, now, head.clone(), out);
     match delta {
         Some(delta) if current > 0 => state.config.keep(Step { version: head.version, op: head.op, delta }),
         _ => state.config.steps.clear(),
@@ -128,19 +128,19 @@
         return;
     }
     let document = Arc::new(step.delta.apply(&state.config.document));
-    enforce(state, now, Head { version: step.version, op: step.op, document }, out);
+    put_in_force(state, now, Head { version: step.version, op: step.op, document }, out);
     state.config.keep(step);
 }
 
-fn enforce(state: &mut State, now: Time, head: Head, out: &mut Vec<Effect>) {
-    let first = state.config.version == 0;
+fn put_in_force(state: &mut State, now: Time, head: Head, out: &mut Vec<Effect>) {
+    let is_first = state.config.version == 0;
     state.config.version = head.version;
     state.config.op = Some(head.op);
     state.config.highest_known = state.config.highest_known.max(head.version);
     state.config.catalog = Catalog::new(&head.document);
     state.config.document = head.document;
     audit::record(state, now, Decision::Configured(head.version), Cause::Operator, out);
-    if first && !state.drain.is_leaving() {
+    if is_first && !state.drain.is_leaving() {
         out.push(Effect::Ready(true));
     }
     crate::collect::assign_collectors(state, now);
@@ -150,21 +150,21 @@
 /// Immediately sends a frame to the peers that are not known to have the version in force. It contains the
 /// steps they lack if these are still kept, otherwise only the version, so that they ask for the full
 /// document.
-pub(crate) fn push(state: &mut State, reach: Audience, out: &mut Vec<Effect>) {
+pub(crate) fn push(state: &mut State, audience: Audience, out: &mut Vec<Effect>) {
     let version = state.config.version;
-    for (peer, theirs) in member::outdated_peers(state, version, reach) {
-        let steps = state.config.steps_from(theirs);
+    for (peer, peer_version) in member::outdated_peers(state, version, audience) {
+        let steps = state.config.steps_from(peer_version);
         let items = steps.map(Item::Steps).into_iter().collect();
         member::send(state, &peer, items, out);
     }
 }
 
-/// Answers a peer that asks for changes above the version `theirs`.
-pub(crate) fn answer_request(state: &mut State, peer: &Name, theirs: u64, out: &mut Vec<Effect>) {
-    if theirs >= state.config.version {
+/// Answers a peer that asks for changes above the version `peer_version`.
+pub(crate) fn answer_request(state: &mut State, peer: &Name, peer_version: u64, out: &mut Vec<Effect>) {
+    if peer_version >= state.config.version {
         return;
     }
-    let items = match (state.config.steps_from(theirs), state.config.op) {
+    let items = match (state.config.steps_from(peer_version), state.config.op) {
         (Some(steps), _) => vec![Item::Steps(steps)],
         (None, Some(op)) => {
             let document = Arc::clone(&state.config.document);
@@ -180,14 +180,14 @@
     state: &mut State,
     now: Time,
     peer: &Name,
-    theirs: u64,
+    peer_version: u64,
     out: &mut Vec<Effect>,
 ) {
-    state.config.highest_known = state.config.highest_known.max(theirs);
-    if theirs <= state.config.version {
+    state.config.highest_known = state.config.highest_known.max(peer_version);
+    if peer_version <= state.config.version {
         return;
     }
-    if state.config.requested_at.is_some_and(|at| now.since(at) < WANT_AGAIN) {
+    if state.config.requested_at.is_some_and(|at| now.since(at) < REQUEST_INTERVAL) {
         return;
     }
     state.config.requested_at = Some(now);
--- a/core/src/fleet.rs
+++ b/core/src/fleet.rs
@@ -19,7 +19,7 @@
 const DRAINS_MAX: usize = 1_024;
 /// Time after which a backend server that announced it is leaving, but is still listed as live, is used
 /// again.
-const LEAVING_KEPT: Duration = Duration::from_mins(1);
+const LEAVING_RETENTION: Duration = Duration::from_mins(1);
 
 /// A backend server.
 #[derive(Clone, Debug)]
@@ -94,8 +94,9 @@
             };
             let backend = match self.backends.remove(&vm.name) {
                 Some(known) if known.address == vm.address => {
-                    let left_at = known.announced_leaving_at.filter(|at| now.since(*at) < LEAVING_KEPT);
-                    Backend { phase: vm.phase, announced_leaving_at: left_at, ..known }
+                    let announced_at =
+                        known.announced_leaving_at.filter(|at| now.since(*at) < LEAVING_RETENTION);
+                    Backend { phase: vm.phase, announced_leaving_at: announced_at, ..known }
                 }
                 _ => Backend {
                     name: vm.name.clone(),
@@ -118,10 +119,10 @@
             let backends = &self.backends;
             self.drains.retain(|name, _| backends.contains_key(name));
         }
-        self.mark();
+        self.update_drained();
     }
 
-    fn mark(&mut self) {
+    fn update_drained(&mut self) {
         for backend in self.backends.values_mut() {
             backend.drained = self.drains.get(&backend.name).is_some_and(|drain| drain.out_of_use);
         }
@@ -178,8 +179,8 @@
     if !known {
         return false;
     }
-    let stamp = state.fleet.drains.values().map(|drain| drain.version).max().unwrap_or_default() + 1;
-    let drain = Drain { backend: backend.clone(), out_of_use, version: stamp };
+    let next_version = state.fleet.drains.values().map(|drain| drain.version).max().unwrap_or_default() + 1;
+    let drain = Drain { backend: backend.clone(), out_of_use, version: next_version };
     apply_drains(state, now, std::slice::from_ref(&drain), out);
     member::send_to_zone(state, &[Item::Drains(vec![drain])], out);
     true
@@ -195,7 +196,7 @@
             state.fleet.drains.insert(drain.backend.clone(), drain.clone());
         }
     }
-    state.fleet.mark();
+    state.fleet.update_drained();
     crate::route_sync::refresh_all(state, now);
     crate::dispatch::all(state, now, out);
 }
--- a/core/src/member.rs
+++ b/core/src/member.rs
@@ -26,10 +26,10 @@
 pub(crate) use mesh::{available_in_zone, is_forwarder, links, outdated_peers, zone_peers};
 
 /// Earlier incarnations remembered for each peer, so that their late frames are dropped.
-const RETIRED_MAX: usize = 4;
+const EARLIER_INCARNATIONS_MAX: usize = 4;
 /// Share of the frame interval for each peer of the zone: with more peers each gets frames less often,
 /// which bounds the total cost of frames.
-const SPACING: Duration = Duration::from_millis(80);
+const INTERVAL_PER_PEER: Duration = Duration::from_millis(80);
 
 /// Another entry VM.
 #[derive(Clone, Debug)]
@@ -96,19 +96,19 @@
     /// Start of the time in which the silence of peers counts.
     listening_since: Time,
     /// Time of the next frames.
-    due: Time,
+    next_frames_at: Time,
     seq: u64,
 }
 
 /// Updates the peers from a new VM list.
 pub(crate) fn update_members(state: &mut State, now: Time) {
-    let part = &mut state.member;
-    for peer in part.peers.values_mut() {
+    let members = &mut state.member;
+    for peer in members.peers.values_mut() {
         peer.unlisted_since = peer.unlisted_since.or(Some(now));
     }
     for vm in state.fleet.entries.values().filter(|vm| vm.name != state.me.vm) {
-        let fresh = || Peer::new(vm.zone.clone(), vm.address, now);
-        let peer = part.peers.entry(vm.name.clone()).or_insert_with(fresh);
+        let new_peer = || Peer::new(vm.zone.clone(), vm.address, now);
+        let peer = members.peers.entry(vm.name.clone()).or_insert_with(new_peer);
         // The address in a peer's own frames is newer than that in the list.
         if peer.last_heard.is_none() {
             peer.address = vm.address;
@@ -116,36 +116,36 @@
         peer.unlisted_since = None;
         peer.stopping |= vm.phase == Phase::Leaving;
     }
-    let forget = state.settings.suspect_after;
-    part.peers.retain(|_, peer| {
-        peer.unlisted_since.is_none() || peer.last_heard.is_some_and(|at| now.since(at) <= forget)
+    let retention = state.settings.suspect_after;
+    members.peers.retain(|_, peer| {
+        peer.unlisted_since.is_none() || peer.last_heard.is_some_and(|at| now.since(at) <= retention)
     });
 }
 
 /// Time between frames to each peer.
 pub(crate) fn frame_interval(state: &State) -> Duration {
     let peers = zone_peers(state).count() as u32;
-    state.settings.heartbeat_every.max(SPACING * peers)
+    state.settings.heartbeat_every.max(INTERVAL_PER_PEER * peers)
 }
 
 /// Sends the frames that are due and suspects silent peers.
 pub(crate) fn heartbeat_due(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     let interval = frame_interval(state);
-    let late = now.since(state.member.due) > interval && state.member.due > Time(0);
+    let late = now.since(state.member.next_frames_at) > interval && state.member.next_frames_at > Time(0);
     if late {
         state.member.listening_since = now;
     }
     let next = now + interval.mul_f64(0.9 + 0.2 * state.rng.f64());
-    state.member.due = next;
+    state.member.next_frames_at = next;
     state.timers.set(next, Timer::Heartbeat);
     if verdict::update_suspicions(state, now, interval) {
         collect::assign_collectors(state, now);
     }
-    tell_zone(state, out);
-    tell_links(state, now, out);
+    send_zone_frames(state, out);
+    send_link_frames(state, now, out);
 }
 
-fn tell_zone(state: &mut State, out: &mut Vec<Effect>) {
+fn send_zone_frames(state: &mut State, out: &mut Vec<Effect>) {
     let mut items = summary::take_forwards(state);
     items.extend(collect::take_load_updates(state));
     let peers: Vec<Name> = zone_peers(state).map(|(name, _)| name.clone()).collect();
@@ -165,7 +165,7 @@
     }
 }
 
-fn tell_links(state: &mut State, now: Time, out: &mut Vec<Effect>) {
+fn send_link_frames(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     for name in links(state) {
         let item = summary::next_summary(state, now, &name);
         send(state, &name, vec![item], out);
@@ -210,21 +210,21 @@
 
 /// Handles a frame from another entry VM.
 pub(crate) fn frame_received(state: &mut State, now: Time, frame: Frame, out: &mut Vec<Effect>) {
-    let own = frame.from == state.me.vm;
-    let overtaken = !own && is_overtaken(state, &frame);
-    if own || !overtaken && !admit(state, now, &frame) {
+    let from_self = frame.from == state.me.vm;
+    let overtaken = !from_self && is_overtaken(state, &frame);
+    if from_self || !overtaken && !update_sender(state, now, &frame) {
         state.counters.stale += 1;
         return;
     }
     let before = state.config.version;
     for item in frame.items {
-        if !overtaken || stands_alone(&item) {
-            take(state, now, &frame.from, item, out);
+        if !overtaken || is_self_contained(&item) {
+            process_item(state, now, &frame.from, item, out);
         }
     }
     if state.config.version > before {
-        let reach = if frame.zone == state.me.zone { Audience::OtherZones } else { Audience::All };
-        config::push(state, reach, out);
+        let audience = if frame.zone == state.me.zone { Audience::OtherZones } else { Audience::All };
+        config::push(state, audience, out);
     }
     config::version_received(state, now, &frame.from, frame.config, out);
 }
@@ -237,7 +237,7 @@
 }
 
 /// Whether an item carries its own version or sequence number, so that it may be processed late or twice.
-fn stands_alone(item: &Item) -> bool {
+fn is_self_contained(item: &Item) -> bool {
     match item {
         Item::Report(_) | Item::Drains(_) | Item::Summary(_) | Item::Config(_) | Item::Steps(_) => true,
         Item::Loads(_)
@@ -252,13 +252,13 @@
 }
 
 /// Updates the sender's state from a frame. Returns false for a frame older than one already received.
-fn admit(state: &mut State, now: Time, frame: &Frame) -> bool {
+fn update_sender(state: &mut State, now: Time, frame: &Frame) -> bool {
     let known = state.member.peers.get_mut(&frame.from);
     let peer = match (known, frame.address) {
         (Some(peer), _) => peer,
         (None, Some(address)) => {
-            let fresh = Peer::new(frame.zone.clone(), address, now);
-            state.member.peers.entry(frame.from.clone()).or_insert(fresh)
+            let new_peer = Peer::new(frame.zone.clone(), address, now);
+            state.member.peers.entry(frame.from.clone()).or_insert(new_peer)
         }
         // Its items are processed, though nothing can be sent to it until the VM list shows its address.
         (None, None) => return true,
@@ -272,7 +272,7 @@
         if let Some(old) = peer.incarnation.replace(frame.incarnation) {
             peer.earlier_incarnations.push_back(old);
         }
-        if peer.earlier_incarnations.len() > RETIRED_MAX {
+        if peer.earlier_incarnations.len() > EARLIER_INCARNATIONS_MAX {
             peer.earlier_incarnations.pop_front();
         }
         peer.synced = false;
@@ -293,7 +293,7 @@
     true
 }
 
-fn take(state: &mut State, now: Time, from: &Name, item: Item, out: &mut Vec<Effect>) {
+fn process_item(state: &mut State, now: Time, from: &Name, item: Item, out: &mut Vec<Effect>) {
     match item {
         Item::Report(report) => fleet::report_received(state, now, &report, out),
         Item::Loads(loads) => collect::loads_received(state, now, from, &loads, out),
@@ -309,7 +309,7 @@
         Item::Summary(summary) => summary::summary_received(state, now, &summary),
         Item::Config(head) => config::adopt(state, now, &head, out),
         Item::Steps(steps) => config::steps_received(state, now, steps, out),
-        Item::WantConfig(theirs) => config::answer_request(state, from, theirs, out),
+        Item::WantConfig(peer_version) => config::answer_request(state, from, peer_version, out),
         Item::Demand(items) => demand::receive(state, from, items),
         Item::Close(closing) => close::receive_close(state, now, from, closing, out),
         Item::Closed(closing) => close::receive_closed(state, from, closing),
--- a/core/src/member/mesh.rs
+++ b/core/src/member/mesh.rs
@@ -7,7 +7,7 @@
 use crate::state::State;
 
 /// Entry VMs of a zone that exchange frames with each other zone.
-const LINKS: usize = 2;
+const LINKS_PER_ZONE: usize = 2;
 
 /// The other entry VMs of this zone.
 pub(crate) fn zone_peers(state: &State) -> impl Iterator<Item = (&Name, &Peer)> {
@@ -18,25 +18,25 @@
 /// and others can take over.
 pub(crate) fn available_in_zone(state: &State) -> impl Iterator<Item = &str> {
     let others = || zone_peers(state).filter(|(_, peer)| peer.is_available()).map(|(name, _)| name.as_str());
-    let needed = !state.drain.is_leaving() || others().next().is_none();
-    let me = needed.then_some(state.me.vm.as_str());
+    let include_self = !state.drain.is_leaving() || others().next().is_none();
+    let me = include_self.then_some(state.me.vm.as_str());
     me.into_iter().chain(others())
 }
 
 /// A name for the pair of two zones, independent of their order.
-fn pair(a: &str, b: &str) -> String {
+fn zone_pair(a: &str, b: &str) -> String {
     if a < b { format!("{a}/{b}") } else { format!("{b}/{a}") }
 }
 
 /// The rank of this entry VM in its zone for the links to `zone`; zero is the first.
-fn place(state: &State, zone: &str) -> Option<usize> {
-    let ranked = rendezvous::rank(available_in_zone(state), &pair(&state.me.zone, zone));
+fn link_rank(state: &State, zone: &str) -> Option<usize> {
+    let ranked = rendezvous::rank(available_in_zone(state), &zone_pair(&state.me.zone, zone));
     ranked.iter().position(|name| *name == state.me.vm.as_str())
 }
 
 /// Whether this entry VM forwards summaries of `zone` within its own zone.
 pub(crate) fn is_forwarder(state: &State, zone: &str) -> bool {
-    place(state, zone) == Some(0)
+    link_rank(state, zone) == Some(0)
 }
 
 /// The entry VMs of other zones that this one sends frames to.
@@ -49,24 +49,24 @@
 }
 
 fn link(state: &State, zone: &Name) -> Option<Name> {
-    let place = place(state, zone).filter(|place| *place < LINKS)?;
-    let of_zone = || state.member.peers.iter().filter(|(_, peer)| peer.zone == *zone);
-    let fit: Vec<&str> =
-        of_zone().filter(|(_, peer)| peer.is_available()).map(|(name, _)| name.as_str()).collect();
-    let all: Vec<&str> = of_zone().map(|(name, _)| name.as_str()).collect();
-    let candidates = if fit.is_empty() { all } else { fit };
-    let ranked = rendezvous::rank(candidates.into_iter(), &pair(&state.me.zone, zone));
-    ranked.get(place % ranked.len().max(1)).map(|name| Name::from(*name))
+    let link_rank = link_rank(state, zone).filter(|link_rank| *link_rank < LINKS_PER_ZONE)?;
+    let in_zone = || state.member.peers.iter().filter(|(_, peer)| peer.zone == *zone);
+    let available: Vec<&str> =
+        in_zone().filter(|(_, peer)| peer.is_available()).map(|(name, _)| name.as_str()).collect();
+    let all: Vec<&str> = in_zone().map(|(name, _)| name.as_str()).collect();
+    let candidates = if available.is_empty() { all } else { available };
+    let ranked = rendezvous::rank(candidates.into_iter(), &zone_pair(&state.me.zone, zone));
+    ranked.get(link_rank % ranked.len().max(1)).map(|name| Name::from(*name))
 }
 
 /// Peers not known to have `version` in force, each with its last reported version.
-pub(crate) fn outdated_peers(state: &State, version: u64, reach: Audience) -> Vec<(Name, u64)> {
-    let zone = zone_peers(state).filter(|_| reach == Audience::All).map(|(name, _)| name.clone());
+pub(crate) fn outdated_peers(state: &State, version: u64, audience: Audience) -> Vec<(Name, u64)> {
+    let zone = zone_peers(state).filter(|_| audience == Audience::All).map(|(name, _)| name.clone());
     zone.chain(links(state))
         .map(|name| {
-            let theirs = state.member.peers.get(&name).map_or(0, |peer| peer.config_version);
-            (name, theirs)
+            let peer_version = state.member.peers.get(&name).map_or(0, |peer| peer.config_version);
+            (name, peer_version)
         })
-        .filter(|(_, theirs)| *theirs < version)
+        .filter(|(_, peer_version)| *peer_version < version)
         .collect()
 }
--- a/core/src/route_sync.rs
+++ b/core/src/route_sync.rs
@@ -19,11 +19,11 @@
 /// Updates all routes after the VM list or the configuration changed.
 pub(crate) fn refresh_all(state: &mut State, now: Time) {
     let backends = &state.fleet.backends;
-    let fresh = !state.routes.is_empty();
+    let slow_start = !state.routes.is_empty();
     state.routes.retain(|name| backends.contains_key(name));
-    let all: Vec<Description> = backends.values().map(|backend| facts(state, backend)).collect();
-    for each in all {
-        state.routes.set(now, each, fresh);
+    let descriptions: Vec<Description> = backends.values().map(|backend| describe(state, backend)).collect();
+    for description in descriptions {
+        state.routes.set(now, description, slow_start);
     }
 }
 
@@ -42,8 +42,8 @@
 /// Updates the routes of one backend server after its phase, its report or its closing copies changed.
 pub(crate) fn refresh(state: &mut State, now: Time, backend: &Name) {
     if let Some(backend) = state.fleet.backends.get(backend) {
-        let facts = facts(state, backend);
-        state.routes.set(now, facts, true);
+        let description = describe(state, backend);
+        state.routes.set(now, description, true);
     }
 }
 
@@ -53,14 +53,16 @@
     state.routes.record_load(&report.engine, report.running + report.waiting);
 }
 
-fn facts(state: &State, backend: &Backend) -> Description {
+fn describe(state: &State, backend: &Backend) -> Description {
     let catalog = &state.config.catalog;
     let group = catalog.groups.get(&backend.group);
     let mut works: Vec<Work> = match group.map(|group| group.kind) {
-        Some(Kind::Engine) => copies(backend).map(|artifact| Work::Artifact(artifact.clone())).collect(),
+        Some(Kind::Engine) => {
+            usable_copies(backend).map(|artifact| Work::Artifact(artifact.clone())).collect()
+        }
         Some(Kind::Service) => {
-            let own = catalog.services.values().filter(|service| service.group == backend.group);
-            own.map(|service| Work::Service(service.name.clone())).collect()
+            let services = catalog.services.values().filter(|service| service.group == backend.group);
+            services.map(|service| Work::Service(service.name.clone())).collect()
         }
         None => Vec::new(),
     };
@@ -77,7 +79,7 @@
     }
 }
 
-fn copies(backend: &Backend) -> impl Iterator<Item = &Artifact> {
+fn usable_copies(backend: &Backend) -> impl Iterator<Item = &Artifact> {
     backend
         .report
         .iter()
@@ -112,40 +114,40 @@
 pub(crate) fn attempt_failed(
     state: &mut State,
     now: Time,
-    closed: &OpenAttempt,
-    trouble: Fault,
+    attempt: &OpenAttempt,
+    fault: Fault,
     out: &mut Vec<Effect>,
 ) {
-    if matches!(trouble, Fault::Failed(Failure::Connect) | Fault::Silent) {
-        retire(state, &closed.backend, out);
+    if matches!(fault, Fault::Failed(Failure::Connect) | Fault::Silent) {
+        close_connections(state, &attempt.backend, out);
     }
-    let Some(site) = state.routes.index(&closed.backend) else {
+    let Some(index) = state.routes.index(&attempt.backend) else {
         return;
     };
-    match trouble {
+    match fault {
         Fault::Failed(Failure::Connect) | Fault::Silent => {
-            if let Some(health) = state.routes.health(site) {
+            if let Some(health) = state.routes.health(index) {
                 health.suspect(now);
             }
         }
         Fault::Failed(Failure::Refused(Refusal::Leaving)) => {
-            if mark_leaving(state, now, &closed.backend) {
-                member::send_to_zone(state, &[Item::Leaving(closed.backend.clone())], out);
+            if mark_leaving(state, now, &attempt.backend) {
+                member::send_to_zone(state, &[Item::Leaving(attempt.backend.clone())], out);
             }
         }
         Fault::Failed(Failure::Refused(Refusal::NotLoaded)) => {
-            if let Destination::Engine(artifact) = &closed.destination {
-                state.routes.unload(site, &Work::Artifact(artifact.clone()));
+            if let Destination::Engine(artifact) = &attempt.destination {
+                state.routes.unload(index, &Work::Artifact(artifact.clone()));
             }
         }
         Fault::Failed(Failure::Refused(Refusal::Busy | Refusal::Late) | Failure::Forgotten) => {}
         Fault::Failed(Failure::Broken | Failure::Error | Failure::Foreign) | Fault::Gap => {
-            state.routes.record_failure(now, site);
+            state.routes.record_failure(now, index);
         }
     }
 }
 
-fn retire(state: &State, name: &Name, out: &mut Vec<Effect>) {
+fn close_connections(state: &State, name: &Name, out: &mut Vec<Effect>) {
     let backend = state.fleet.backends.get(name).map(|backend| backend.address);
     let address = backend.or_else(|| state.fleet.entries.get(name).map(|vm| vm.address));
     if let Some(address) = address {
--- a/core/src/state.rs
+++ b/core/src/state.rs
@@ -144,19 +144,19 @@
         &self.me
     }
 
-    fn next(&mut self) -> u64 {
+    fn next_seq(&mut self) -> u64 {
         self.seq += 1;
         self.seq
     }
 
     /// Returns a new operation id.
     pub(crate) fn next_op(&mut self) -> id::Op {
-        id::Op { by: self.me.incarnation, seq: self.next() }
+        id::Op { by: self.me.incarnation, seq: self.next_seq() }
     }
 
     /// Returns a new order id.
     pub(crate) fn next_order(&mut self) -> id::Order {
-        id::Order { by: self.me.incarnation, seq: self.next() }
+        id::Order { by: self.me.incarnation, seq: self.next_seq() }
     }
 
     /// Calls the table.
--- a/core/src/status.rs
+++ b/core/src/status.rs
@@ -46,9 +46,10 @@
 
 fn status(state: &State, now: Time) -> Status {
     let entries = &state.config.catalog.entries;
-    let here: BTreeSet<&Artifact> = state.fleet.backends.values().flat_map(Backend::ready).collect();
+    let ready_here: BTreeSet<&Artifact> = state.fleet.backends.values().flat_map(Backend::ready).collect();
     let reachable = entries.iter().filter(|entry| {
-        here.contains(&entry.artifact) || !summary::zones_holding(state, now, &entry.artifact).is_empty()
+        ready_here.contains(&entry.artifact)
+            || !summary::zones_holding(state, now, &entry.artifact).is_empty()
     });
     Status {
         vm: state.me.vm.clone(),
@@ -175,9 +176,9 @@
     let mut members = vec![me];
     for (name, peer) in &state.member.peers {
         members.push(if peer.zone == state.me.zone {
-            neighbour(now, name, peer)
+            local_member(now, name, peer)
         } else {
-            distant(state, now, name, peer)
+            remote_member(state, now, name, peer)
         });
     }
     members.sort_by(|a, b| (&a.zone, &a.name).cmp(&(&b.zone, &b.name)));
@@ -185,7 +186,7 @@
 }
 
 /// An entry VM of this zone, by its own frames.
-fn neighbour(now: Time, name: &Name, peer: &Peer) -> Member {
+fn local_member(now: Time, name: &Name, peer: &Peer) -> Member {
     Member {
         name: name.clone(),
         zone: peer.zone.clone(),
@@ -197,17 +198,17 @@
 }
 
 /// An entry VM of another zone, by the last summary of that zone.
-fn distant(state: &State, now: Time, name: &Name, peer: &Peer) -> Member {
+fn remote_member(state: &State, now: Time, name: &Name, peer: &Peer) -> Member {
     let zone = summary::recent_zones(state, now).find(|(zone, _)| **zone == peer.zone).map(|(_, zone)| zone);
-    let silent = zone.is_none_or(|zone| zone.unavailable.contains(name));
-    let said = zone.map_or(0, |zone| zone.config);
-    let heard = zone.map(|zone| zone.last_heard).into_iter().chain(peer.last_heard).max();
+    let unavailable = zone.is_none_or(|zone| zone.unavailable.contains(name));
+    let zone_version = zone.map_or(0, |zone| zone.config);
+    let last_seen = zone.map(|zone| zone.last_heard).into_iter().chain(peer.last_heard).max();
     Member {
         name: name.clone(),
         zone: peer.zone.clone(),
-        alive: !silent,
+        alive: !unavailable,
         leaving: peer.stopping,
-        config: if silent { peer.config_version } else { said.max(peer.config_version) },
-        heard_ms: heard.map(|at| now.since(at).as_millis() as u64),
+        config: if unavailable { peer.config_version } else { zone_version.max(peer.config_version) },
+        heard_ms: last_seen.map(|at| now.since(at).as_millis() as u64),
     }
 }
--- a/core/src/summary.rs
+++ b/core/src/summary.rs
@@ -42,13 +42,20 @@
     seq: u64,
     offers: BTreeMap<u32, Offer>,
     /// Offers already forwarded within this zone, and the time of the last summary that was forwarded.
-    told: Told,
-    passed: Time,
+    sent: Sent,
+    forwarded_at: Time,
 }
 
 impl Zone {
     /// A summary of it that `by` forwards.
-    fn item(&self, zone: Name, by: Incarnation, seq: u64, extent: Extent, offers: Vec<Offer>) -> Item {
+    fn summary_item(
+        &self,
+        zone: Name,
+        by: Incarnation,
+        seq: u64,
+        extent: Extent,
+        offers: Vec<Offer>,
+    ) -> Item {
         Item::Summary(Box::new(Summary {
             zone,
             by,
@@ -64,30 +71,31 @@
 
 /// Offers of a zone already sent to one receiver.
 #[derive(Debug, Default)]
-struct Told {
+struct Sent {
     offers: BTreeMap<u32, Offer>,
     /// Number of summaries sent so far.
     count: u32,
 }
 
-impl Told {
+impl Sent {
     /// The offers for the next summary, and which artifacts they cover.
-    fn next(&mut self, current: &BTreeMap<u32, Offer>) -> (Vec<Offer>, Extent) {
-        let whole = self.count == 0;
-        let with_load = whole || self.count.is_multiple_of(LOAD_EVERY);
+    fn next_offers(&mut self, current: &BTreeMap<u32, Offer>) -> (Vec<Offer>, Extent) {
+        let is_first = self.count == 0;
+        let with_load = is_first || self.count.is_multiple_of(LOAD_EVERY);
         let share = self.count / LOAD_EVERY % SHARES;
         self.count = self.count.wrapping_add(1).max(1);
-        let news = |offer: &Offer| {
-            let Some(told) = self.offers.get(&offer.artifact_digest) else {
+        let needs_sending = |offer: &Offer| {
+            let Some(sent) = self.offers.get(&offer.artifact_digest) else {
                 return true;
             };
             let in_share = offer.artifact_digest % SHARES == share;
-            told.copies != offer.copies
-                || (with_load && (in_share || told.load.abs_diff(offer.load) >= LOAD_STEP))
+            sent.copies != offer.copies
+                || (with_load && (in_share || sent.load.abs_diff(offer.load) >= LOAD_STEP))
         };
-        let mut offers: Vec<Offer> = current.values().filter(|offer| whole || news(offer)).copied().collect();
-        let gone = self.offers.keys().filter(|artifact| !current.contains_key(artifact));
-        offers.extend(gone.map(|artifact| Offer { artifact_digest: *artifact, copies: 0, load: 0 }));
+        let mut offers: Vec<Offer> =
+            current.values().filter(|offer| is_first || needs_sending(offer)).copied().collect();
+        let removed = self.offers.keys().filter(|artifact| !current.contains_key(artifact));
+        offers.extend(removed.map(|artifact| Offer { artifact_digest: *artifact, copies: 0, load: 0 }));
         for offer in &offers {
             if offer.copies == 0 {
                 self.offers.remove(&offer.artifact_digest);
@@ -95,7 +103,7 @@
                 self.offers.insert(offer.artifact_digest, *offer);
             }
         }
-        let extent = match (whole, with_load) {
+        let extent = match (is_first, with_load) {
             (true, _) => Extent::All,
             (false, true) => Extent::Share(share),
             (false, false) => Extent::Changes,
@@ -109,7 +117,7 @@
 pub(crate) struct Part {
     zones: BTreeMap<Name, Zone>,
     /// What was sent to each linked entry VM of another zone.
-    told: BTreeMap<Name, Told>,
+    sent: BTreeMap<Name, Sent>,
     seq: u64,
 }
 
@@ -139,7 +147,7 @@
             Some(ZoneOffer { zone: name, copies: offer.copies, load: offer.load })
         })
         .collect();
-    found.sort_by_key(|elsewhere| (elsewhere.load, elsewhere.zone));
+    found.sort_by_key(|zone_offer| (zone_offer.load, zone_offer.zone));
     found
 }
 
@@ -149,13 +157,13 @@
     #[derive(Default)]
     struct Sum {
         copies: u32,
-        busy: u32,
+        requests: u32,
         slots: u32,
     }
     let mut sums: BTreeMap<u32, Sum> = BTreeMap::new();
     let own = state.fleet.backends.values().filter(|backend| backend.zone == state.me.zone);
-    let heard = |backend: &&Backend| backend.reported_within(now, state.settings.suspect_after);
-    for backend in own.filter(|backend| backend.accepts_work()).filter(heard) {
+    let is_recent = |backend: &&Backend| backend.reported_within(now, state.settings.suspect_after);
+    for backend in own.filter(|backend| backend.accepts_work()).filter(is_recent) {
         let slots = state.config.catalog.groups.get(&backend.group).map_or(1, |group| group.slots);
         let Some(report) = &backend.report else {
             continue;
@@ -164,12 +172,12 @@
         for copy in ready.filter(|copy| !backend.closing.contains(&copy.artifact)) {
             let sum = sums.entry(copy.artifact.digest()).or_default();
             sum.copies += 1;
-            sum.busy += report.running + report.waiting;
+            sum.requests += report.running + report.waiting;
             sum.slots += slots;
         }
     }
     let offer = |(artifact, sum): (u32, Sum)| {
-        let load = sum.busy * LOAD_PARTS / sum.slots.max(1);
+        let load = sum.requests * LOAD_PARTS / sum.slots.max(1);
         (artifact, Offer { artifact_digest: artifact, copies: sum.copies, load })
     };
     sums.into_iter().map(offer).collect()
@@ -178,15 +186,15 @@
 /// The next summary for an entry VM of another zone.
 pub(crate) fn next_summary(state: &mut State, now: Time, peer: &Name) -> Item {
     let synced = state.member.peers.get(peer).is_some_and(|peer| peer.synced);
-    let mut told = state.summary.told.remove(peer).filter(|_| synced).unwrap_or_default();
-    let (offers, extent) = told.next(&offers(state, now));
+    let mut sent = state.summary.sent.remove(peer).filter(|_| synced).unwrap_or_default();
+    let (offers, extent) = sent.next_offers(&offers(state, now));
     if let Some(peer) = state.member.peers.get_mut(peer) {
         peer.synced = peer.last_heard.is_some();
     }
     state.summary.seq += 1;
-    state.summary.told.insert(peer.clone(), told);
+    state.summary.sent.insert(peer.clone(), sent);
     let links = member::links(state);
-    state.summary.told.retain(|name, _| links.contains(name));
+    state.summary.sent.retain(|name, _| links.contains(name));
     let peers = || member::zone_peers(state);
     let configs = peers().filter(|(_, peer)| peer.is_available()).map(|(_, peer)| peer.config_version);
     Item::Summary(Box::new(Summary {
@@ -206,8 +214,8 @@
     let reports = own.filter_map(|backend| backend.report.as_ref());
     reports
         .map(|report| {
-            let taken: u64 = report.copies.iter().map(|copy| copy.memory_mb).sum();
-            report.memory_mb.saturating_sub(taken)
+            let used_mb: u64 = report.copies.iter().map(|copy| copy.memory_mb).sum();
+            report.memory_mb.saturating_sub(used_mb)
         })
         .sum()
 }
@@ -245,19 +253,20 @@
 /// the last frames and that this entry VM is the forwarder for.
 pub(crate) fn take_forwards(state: &mut State) -> Vec<Item> {
     let names: Vec<Name> = state.summary.zones.keys().cloned().collect();
-    let first: Vec<Name> = names.into_iter().filter(|name| member::is_forwarder(state, name)).collect();
+    let forwarded: Vec<Name> = names.into_iter().filter(|name| member::is_forwarder(state, name)).collect();
     let mut items = Vec::new();
-    for name in first {
+    for name in forwarded {
         let by = state.me.incarnation;
         state.summary.seq += 1;
         let seq = state.summary.seq;
-        let Some(zone) = state.summary.zones.get_mut(&name).filter(|zone| zone.last_heard > zone.passed)
+        let Some(zone) =
+            state.summary.zones.get_mut(&name).filter(|zone| zone.last_heard > zone.forwarded_at)
         else {
             continue;
         };
-        zone.passed = zone.last_heard;
-        let (offers, extent) = zone.told.next(&zone.offers);
-        items.push(zone.item(name, by, seq, extent, offers));
+        zone.forwarded_at = zone.last_heard;
+        let (offers, extent) = zone.sent.next_offers(&zone.offers);
+        items.push(zone.summary_item(name, by, seq, extent, offers));
     }
     items
 }
@@ -266,11 +275,11 @@
 pub(crate) fn all_forwards(state: &mut State) -> Vec<Item> {
     state.summary.seq += 1;
     let (by, seq) = (state.me.incarnation, state.summary.seq);
-    let first = state.summary.zones.iter().filter(|(name, _)| member::is_forwarder(state, name));
-    first
+    let forwarded = state.summary.zones.iter().filter(|(name, _)| member::is_forwarder(state, name));
+    forwarded
         .map(|(name, zone)| {
             let offers = zone.offers.values().copied().collect();
-            zone.item(name.clone(), by, seq, Extent::All, offers)
+            zone.summary_item(name.clone(), by, seq, Extent::All, offers)
         })
         .collect()
 }
--- a/core/tests/cluster/mod.rs
+++ b/core/tests/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! A few reducers, one table in memory and the frames between them, driven by events and timers.
+//! Several reducers with an in-memory table and the frames between them, driven by events and timers.
 
 #![allow(dead_code, reason = "each test file uses its own part of this module")]
 
@@ -27,29 +27,29 @@
 #[path = "../table/mod.rs"]
 mod table;
 
-/// What becomes of calls of the table.
+/// How the table treats calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
-    /// They are answered.
+pub enum Mode {
+    /// Calls are answered.
     #[default]
     Up,
-    /// They are refused.
+    /// Calls are refused.
     Down,
-    /// They take effect and their answers are lost.
-    Mute,
-    /// They get lost on the way, which nobody can tell.
-    Deaf,
-    /// They wait until the mood changes.
-    Slow,
+    /// Calls take effect, but their answers are lost.
+    AnswersLost,
+    /// Calls are lost before they take effect; the caller can't distinguish this from a lost answer.
+    RequestsLost,
+    /// Calls wait until the mode changes.
+    Delayed,
 }
 
-/// The platform's table, and how it is.
+/// The platform's table and its mode.
 #[derive(Debug, Default)]
 pub struct Platform {
     pub store: Table,
-    pub mood: Mood,
+    pub mode: Mode,
     pub calls: usize,
-    held: VecDeque<(usize, id::Op, Call)>,
+    delayed: VecDeque<(usize, id::Op, Call)>,
 }
 
 /// One entry VM.
@@ -59,39 +59,39 @@
     pub name: Name,
     pub zone: Name,
     pub up: bool,
-    /// Whether it handles what reaches it only after it is resumed.
+    /// Whether it handles events only after it is resumed.
     pub paused: bool,
     pub ready: bool,
     wake: Option<Time>,
     backlog: Vec<Event>,
 }
 
-/// All of it.
+/// Entry VMs, engines and the platform.
 #[derive(Debug)]
 pub struct Cluster {
     pub now: Time,
     pub nodes: Vec<Node>,
     pub table: Platform,
     pub vms: Vec<Vm>,
-    /// Pairs of zones that cannot reach each other.
+    /// Pairs of zones that can't reach each other.
     pub cuts: BTreeSet<(Name, Name)>,
     pub answers: BTreeMap<u64, Answer>,
     /// Frames sent, with the sender and the receiver's name.
     pub frames: Vec<(usize, Frame, Name)>,
     /// Nodes that are cut off from the platform.
-    pub apart: BTreeSet<usize>,
-    /// Nodes that frames arrive at without being handled.
-    pub deaf: BTreeSet<usize>,
-    /// What engines report; those without an entry do not answer.
+    pub isolated: BTreeSet<usize>,
+    /// Nodes to which frames are delivered without being handled.
+    pub not_receiving: BTreeSet<usize>,
+    /// Reports of engines; engines without an entry don't answer polls.
     pub reports: BTreeMap<Name, Report>,
-    /// Polls of engines, with the node.
+    /// Polls of engines, with the polling node.
     pub polls: Vec<(usize, Name)>,
-    /// Effects that no part of this module carries out, with the node.
-    pub rest: Vec<(usize, Effect)>,
+    /// Effects that this module does not carry out, with the node.
+    pub other_effects: Vec<(usize, Effect)>,
     queue: VecDeque<(usize, Event)>,
     settings: Settings,
-    asks: u64,
-    lives: u64,
+    queries: u64,
+    incarnations: u64,
 }
 
 impl Cluster {
@@ -105,75 +105,78 @@
             cuts: BTreeSet::new(),
             answers: BTreeMap::new(),
             frames: Vec::new(),
-            apart: BTreeSet::new(),
-            deaf: BTreeSet::new(),
+            isolated: BTreeSet::new(),
+            not_receiving: BTreeSet::new(),
             reports: BTreeMap::new(),
             polls: Vec::new(),
-            rest: Vec::new(),
+            other_effects: Vec::new(),
             queue: VecDeque::new(),
             settings,
-            asks: 0,
-            lives: 0,
+            queries: 0,
+            incarnations: 0,
         };
-        for (at, zone) in zones.iter().enumerate() {
-            let name = Name::from(format!("entry-{at}"));
-            cluster.vms.push(vm(&name, zone, 7_000 + at as u16, Role::Entry));
+        for (index, zone) in zones.iter().enumerate() {
+            let name = Name::from(format!("entry-{index}"));
+            cluster.vms.push(vm(&name, zone, 7_000 + index as u16, Role::Entry));
         }
-        for at in 0..zones.len() {
-            let node = cluster.start(at);
+        for index in 0..zones.len() {
+            let node = cluster.start(index);
             cluster.nodes.push(node);
         }
         cluster
     }
 
-    fn start(&mut self, at: usize) -> Node {
-        self.lives += 1;
-        let Vm { name, zone, address, .. } = self.vms[at].clone();
-        let me =
-            Identity { vm: name.clone(), zone: zone.clone(), incarnation: Incarnation(100 + self.lives) };
+    fn start(&mut self, index: usize) -> Node {
+        self.incarnations += 1;
+        let Vm { name, zone, address, .. } = self.vms[index].clone();
+        let me = Identity {
+            vm: name.clone(),
+            zone: zone.clone(),
+            incarnation: Incarnation(100 + self.incarnations),
+        };
         let settings = Settings { address: Some(address), ..self.settings.clone() };
-        let state = State::new(me, settings, self.lives, self.now);
+        let state = State::new(me, settings, self.incarnations, self.now);
         let wake = Some(self.now);
         Node { state, name, zone, up: true, paused: false, ready: false, wake, backlog: Vec::new() }
     }
 
-    /// Replaces a process by a new one on the same VM, which remembers nothing.
-    pub fn restart(&mut self, at: usize) {
-        self.queue.retain(|(node, _)| *node != at);
-        self.table.held.retain(|(node, ..)| *node != at);
-        self.nodes[at] = self.start(at);
+    /// Replaces a process by a new one on the same VM, without its state.
+    pub fn restart(&mut self, index: usize) {
+        self.queue.retain(|(node, _)| *node != index);
+        self.table.delayed.retain(|(node, ..)| *node != index);
+        self.nodes[index] = self.start(index);
     }
 
     /// Adds engines of a group to the VM list.
     pub fn add_engines(&mut self, group: &str, zones: &[&str]) {
         for zone in zones {
-            let at = self.vms.len();
-            let name = Name::from(format!("engine-{at}"));
-            self.vms.push(vm(&name, zone, 8_000 + at as u16, Role::Backend(group.into())));
+            let index = self.vms.len();
+            let name = Name::from(format!("engine-{index}"));
+            self.vms.push(vm(&name, zone, 8_000 + index as u16, Role::Backend(group.into())));
             self.reports.insert(name.clone(), report(&name));
         }
     }
 
-    /// Asks a node something; the answer will be among `answers`.
+    /// Sends an operator's query to a node; the answer is added to `answers`.
     pub fn ask(&mut self, node: usize, query: Query) -> u64 {
-        self.asks += 1;
-        let ask = id::Ask { by: Incarnation(0), seq: self.asks };
+        self.queries += 1;
+        let ask = id::Ask { by: Incarnation(0), seq: self.queries };
         self.event(node, Event::QueryReceived { ask, query: Box::new(query) });
-        self.asks
+        self.queries
     }
 
-    /// Asks a node to accept a document.
+    /// Applies a document at a node.
     pub fn apply(&mut self, node: usize, document: Document, base: Option<u64>) -> u64 {
         let apply = Apply { document, base, who: "op".into(), note: "test".into(), dry_run: false };
         self.ask(node, Query::Apply(Box::new(apply)))
     }
 
-    /// The answer that a question got.
+    /// The answer to a query.
     pub fn answer(&self, ask: u64) -> Option<&Answer> {
         self.answers.get(&ask)
     }
 
-    /// The version that a question brought.
+    /// The version created by an apply query, if it was accepted.
     pub fn version(&self, ask: u64) -> Option<u64> {
         match self.answer(ask) {
             Some(Answer::Applied(applied)) => Some(applied.version),
@@ -181,7 +184,7 @@
         }
     }
 
-    /// The refusal that a question got.
+    /// The refusal of a query.
     pub fn refusal(&self, ask: u64) -> Option<&Refusal> {
         match self.answer(ask) {
             Some(Answer::Error(refusal)) => Some(refusal),
@@ -203,16 +206,16 @@
         }
     }
 
-    /// Hands a node an event, with others in their order.
+    /// Queues an event for a node.
     pub fn event(&mut self, node: usize, event: Event) {
         self.queue.push_back((node, event));
     }
 
-    /// Handles what is under way, without any time going by.
+    /// Handles all queued events without advancing the time.
     pub fn run(&mut self) {
         loop {
-            if self.table.mood == Mood::Up
-                && let Some((node, op, call)) = self.table.held.pop_front()
+            if self.table.mode == Mode::Up
+                && let Some((node, op, call)) = self.table.delayed.pop_front()
             {
                 let reply = Ok(self.table.store.call(&call));
                 self.queue.push_back((node, Event::TableAnswered { op, reply }));
@@ -234,7 +237,7 @@
         }
     }
 
-    /// Lets a paused node handle what reached it meanwhile.
+    /// Resumes a paused node, which then handles the events that it received in the meantime.
     pub fn resume(&mut self, node: usize) {
         self.nodes[node].paused = false;
         let backlog = std::mem::take(&mut self.nodes[node].backlog);
@@ -242,13 +245,13 @@
         self.run();
     }
 
-    /// Lets time go by, firing timers in their order.
+    /// Advances the time, firing timers in their order.
     pub fn advance(&mut self, time: Duration) {
         let end = self.now + time;
         loop {
             self.run();
-            let awake = self.nodes.iter().enumerate().filter(|(_, node)| node.up && !node.paused);
-            let next = awake.filter_map(|(at, node)| Some((node.wake?, at))).min();
+            let active = self.nodes.iter().enumerate().filter(|(_, node)| node.up && !node.paused);
+            let next = active.filter_map(|(index, node)| Some((node.wake?, index))).min();
             let Some((wake, node)) = next.filter(|(wake, _)| *wake <= end) else {
                 break;
             };
@@ -259,37 +262,37 @@
         self.now = end;
     }
 
-    /// Lets time go by until a condition holds; fails after `limit`.
-    pub fn until(
+    /// Advances the time until a condition holds, and returns how long that took; panics after `limit`.
+    pub fn advance_until(
         &mut self,
         limit: Duration,
         what: &str,
-        mut holds: impl FnMut(&mut Self) -> bool,
+        mut condition: impl FnMut(&mut Self) -> bool,
     ) -> Duration {
         const STEP: Duration = Duration::from_millis(50);
-        let begin = self.now;
+        let started_at = self.now;
         loop {
             self.run();
-            if holds(self) {
-                return self.now.since(begin);
+            if condition(self) {
+                return self.now.since(started_at);
             }
-            assert!(self.now.since(begin) < limit, "{what}: not within {limit:?}");
+            assert!(self.now.since(started_at) < limit, "{what}: not within {limit:?}");
             self.advance(STEP);
         }
     }
 
-    /// Lets a new entry VM begin in a zone, on a VM that the list shows or not yet.
+    /// Starts a new entry VM in a zone; `listed` tells whether the VM list shows it.
     pub fn join(&mut self, zone: &str, listed: bool) -> usize {
-        let at = self.nodes.len();
-        let vm = vm(&Name::from(format!("entry-{at}")), zone, 7_000 + at as u16, Role::Entry);
-        let shown = self.vms.clone();
-        self.vms.insert(at, vm);
-        let node = self.start(at);
+        let index = self.nodes.len();
+        let vm = vm(&Name::from(format!("entry-{index}")), zone, 7_000 + index as u16, Role::Entry);
+        let listed_vms = self.vms.clone();
+        self.vms.insert(index, vm);
+        let node = self.start(index);
         self.nodes.push(node);
         if !listed {
-            self.vms = shown;
+            self.vms = listed_vms;
         }
-        at
+        index
     }
 
     /// Cuts two zones off from each other.
@@ -301,31 +304,31 @@
     fn carry_out(&mut self, node: usize, effect: Effect) {
         match effect {
             Effect::Table { op, call } => self.table_call(node, op, call),
-            Effect::SendFrame { peer, frame, .. } => self.tell(node, &peer, *frame),
-            Effect::ListVms if self.apart.contains(&node) => self.event(node, Event::VmListFailed),
+            Effect::SendFrame { peer, frame, .. } => self.deliver(node, &peer, *frame),
+            Effect::ListVms if self.isolated.contains(&node) => self.event(node, Event::VmListFailed),
             Effect::ListVms => self.event(node, Event::VmsListed(self.vms.clone())),
             Effect::Poll { engine, .. } => self.poll(node, engine),
             Effect::Answer { ask, answer } => {
                 self.answers.insert(ask.seq, *answer);
             }
             Effect::Ready(ready) => self.nodes[node].ready = ready,
-            Effect::WakeAt(at) => self.nodes[node].wake = Some(at),
-            other => self.rest.push((node, other)),
+            Effect::WakeAt(time) => self.nodes[node].wake = Some(time),
+            other => self.other_effects.push((node, other)),
         }
     }
 
     fn table_call(&mut self, node: usize, op: id::Op, call: Call) {
         self.table.calls += 1;
-        let mood = if self.apart.contains(&node) { Mood::Down } else { self.table.mood };
-        let reply = match mood {
-            Mood::Up => Ok(self.table.store.call(&call)),
-            Mood::Down => Err(Failure::Unavailable),
-            Mood::Deaf => Err(Failure::Unknown),
-            Mood::Mute => {
+        let mode = if self.isolated.contains(&node) { Mode::Down } else { self.table.mode };
+        let reply = match mode {
+            Mode::Up => Ok(self.table.store.call(&call)),
+            Mode::Down => Err(Failure::Unavailable),
+            Mode::RequestsLost => Err(Failure::Unknown),
+            Mode::AnswersLost => {
                 self.table.store.call(&call);
                 Err(Failure::Unknown)
             }
-            Mood::Slow => return self.table.held.push_back((node, op, call)),
+            Mode::Delayed => return self.table.delayed.push_back((node, op, call)),
         };
         self.event(node, Event::TableAnswered { op, reply });
     }
@@ -340,17 +343,17 @@
         self.event(node, Event::ReportReceived(report));
     }
 
-    fn tell(&mut self, from: usize, peer: &Name, frame: Frame) {
+    fn deliver(&mut self, from: usize, peer: &Name, frame: Frame) {
         self.frames.push((from, frame.clone(), peer.clone()));
         let Some(to) = self.nodes.iter().position(|node| node.name == *peer) else {
             return;
         };
         let pair = (self.nodes[from].zone.clone(), self.nodes[to].zone.clone());
-        let arrives = self.nodes[to].up && !self.cuts.contains(&pair);
-        if arrives && self.deaf.contains(&to) {
+        let reachable = self.nodes[to].up && !self.cuts.contains(&pair);
+        if reachable && self.not_receiving.contains(&to) {
             return;
         }
-        if arrives {
+        if reachable {
             self.event(to, Event::FrameReceived(Box::new(frame)));
         } else {
             self.event(from, Event::FrameFailed { peer: peer.clone() });
@@ -363,7 +366,7 @@
     Vm { name: name.clone(), zone: zone.into(), address, role, phase: Phase::Live }
 }
 
-/// What an empty engine reports.
+/// The report of an engine without copies.
 fn report(name: &Name) -> Report {
     Report {
         engine: name.clone(),
@@ -384,12 +387,12 @@
 /// The group that the documents of these tests use.
 pub const GROUP: &str = "brief-writer";
 
-/// A document with models of the sizes given, on engines of 24,000 MB.
+/// A document with models of the given sizes in MB, for engines of 24,000 MB.
 pub fn document(sizes: &[u64]) -> Document {
     let group =
         Group { name: GROUP.into(), kind: Kind::Engine, memory_mb: 24_000, slots: 8, checks_fences: true };
-    let model = |(at, size): (usize, &u64)| Model {
-        name: Name::from(format!("model-{at}")),
+    let model = |(index, size): (usize, &u64)| Model {
+        name: Name::from(format!("model-{index}")),
         group: GROUP.into(),
         versions: vec![ModelVersion { name: "1".into(), memory_mb: *size }],
         adapters: Vec::new(),
@@ -401,7 +404,7 @@
     }
 }
 
-/// A ready copy of a model of [`document`].
+/// A ready copy of a model from [`document`].
 pub fn copy(model: &str) -> Copy {
     let artifact = Artifact { model: model.into(), adapter: None, version: "1".into() };
     Copy { artifact, memory_mb: 1_000, stage: Stage::Ready, requests: 0 }
--- a/core/tests/config_accept.rs
+++ b/core/tests/config_accept.rs
@@ -1,4 +1,4 @@
-//! What an operator is told of a change, and what became of it.
+//! Acceptance of configuration changes: the answer to the operator matches the effect of the write.
 
 mod cluster;
 
@@ -12,11 +12,11 @@
 use boragecove_core::rules::Place;
 use boragecove_core::settings::Settings;
 use boragecove_core::table::{Key, Value};
-use cluster::{Cluster, GROUP, Mood, document};
+use cluster::{Cluster, GROUP, Mode, document};
 
 const LIMIT: Duration = Duration::from_mins(1);
 
-fn two() -> Cluster {
+fn two_nodes() -> Cluster {
     let mut cluster = Cluster::new(&["hall-a", "hall-b"], Settings::default());
     cluster.add_engines(GROUP, &["hall-a", "hall-a", "hall-b"]);
     cluster.run();
@@ -32,30 +32,30 @@
 }
 
 #[test]
-fn first_wins() {
-    let mut cluster = two();
+fn second_apply_conflicts() {
+    let mut cluster = two_nodes();
     let first = cluster.apply(0, document(&[1_000]), Some(0));
     let second = cluster.apply(0, document(&[2_000]), Some(0));
     cluster.run();
     assert_eq!(cluster.version(first), Some(1));
-    let refusal = cluster.refusal(second).expect("the second loses");
+    let refusal = cluster.refusal(second).expect("the second is refused");
     assert_eq!((refusal.code, refusal.version), (Code::Conflict, Some(1)));
     assert_eq!(stored(&cluster), (1, document(&[1_000])));
 }
 
 #[test]
-fn race_between_entries() {
+fn concurrent_applies() {
     for base in [None, Some(0)] {
-        let mut cluster = two();
-        cluster.table.mood = Mood::Slow;
+        let mut cluster = two_nodes();
+        cluster.table.mode = Mode::Delayed;
         let asks = [cluster.apply(0, document(&[1_000]), base), cluster.apply(1, document(&[2_000]), base)];
         cluster.run();
-        cluster.table.mood = Mood::Up;
+        cluster.table.mode = Mode::Up;
         cluster.run();
         let won: Vec<u64> = asks.into_iter().filter(|ask| cluster.version(*ask) == Some(1)).collect();
-        assert_eq!(won.len(), 1, "one wins: {:?}", cluster.answers);
+        assert_eq!(won.len(), 1, "one is accepted: {:?}", cluster.answers);
         let lost = asks.into_iter().find(|ask| *ask != won[0]).expect("the other");
-        let refusal = cluster.refusal(lost).expect("the other loses");
+        let refusal = cluster.refusal(lost).expect("the other is refused");
         assert_eq!((refusal.code, refusal.version), (Code::Conflict, Some(1)));
         let size = if won[0] == asks[0] { 1_000 } else { 2_000 };
         assert_eq!(stored(&cluster), (1, document(&[size])));
@@ -65,72 +65,72 @@
 
 #[test]
 fn lost_answer() {
-    let mut cluster = two();
-    cluster.table.mood = Mood::Mute;
+    let mut cluster = two_nodes();
+    cluster.table.mode = Mode::AnswersLost;
     let ask = cluster.apply(0, document(&[1_000]), None);
     cluster.run();
-    assert_eq!(cluster.answer(ask), None, "nothing is known yet");
-    cluster.table.mood = Mood::Up;
-    cluster.until(LIMIT, "settled", |cluster| cluster.answer(ask).is_some());
-    assert_eq!(cluster.version(ask), Some(1), "it took effect and is reported so");
+    assert_eq!(cluster.answer(ask), None, "the outcome is not known yet");
+    cluster.table.mode = Mode::Up;
+    cluster.advance_until(LIMIT, "settled", |cluster| cluster.answer(ask).is_some());
+    assert_eq!(cluster.version(ask), Some(1), "the write took effect and is reported as accepted");
     assert_eq!(cluster.in_force(0), 1);
 }
 
 #[test]
 fn lost_request() {
-    let mut cluster = two();
-    cluster.table.mood = Mood::Deaf;
+    let mut cluster = two_nodes();
+    cluster.table.mode = Mode::RequestsLost;
     let ask = cluster.apply(0, document(&[1_000]), None);
     cluster.run();
-    cluster.table.mood = Mood::Up;
-    cluster.until(LIMIT, "settled", |cluster| cluster.answer(ask).is_some());
+    cluster.table.mode = Mode::Up;
+    cluster.advance_until(LIMIT, "settled", |cluster| cluster.answer(ask).is_some());
     assert_eq!(cluster.version(ask), Some(1));
     assert_eq!(stored(&cluster).0, 1);
 }
 
 #[test]
 fn lost_answer_superseded() {
-    let mut cluster = two();
-    cluster.table.mood = Mood::Mute;
+    let mut cluster = two_nodes();
+    cluster.table.mode = Mode::AnswersLost;
     let ask = cluster.apply(0, document(&[1_000]), None);
     cluster.run();
     cluster.nodes[0].paused = true;
-    cluster.table.mood = Mood::Up;
-    cluster.until(LIMIT, "the other has read it", |cluster| cluster.in_force(1) == 1);
+    cluster.table.mode = Mode::Up;
+    cluster.advance_until(LIMIT, "the other node has read it", |cluster| cluster.in_force(1) == 1);
     let later = cluster.apply(1, document(&[2_000]), Some(1));
     cluster.run();
     assert_eq!(cluster.version(later), Some(2));
     cluster.resume(0);
-    cluster.until(LIMIT, "settled", |cluster| cluster.answer(ask).is_some());
-    assert_eq!(cluster.version(ask), Some(1), "it took effect before the other");
-    assert_eq!(stored(&cluster), (2, document(&[2_000])), "and is not written again over it");
+    cluster.advance_until(LIMIT, "settled", |cluster| cluster.answer(ask).is_some());
+    assert_eq!(cluster.version(ask), Some(1), "it took effect before the later change");
+    assert_eq!(stored(&cluster), (2, document(&[2_000])), "and does not overwrite the later change");
     assert_eq!(cluster.in_force(0), 2);
 }
 
 #[test]
-fn never_settled() {
-    let mut cluster = two();
-    cluster.table.mood = Mood::Deaf;
+fn outcome_unknown() {
+    let mut cluster = two_nodes();
+    cluster.table.mode = Mode::RequestsLost;
     let ask = cluster.apply(0, document(&[1_000]), None);
-    cluster.until(LIMIT, "told", |cluster| cluster.answer(ask).is_some());
+    cluster.advance_until(LIMIT, "answered", |cluster| cluster.answer(ask).is_some());
     assert_eq!(cluster.refusal(ask).map(|refusal| refusal.code), Some(Code::Unsettled));
 }
 
 #[test]
-fn table_down() {
-    let mut cluster = two();
-    cluster.table.mood = Mood::Down;
+fn table_unavailable() {
+    let mut cluster = two_nodes();
+    cluster.table.mode = Mode::Down;
     let ask = cluster.apply(0, document(&[1_000]), None);
     cluster.run();
     assert_eq!(cluster.refusal(ask).map(|refusal| refusal.code), Some(Code::NotAccepted));
-    cluster.table.mood = Mood::Up;
+    cluster.table.mode = Mode::Up;
     cluster.advance(LIMIT);
-    assert_eq!(stored(&cluster).0, 0, "what was refused does not come later");
+    assert_eq!(stored(&cluster).0, 0, "a refused change does not take effect later");
 }
 
 #[test]
-fn all_errors() {
-    let mut cluster = two();
+fn all_faults_reported() {
+    let mut cluster = two_nodes();
     let mut bad = document(&[1_000, 0]);
     bad.inventory.models[1].name = "model-0".into();
     bad.inventory.models[0].group = "nowhere".into();
@@ -157,7 +157,7 @@
 
 #[test]
 fn does_not_fit() {
-    let mut cluster = two();
+    let mut cluster = two_nodes();
     let ask = cluster.apply(0, document(&[13_000; 4]), None);
     cluster.run();
     let refusal = cluster.refusal(ask).expect("three engines hold one each").clone();
@@ -177,7 +177,11 @@
     zoned.rules.places = vec![place("model-0"), place("model-1")];
     let ask = cluster.apply(0, zoned, None);
     cluster.run();
-    assert_eq!(cluster.refusal(ask).map(|refusal| refusal.code), Some(Code::DoesNotFit), "hall-b has one");
+    assert_eq!(
+        cluster.refusal(ask).map(|refusal| refusal.code),
+        Some(Code::DoesNotFit),
+        "hall-b has only one engine"
+    );
 
     let mut adapted = document(&[20_000]);
     let version = |memory_mb| vec![Version { name: "1".into(), memory_mb }];
@@ -187,7 +191,7 @@
     assert_eq!(
         cluster.refusal(ask).map(|refusal| refusal.code),
         Some(Code::DoesNotFit),
-        "not beside its model"
+        "the adapter does not fit beside its model"
     );
 
     let ask = cluster.apply(0, document(&[13_000; 3]), None);
@@ -196,8 +200,8 @@
 }
 
 #[test]
-fn short_of_engines() {
-    let mut cluster = two();
+fn missing_engines_allow_smaller_document() {
+    let mut cluster = two_nodes();
     let ask = cluster.apply(0, document(&[13_000; 3]), None);
     cluster.run();
     assert_eq!(cluster.version(ask), Some(1));
@@ -205,7 +209,7 @@
     cluster.advance(Duration::from_secs(2));
     let ask = cluster.apply(0, document(&[12_500; 3]), None);
     cluster.run();
-    assert_eq!(cluster.version(ask), Some(2), "it asks for less than what is in force");
+    assert_eq!(cluster.version(ask), Some(2), "it needs less memory than the document in force");
     let ask = cluster.apply(0, document(&[12_500; 4]), None);
     cluster.run();
     assert_eq!(cluster.refusal(ask).map(|refusal| refusal.code), Some(Code::DoesNotFit));
@@ -213,7 +217,7 @@
 
 #[test]
 fn history() {
-    let mut cluster = two();
+    let mut cluster = two_nodes();
     for size in 1..=3 {
         cluster.apply(0, document(&[size * 1_000]), None);
         cluster.run();
@@ -226,7 +230,7 @@
     let seen: Vec<(u64, &str, &str)> =
         changes.iter().map(|change| (change.version, &*change.who, &*change.note)).collect();
     assert_eq!(seen, [(3, "op", "test"), (2, "op", "test"), (1, "op", "test")]);
-    cluster.table.mood = Mood::Down;
+    cluster.table.mode = Mode::Down;
     let ask = cluster.ask(1, Query::History);
     cluster.run();
     assert_eq!(cluster.refusal(ask).map(|refusal| refusal.code), Some(Code::PlatformDown));
--- a/core/tests/overtaken_frame.rs
+++ b/core/tests/overtaken_frame.rs
@@ -1,4 +1,5 @@
-//! A frame that a later one from the same process overtook on its way.
+//! A frame that arrives after a later frame of the same process. Its configuration must still be adopted,
+//! because it is sent only once.
 
 use boragecove_core::config::{Document, Head};
 use boragecove_core::effect::Effect;
--- a/core/tests/table/mod.rs
+++ b/core/tests/table/mod.rs
@@ -1,4 +1,4 @@
-//! A table in memory, as the platform's is: rows with versions, conditional writes, reads by prefix.
+//! An in-memory table like the platform's: rows with versions, conditional writes, reads by prefix.
 
 #![allow(dead_code, reason = "each user of this module uses its own part")]
 
@@ -9,7 +9,7 @@
 #[derive(Debug, Default)]
 pub struct Table {
     pub rows: BTreeMap<Key, Row>,
-    /// Forgets what is written of ledgers, as if there were no such rows.
+    /// Discards writes of ledgers, as if there were no such rows.
     pub forgets_ledgers: bool,
     pub calls: usize,
 }
@@ -23,16 +23,18 @@
                 Reply::Rows(self.rows.values().filter(|row| is_under(prefix, &row.key)).cloned().collect())
             }
             Call::Commit(writes) => {
-                let late: Vec<&Write> = writes.iter().filter(|write| !self.is_current(write)).collect();
-                if !late.is_empty() {
-                    return Reply::Conflict(late.iter().filter_map(|write| self.row(&write.key)).collect());
+                let outdated: Vec<&Write> = writes.iter().filter(|write| !self.is_current(write)).collect();
+                if !outdated.is_empty() {
+                    return Reply::Conflict(
+                        outdated.iter().filter_map(|write| self.row(&write.key)).collect(),
+                    );
                 }
                 for write in writes {
                     self.write(write);
                 }
                 Reply::Committed
             }
-            Call::Each(writes) => Reply::Each(writes.iter().map(|write| self.each(write)).collect()),
+            Call::Each(writes) => Reply::Each(writes.iter().map(|write| self.write_one(write)).collect()),
         }
     }
 
@@ -40,16 +42,16 @@
         self.rows.get(key).cloned()
     }
 
-    fn forgets(&self, key: &Key) -> bool {
+    fn is_forgotten(&self, key: &Key) -> bool {
         self.forgets_ledgers && matches!(key, Key::Ledger { .. })
     }
 
     fn is_current(&self, write: &Write) -> bool {
         let version = self.rows.get(&write.key).map_or(Version(0), |row| row.version);
-        self.forgets(&write.key) || version == write.expect
+        self.is_forgotten(&write.key) || version == write.expect
     }
 
-    fn each(&mut self, write: &Write) -> Done {
+    fn write_one(&mut self, write: &Write) -> Done {
         if !self.is_current(write) {
             return Done::Kept(self.row(&write.key));
         }
@@ -58,7 +60,7 @@
     }
 
     fn write(&mut self, write: &Write) {
-        if self.forgets(&write.key) {
+        if self.is_forgotten(&write.key) {
             return;
         }
         self.rows.remove(&write.key);
