--- a/core/src/reduce.rs
+++ b/core/src/reduce.rs
@@ -65,7 +65,7 @@
         Event::TableAnswered { op, reply } => answered(state, now, op, reply, out),
         Event::FrameFailed { peer } => member::delivery_failed(state, now, &peer),
         Event::FrameReceived(frame) => member::frame_received(state, now, *frame, out),
-        Event::QueryReceived { ask, query } => status::asked(state, now, ask, *query, out),
+        Event::QueryReceived { ask, query } => status::query_received(state, now, ask, *query, out),
         Event::Stop => drain::stop(state, now, out),
         Event::CacheChanged(update) => route_sync::cache_updated(state, &update),
         Event::VmListFailed | Event::ReportFailed(_) | Event::Wake => {}
--- a/core/src/status.rs
+++ b/core/src/status.rs
@@ -25,7 +25,13 @@
 use crate::vm::Phase;
 
 /// Handles an operator's query.
-pub(crate) fn asked(state: &mut State, now: Time, ask: id::Ask, query: Query, out: &mut Vec<Effect>) {
+pub(crate) fn query_received(
+    state: &mut State,
+    now: Time,
+    ask: id::Ask,
+    query: Query,
+    out: &mut Vec<Effect>,
+) {
     let answer = match query {
         Query::Apply(apply) => return config::apply(state, now, ask, *apply, out),
         Query::Config => {
