--- a/core/src/audit.rs
+++ b/core/src/audit.rs
@@ -1,4 +1,4 @@
-//! Records of what control decided, with the cause of each.
+//! Records of the decisions on leases, placement and configuration, each with its cause.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -13,18 +13,18 @@
 use crate::state::State;
 use crate::time::Time;
 
-/// A decision of control.
+/// The record of a decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Record {
-    /// When, by the clock of the entry VM that decided.
+    /// Time of the decision, by the clock of the entry VM that made it.
     pub at: Time,
-    /// The configuration version in force there; with the fences, it puts records of several entry VMs in
-    /// order where clocks disagree.
+    /// The configuration version in force at that entry VM. With the fences, it orders the records of several
+    /// entry VMs whose clocks disagree.
     #[serde(default)]
     pub config: u64,
-    /// The entry VM.
+    /// The entry VM that made the decision.
     pub vm: Name,
-    /// The availability zone it concerns.
+    /// The availability zone that it concerns.
     pub zone: Name,
     /// What was decided.
     pub act: Decision,
@@ -36,79 +36,79 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Decision {
-    /// A zone's lease was taken.
+    /// The zone's lease was taken, under this fence.
     LeaseTaken(Fence),
-    /// A zone's lease was given back or lost.
+    /// The zone's lease under this fence was released or lost.
     LeaseLeft(Fence),
-    /// An artifact is to be loaded.
+    /// An artifact is loaded.
     Load {
-        /// The order.
+        /// Id of the order.
         order: id::Order,
         /// The engine's VM name.
         engine: Name,
         /// The artifact.
         artifact: Artifact,
     },
-    /// An artifact is to be dropped.
+    /// An artifact is unloaded.
     Unload {
-        /// The order.
+        /// Id of the order.
         order: id::Order,
         /// The engine's VM name.
         engine: Name,
         /// The artifact.
         artifact: Artifact,
     },
-    /// An engine is to change its role.
+    /// An engine's role is changed.
     Role {
-        /// The order.
+        /// Id of the order.
         order: id::Order,
         /// The engine's VM name.
         engine: Name,
         /// The new role.
         role: Role,
     },
-    /// An order whose fate is not known is made void.
+    /// An order whose outcome is not known is cancelled.
     Cancel {
-        /// The order.
+        /// Id of the order.
         order: id::Order,
         /// The engine's VM name.
         engine: Name,
     },
-    /// A configuration came into force.
+    /// A configuration version came into force.
     Configured(u64),
 }
 
-/// Why control decided something.
+/// The cause of a decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Cause {
-    /// No copy was certain to be loaded.
+    /// No usable copy of the artifact was known in any zone.
     Unreachable,
-    /// Demand grew beyond the copies there are.
+    /// Demand exceeded the slots of the engines that hold a copy.
     Demand,
-    /// Demand went and the memory is needed.
+    /// Demand fell, and the memory is needed.
     Idle,
-    /// It is not declared any more, or not here.
+    /// The artifact is no longer declared, or not allowed in this zone.
     Undeclared,
-    /// Fewer copies were there than the rules ask for.
+    /// There were fewer copies than the rules ask for.
     Copies,
-    /// Its memory is needed for another artifact.
+    /// Memory was needed for another artifact.
     Room,
-    /// Its engine is leaving.
+    /// The engine is leaving.
     Leaving,
     /// The answer to the order was lost.
     Lost,
-    /// A version replaces another.
+    /// Another version of the artifact replaces it.
     Version,
-    /// The holder before was gone.
+    /// The lease had expired: its holder stopped renewing it.
     Expired,
-    /// Nobody held it.
+    /// Nobody held the lease.
     Vacant,
-    /// This process is stopping.
+    /// The process is stopping.
     Stopping,
-    /// Someone else took it.
+    /// Another entry VM took the lease.
     Superseded,
-    /// An operator asked for it.
+    /// An operator requested it.
     Operator,
 }
 
@@ -116,34 +116,34 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::LeaseTaken(fence) => write!(f, "took the lease, fence {}", fence.0),
-            Self::LeaseLeft(fence) => write!(f, "left the lease, fence {}", fence.0),
+            Self::LeaseLeft(fence) => write!(f, "no longer holds the lease, fence {}", fence.0),
             Self::Load { engine, artifact, .. } => write!(f, "load {artifact} on {engine}"),
             Self::Unload { engine, artifact, .. } => write!(f, "unload {artifact} from {engine}"),
-            Self::Role { engine, role, .. } => write!(f, "give {engine} the role {role}"),
+            Self::Role { engine, role, .. } => write!(f, "change the role of {engine} to {role}"),
             Self::Cancel { order, engine } => write!(f, "cancel order {order} at {engine}"),
-            Self::Configured(version) => write!(f, "put version {version} in force"),
+            Self::Configured(version) => write!(f, "put configuration version {version} in force"),
         }
     }
 }
 
 impl Cause {
-    /// The cause as the end of a sentence that tells what was decided.
+    /// Returns the cause as a clause that follows "because" after the text of the decision.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
             Self::Unreachable => "no copy was certain",
             Self::Demand => "demand grew",
-            Self::Idle => "demand went",
+            Self::Idle => "demand fell",
             Self::Undeclared => "it is no longer declared here",
             Self::Copies => "the rules ask for more copies",
             Self::Room => "memory was needed",
             Self::Leaving => "its engine is leaving",
             Self::Lost => "the answer was lost",
-            Self::Version => "another version takes its place",
+            Self::Version => "another version replaces it",
             Self::Expired => "the holder was gone",
             Self::Vacant => "nobody held it",
-            Self::Stopping => "it is shutting down",
-            Self::Superseded => "someone else took it",
+            Self::Stopping => "the entry VM is stopping",
+            Self::Superseded => "another entry VM took it",
             Self::Operator => "an operator asked for it",
         }
     }
@@ -162,13 +162,13 @@
 }
 
 impl Part {
-    /// The latest records, newest first.
+    /// Returns the latest records, newest first.
     pub(crate) fn latest(&self) -> Vec<Record> {
         self.records.iter().rev().cloned().collect()
     }
 }
 
-/// Keeps a record of a decision about this zone, and has it logged.
+/// Stores a record of a decision about this zone and emits the effect that logs it.
 pub(crate) fn record(state: &mut State, now: Time, act: Decision, cause: Cause, out: &mut Vec<Effect>) {
     let config = state.config.version;
     let record = Record { at: now, config, vm: state.me.vm.clone(), zone: state.me.zone.clone(), act, cause };
--- a/core/src/engine.rs
+++ b/core/src/engine.rs
@@ -1,4 +1,4 @@
-//! What passes between the system and a model engine besides requests: orders, reports and cache events.
+//! Messages exchanged with a model engine besides requests: orders, receipts, reports and cache events.
 
 use std::fmt;
 
@@ -8,21 +8,21 @@
 use crate::id;
 use crate::name::Name;
 
-/// A fencing number: the version of the lease under which an order was made.
+/// A fencing number: it identifies the term of the lease under which an order was made.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Fence(pub u64);
 
-/// An order to an engine. Repeating it has no further effect.
+/// An order to an engine. It is idempotent: an order that arrives again has no further effect.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Its id; the engine knows a repeated order by it.
+    /// Id by which the engine recognizes an order that it has received before.
     pub id: id::Order,
     /// The fencing number it was made under.
     pub fence: Fence,
-    /// The engine's incarnation that it is meant for; another refuses it.
+    /// Incarnation of the engine that it is meant for. Any other incarnation refuses it.
     pub meant_for: id::Incarnation,
-    /// What to do.
+    /// What the engine is to do.
     pub action: Action,
 }
 
@@ -34,10 +34,10 @@
     Load {
         /// What to load.
         artifact: Artifact,
-        /// The memory it will take, in MB.
+        /// Memory that it will take, in MB.
         memory_mb: u64,
     },
-    /// Drop an artifact from accelerator memory. Refused while requests run on it.
+    /// Drop an artifact from accelerator memory. The engine refuses this while requests run on it.
     Unload {
         /// What to drop.
         artifact: Artifact,
@@ -47,20 +47,20 @@
         /// The role to take.
         role: Role,
     },
-    /// Nothing but the fencing number: a checking engine refuses lower ones from then on.
+    /// Do nothing but record the order's fence: an engine that checks fences refuses lower ones from then on.
     Raise,
 }
 
-/// Which part of a request an engine works on.
+/// The phases of a request that an engine processes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Both parts.
+    /// Prompt and generated tokens.
     #[default]
     Both,
-    /// The prompt only; the KV cache is handed on.
+    /// The prompt only. The KV cache is handed over to another engine.
     Prefill,
-    /// The tokens only, from an imported KV cache.
+    /// The generated tokens only, from an imported KV cache.
     Decode,
 }
 
@@ -78,100 +78,100 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Receipt {
-    /// Taken, now or when it was first sent; its end shows in a report.
+    /// Accepted, now or when it arrived first. A report lists it once it has ended.
     Taken,
-    /// Refused: the fencing number is older than one already seen.
+    /// Refused: its fence is lower than the highest one seen.
     Stale {
         /// The highest fencing number seen.
         seen: Fence,
     },
-    /// Refused: the engine has restarted since.
+    /// Refused: it is meant for another incarnation of the engine.
     Restarted,
-    /// Refused: it would not fit.
+    /// Refused: the artifact does not fit into the free memory.
     Full {
-        /// Memory that is free, in MB.
+        /// Free memory, in MB.
         free_mb: u64,
     },
     /// Refused: requests still run on the artifact.
     Busy,
-    /// Refused: not understood, or the artifact is not there.
+    /// Refused: the order is invalid, or the engine does not hold the artifact.
     Invalid,
 }
 
-/// What an engine says of itself. Reports come with a lag.
+/// An engine's report of its state. Reports arrive with a delay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// The engine's VM name.
     pub engine: Name,
-    /// Drawn anew at each start of the engine, which starts empty.
+    /// Incarnation, drawn at random at each start of the engine. An engine holds nothing when it starts.
     pub incarnation: id::Incarnation,
-    /// Grows with each report of this incarnation.
+    /// Sequence number, which grows with each report of this incarnation.
     pub seq: u64,
     /// The highest fencing number seen.
     pub fence: Fence,
     /// Its role.
     pub role: Role,
-    /// Accelerator memory in all, in MB.
+    /// Total accelerator memory, in MB.
     pub memory_mb: u64,
-    /// Requests being worked on.
+    /// Number of requests being processed.
     pub running: u32,
-    /// Requests in the engine's own queue.
+    /// Number of requests in the engine's own queue.
     pub waiting: u32,
-    /// Tokens generated a second, over the last second.
+    /// Tokens generated in the last second.
     pub tokens_per_second: u32,
-    /// What it holds, including what is being loaded or dropped.
+    /// Copies that it holds, including those being loaded or dropped.
     pub copies: Vec<Copy>,
-    /// Orders that came to an end, the latest 64, oldest first.
+    /// The latest 64 orders that have ended, oldest first.
     pub ended: Vec<Ended>,
-    /// Whether it refuses new requests because it is going to stop.
+    /// Whether it refuses new requests because it is about to stop.
     pub draining: bool,
 }
 
-/// One artifact in an engine's memory.
+/// A copy of an artifact in an engine's memory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Copy {
-    /// What it is.
+    /// The artifact of which this is a copy.
     pub artifact: Artifact,
-    /// Memory it takes, in MB; a copy being loaded takes all of it.
+    /// Memory that it takes, in MB. A copy takes all of it as soon as its load begins.
     pub memory_mb: u64,
-    /// How far it is.
+    /// Whether it is loading, ready or being dropped.
     pub stage: Stage,
-    /// Requests on it, running or waiting in the engine.
+    /// Number of requests for it that run or wait in the engine.
     pub requests: u32,
 }
 
-/// How far a copy is.
+/// Stage in the life cycle of a copy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// Weights are being fetched.
+    /// Its weights are being loaded.
     Loading,
     /// It answers requests.
     Ready,
-    /// It takes no new requests and will be dropped.
+    /// It accepts no new requests and will be dropped.
     Dropping,
 }
 
-/// An order that came to an end at an engine.
+/// An order that has ended at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
-    /// Which order.
+    /// Id of the order.
     pub order: id::Order,
-    /// Whether it did what it asked for.
+    /// Whether it was carried out.
     pub done: bool,
 }
 
-/// A change of an engine's prefix cache. Late and with gaps; a hint only.
+/// A change of an engine's prefix cache. Updates may be late or missing, so they are only a hint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheUpdate {
     /// The engine's VM name.
     pub engine: Name,
-    /// Number of the first of these events; a jump shows a gap.
+    /// Sequence number of the first event in this update. A jump means that events are missing.
     pub seq: u64,
-    /// Prompt blocks now held, by their chained hash.
+    /// Chained hashes of the prompt blocks that are now cached.
     pub stored: Vec<u64>,
-    /// Prompt blocks no longer held.
+    /// Chained hashes of the prompt blocks that are no longer cached.
     pub evicted: Vec<u64>,
-    /// Whether everything before is void, as after a restart.
+    /// Whether the cache was emptied before these changes, for example by a restart.
     pub cleared: bool,
 }
--- a/core/src/explain.rs
+++ b/core/src/explain.rs
@@ -1,4 +1,4 @@
-//! Says why an artifact is where it is, from what this entry VM knows.
+//! Explains to operators which engines hold an artifact and why, from the state of this entry VM.
 
 use crate::artifact::{Artifact, Target};
 use crate::audit::{Decision, Record};
@@ -15,10 +15,10 @@
 use crate::summary;
 use crate::time::Time;
 
-/// Records that are repeated at most.
+/// Largest number of audit records in an explanation.
 const RECORDS_MAX: usize = 8;
 
-/// Explains the artifact that a caller would get for `name`.
+/// Explains the placement of the artifact to which `name` resolves for a caller.
 pub(crate) fn answer(state: &State, now: Time, name: &str) -> Answer {
     let target = name.parse::<Target>().ok();
     let Some(entry) = target.and_then(|target| state.config.catalog.resolve(&target)) else {
@@ -30,15 +30,16 @@
             version: Some(state.config.version),
         });
     };
-    let mut lines = vec![declared(entry), decider(state)];
+    let mut lines = vec![describe_entry(entry), describe_lease(state)];
     let zone = &state.me.zone;
     if entry.allows_zone(zone) {
         let own = state.fleet.backends.values().filter(|backend| backend.zone == *zone);
         lines.extend(
-            own.filter(|backend| backend.group == entry.group).map(|each| engine(state, each, entry)),
+            own.filter(|backend| backend.group == entry.group)
+                .map(|each| describe_engine(state, each, entry)),
         );
     } else {
-        lines.push(format!("the rules keep it out of zone {zone}"));
+        lines.push(format!("the rules do not allow it in zone {zone}"));
     }
     for elsewhere in summary::zones_holding(state, now, &entry.artifact) {
         lines.push(format!("zone {}: ready copies: {}", elsewhere.zone, elsewhere.copies));
@@ -50,7 +51,7 @@
     Answer::Explanation(lines.into_iter().map(Name::from).collect())
 }
 
-fn declared(entry: &Entry) -> String {
+fn describe_entry(entry: &Entry) -> String {
     let zones = if entry.zones.is_empty() { "any zone".to_owned() } else { entry.zones.join(", ") };
     let rank = match entry.priority {
         Priority::Urgent => "before all others",
@@ -64,33 +65,35 @@
     )
 }
 
-fn decider(state: &State) -> String {
+fn describe_lease(state: &State) -> String {
     let zone = &state.me.zone;
-    let stand_still = if state.table_up { "" } else { "; the platform's table does not answer" };
+    let table_note = if state.table_up { "" } else { "; the platform's table does not answer" };
     match state.lease.holder() {
         Some(holder) if *holder == state.me.vm => {
-            format!("this entry VM decides for zone {zone}{stand_still}")
+            format!("this entry VM decides for zone {zone}{table_note}")
         }
         Some(holder) => {
             format!(
-                "{holder} decides for zone {zone}, and knows of orders that are not shown here{stand_still}"
+                "{holder} decides for zone {zone}, and may have orders that are not shown here{table_note}"
             )
         }
-        None => format!("nobody holds the lease of zone {zone}, so nothing is moved{stand_still}"),
+        None => {
+            format!("nobody holds the lease of zone {zone}, so nothing is loaded or unloaded{table_note}")
+        }
     }
 }
 
-fn engine(state: &State, backend: &Backend, entry: &Entry) -> String {
+fn describe_engine(state: &State, backend: &Backend, entry: &Entry) -> String {
     let name = &backend.name;
     let Some(report) = &backend.report else {
         return format!("{name}: has not reported yet");
     };
-    let empty = ledger::Row::default();
-    let row = state.ledger.rows.get(name).map_or(&empty, |(_, row)| row);
+    let empty_row = ledger::Row::default();
+    let row = state.ledger.rows.get(name).map_or(&empty_row, |(_, row)| row);
     let leaving = if backend.accepts_work() { "" } else { ", and it is leaving" };
     if let Some(copy) = report.copies.iter().find(|copy| copy.artifact == entry.artifact) {
         let progress = match copy.stage {
-            Stage::Ready if backend.closing.contains(&entry.artifact) => "is ready and takes nothing new",
+            Stage::Ready if backend.closing.contains(&entry.artifact) => "is ready but takes no new requests",
             Stage::Ready => "is ready",
             Stage::Loading => "is being loaded",
             Stage::Dropping => "is being dropped",
@@ -101,11 +104,11 @@
         .open_intents()
         .any(|intent| matches!(&intent.action, Action::Load { artifact, .. } if *artifact == entry.artifact));
     if ordered {
-        return format!("{name}: an order to load it is on its way{leaving}");
+        return format!("{name}: an order to load it is open{leaving}");
     }
     let free = report.memory_mb.saturating_sub(ledger::reserved_mb(report, row));
-    let room = if free >= entry.memory_mb { "there would be room" } else { "there is no room" };
-    format!("{name}: no copy; {free} of {} MB are free, so {room}{leaving}", report.memory_mb)
+    let fit = if free >= entry.memory_mb { "it would fit" } else { "it does not fit" };
+    format!("{name}: no copy; {free} of {} MB are free, so {fit}{leaving}", report.memory_mb)
 }
 
 fn concerns(act: &Decision, subject: &Artifact) -> bool {
--- a/core/src/lease.rs
+++ b/core/src/lease.rs
@@ -45,28 +45,29 @@
 #[derive(Debug, Default)]
 pub(crate) struct Part {
     /// The row as last read or written here, with its version.
-    seen: Option<(table::Version, Row)>,
+    known_row: Option<(table::Version, Row)>,
     /// When the row was first seen at this version, on the clock of this process.
-    since: Time,
+    unchanged_since: Time,
     /// When the lease held by this process expires, counted from the time before its last renewal was sent.
     held_until: Option<Time>,
     /// The fence under which this process holds or last held the lease.
-    last: Option<Fence>,
+    last_fence: Option<Fence>,
     /// A write that was not answered yet, or whose answer was lost so that the row has to be read back.
     pending: Option<Pending>,
     /// Whether this process has released the lease and will not take it again.
-    done: bool,
+    released: bool,
 }
 
 /// A write of the row whose effect is not known yet.
 #[derive(Clone, Debug, PartialEq)]
 struct Pending {
     row: Row,
-    over: table::Version,
-    at: Time,
+    expected: table::Version,
+    sent_at: Time,
     lost: bool,
-    /// Whether it was sent a second time. If that answer is lost too, the row is read at the next regular check.
-    again: bool,
+    /// Whether it was sent a second time. If that answer is lost too, the row is read at the next regular
+    /// check.
+    resent: bool,
     cause: Cause,
 }
 
@@ -74,24 +75,25 @@
     /// Returns the fence of the lease while this process holds it.
     pub(crate) fn fence(&self, now: Time) -> Option<Fence> {
         let until = self.held_until?;
-        self.last.filter(|_| now < until)
+        self.last_fence.filter(|_| now < until)
     }
 
     /// Returns the fence of a lease that this process held until it expired, if the row as last read shows
     /// no later holder.
     pub(crate) fn lapsed_fence(&self, now: Time) -> Option<Fence> {
-        let (_, row) = self.seen.as_ref()?;
-        self.last.filter(|last| self.fence(now).is_none() && !self.done && row.fence == *last)
+        let (_, row) = self.known_row.as_ref()?;
+        self.last_fence
+            .filter(|last_fence| self.fence(now).is_none() && !self.released && row.fence == *last_fence)
     }
 
     /// Returns the holder according to the row as last read or written here.
     pub(crate) fn holder(&self) -> Option<&Name> {
-        self.seen.as_ref().and_then(|(_, row)| row.holder.as_ref()).map(|holder| &holder.vm)
+        self.known_row.as_ref().and_then(|(_, row)| row.holder.as_ref()).map(|holder| &holder.vm)
     }
 
     /// Returns whether the lease is released and no write is pending, so that the process may exit.
     pub(crate) fn is_handed_back(&self) -> bool {
-        self.done && self.pending.is_none()
+        self.released && self.pending.is_none()
     }
 }
 
@@ -114,11 +116,12 @@
     state.timers.set(now + wait, Timer::Lease);
     expire(state, now, out);
     let length = state.settings.lease_length;
-    if let Some(pending) = state.lease.pending.as_mut().filter(|pending| now.since(pending.at) >= length) {
+    if let Some(pending) = state.lease.pending.as_mut().filter(|pending| now.since(pending.sent_at) >= length)
+    {
         pending.lost = true;
     }
     let idle = state.lease.pending.is_none();
-    if state.lease.done && idle {
+    if state.lease.released && idle {
         return;
     }
     if idle && state.lease.fence(now).is_some() {
@@ -136,43 +139,50 @@
 /// Gives up the lease held here once its time is over.
 fn expire(state: &mut State, now: Time, out: &mut Vec<Effect>) {
     if state.lease.held_until.is_some_and(|until| until <= now) {
-        leave(state, now, Cause::Expired, out);
+        give_up(state, now, Cause::Expired, out);
     }
 }
 
-fn leave(state: &mut State, now: Time, cause: Cause, out: &mut Vec<Effect>) {
+fn give_up(state: &mut State, now: Time, cause: Cause, out: &mut Vec<Effect>) {
     if state.lease.held_until.take().is_none() {
         return;
     }
-    if let Some(fence) = state.lease.last {
+    if let Some(fence) = state.lease.last_fence {
         audit::record(state, now, Decision::LeaseLeft(fence), cause, out);
     }
 }
 
 fn renew(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    if let Some((over, row)) = state.lease.seen.clone() {
-        write(state, now, over, Row { renewal: row.renewal + 1, ..row }, Cause::Vacant, out);
+    if let Some((expected, row)) = state.lease.known_row.clone() {
+        write(state, now, expected, Row { renewal: row.renewal + 1, ..row }, Cause::Vacant, out);
     }
 }
 
-fn write(state: &mut State, now: Time, over: table::Version, row: Row, cause: Cause, out: &mut Vec<Effect>) {
+fn write(
+    state: &mut State,
+    now: Time,
+    expected: table::Version,
+    row: Row,
+    cause: Cause,
+    out: &mut Vec<Effect>,
+) {
     let value = Some(table::Value::Lease(row.clone()));
-    let write = table::Write { key: key(state), expect: over, value };
-    state.lease.pending = Some(Pending { row, over, at: now, lost: false, again: false, cause });
+    let write = table::Write { key: key(state), expect: expected, value };
+    state.lease.pending = Some(Pending { row, expected, sent_at: now, lost: false, resent: false, cause });
     state.call(table::Call::Commit(vec![write]), Purpose::Lease(Step::Write), out);
 }
 
 /// Releases the lease on a planned stop. This process plans nothing from then on.
 pub(crate) fn hand_back(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    if state.lease.done {
+    if state.lease.released {
         return;
     }
-    state.lease.done = true;
+    state.lease.released = true;
     let held = state.lease.fence(now).is_some();
-    leave(state, now, Cause::Stopping, out);
-    let seen = state.lease.seen.clone().filter(|_| held && state.lease.pending.is_none());
-    if let Some((over, row)) = seen {
-        write(state, now, over, Row { holder: None, ..row }, Cause::Stopping, out);
+    give_up(state, now, Cause::Stopping, out);
+    let known_row = state.lease.known_row.clone().filter(|_| held && state.lease.pending.is_none());
+    if let Some((expected, row)) = known_row {
+        write(state, now, expected, Row { holder: None, ..row }, Cause::Stopping, out);
     }
 }
 
@@ -185,18 +195,18 @@
     out: &mut Vec<Effect>,
 ) {
     match (step, reply) {
-        (Step::Read, Ok(table::Reply::Rows(rows))) => looked(state, now, rows.into_iter().next(), out),
+        (Step::Read, Ok(table::Reply::Rows(rows))) => row_read(state, now, rows.into_iter().next(), out),
         (Step::Write, Ok(table::Reply::Committed)) => committed(state, now, out),
         (Step::Write, Err(table::Failure::Unavailable)) => state.lease.pending = None,
         // A lease that cannot be released expires by itself, so the process need not wait for it.
-        (Step::Read | Step::Write, Err(_)) if state.lease.done => state.lease.pending = None,
+        (Step::Read | Step::Write, Err(_)) if state.lease.released => state.lease.pending = None,
         (Step::Read, _) => {}
         (Step::Write, Ok(_) | Err(table::Failure::Unknown)) => {
             let Some(pending) = &mut state.lease.pending else {
                 return;
             };
             pending.lost = true;
-            if !pending.again {
+            if !pending.resent {
                 read(state, out);
             }
         }
@@ -208,28 +218,28 @@
 
 /// Applies the pending write, which took effect in the table.
 fn committed(state: &mut State, now: Time, out: &mut Vec<Effect>) {
-    let Some(Pending { row, over, at, cause, .. }) = state.lease.pending.take() else {
+    let Some(Pending { row, expected, sent_at, cause, .. }) = state.lease.pending.take() else {
         return;
     };
-    state.lease.since = now;
+    state.lease.unchanged_since = now;
     let mine = is_mine(state, &row);
     let fence = row.fence;
-    state.lease.seen = Some((table::Version(over.0 + 1), row));
+    state.lease.known_row = Some((table::Version(expected.0 + 1), row));
     if !mine {
         return;
     }
-    if state.lease.done {
-        let seen = state.lease.seen.clone();
-        if let Some((over, row)) = seen {
-            write(state, now, over, Row { holder: None, ..row }, Cause::Stopping, out);
+    if state.lease.released {
+        let known_row = state.lease.known_row.clone();
+        if let Some((expected, row)) = known_row {
+            write(state, now, expected, Row { holder: None, ..row }, Cause::Stopping, out);
         }
         return;
     }
     let length = state.settings.lease_length;
-    let fresh = state.lease.last != Some(fence) || state.lease.held_until.is_none();
-    state.lease.last = Some(fence);
-    state.lease.held_until = Some(at + length.mul_f64(1.0 - MARGIN));
-    if fresh {
+    let newly_taken = state.lease.last_fence != Some(fence) || state.lease.held_until.is_none();
+    state.lease.last_fence = Some(fence);
+    state.lease.held_until = Some(sent_at + length.mul_f64(1.0 - MARGIN));
+    if newly_taken {
         audit::record(state, now, Decision::LeaseTaken(fence), cause, out);
     }
     expire(state, now, out);
@@ -240,64 +250,70 @@
 }
 
 /// Handles the row that was read: resolves a write whose answer was lost, or takes the lease if it is free.
-fn looked(state: &mut State, now: Time, found: Option<table::Row>, out: &mut Vec<Effect>) {
+fn row_read(state: &mut State, now: Time, found: Option<table::Row>, out: &mut Vec<Effect>) {
     let (version, row) = match found {
         Some(table::Row { version, value: table::Value::Lease(row), .. }) => (version, Some(row)),
         _ => (table::Version(0), None),
     };
-    if state.lease.seen.as_ref().is_some_and(|(known, _)| *known > version) {
+    if state.lease.known_row.as_ref().is_some_and(|(known, _)| *known > version) {
         return;
     }
     if let Some(pending) = state.lease.pending.clone() {
         if !pending.lost {
             return;
         }
-        settle(state, now, &pending, version, row.as_ref(), out);
+        resolve_lost_write(state, now, &pending, version, row.as_ref(), out);
         if state.lease.pending.is_some() {
             return;
         }
     }
-    let unchanged = state.lease.seen.as_ref().is_some_and(|(known, _)| *known == version);
+    let unchanged = state.lease.known_row.as_ref().is_some_and(|(known, _)| *known == version);
     if !unchanged {
-        state.lease.since = now;
+        state.lease.unchanged_since = now;
     }
     let known = row.clone();
-    state.lease.seen = row.map(|row| (version, row));
+    state.lease.known_row = row.map(|row| (version, row));
     let fence = known.as_ref().map_or(Fence(0), |row| row.fence);
-    if state.lease.last.is_some_and(|last| last < fence) {
-        leave(state, now, Cause::Superseded, out);
+    if state.lease.last_fence.is_some_and(|last_fence| last_fence < fence) {
+        give_up(state, now, Cause::Superseded, out);
     }
-    if state.drain.is_leaving() || state.lease.done {
+    if state.drain.is_leaving() || state.lease.released {
         return;
     }
     take(state, now, version, known, out);
 }
 
 /// Takes the lease if nobody holds it or if it has expired.
-fn take(state: &mut State, now: Time, over: table::Version, seen: Option<Row>, out: &mut Vec<Effect>) {
+fn take(
+    state: &mut State,
+    now: Time,
+    expected: table::Version,
+    known_row: Option<Row>,
+    out: &mut Vec<Effect>,
+) {
     let length_ms = state.settings.lease_length.as_millis() as u64;
     let holder = Some(Holder { vm: state.me.vm.clone(), incarnation: state.me.incarnation });
-    let Some(seen) = seen else {
+    let Some(known_row) = known_row else {
         let row = Row { holder, fence: Fence(1), renewal: 0, length_ms };
-        write(state, now, over, row, Cause::Vacant, out);
+        write(state, now, expected, row, Cause::Vacant, out);
         return;
     };
-    if is_mine(state, &seen) {
-        write(state, now, over, Row { renewal: seen.renewal + 1, ..seen }, Cause::Vacant, out);
+    if is_mine(state, &known_row) {
+        write(state, now, expected, Row { renewal: known_row.renewal + 1, ..known_row }, Cause::Vacant, out);
         return;
     }
-    let unchanged_for = now.since(state.lease.since);
-    let cause = match &seen.holder {
+    let unchanged_for = now.since(state.lease.unchanged_since);
+    let cause = match &known_row.holder {
         None => Cause::Vacant,
-        Some(_) if unchanged_for >= Duration::from_millis(seen.length_ms) => Cause::Expired,
+        Some(_) if unchanged_for >= Duration::from_millis(known_row.length_ms) => Cause::Expired,
         Some(_) => return,
     };
-    let row = Row { holder, fence: Fence(seen.fence.0 + 1), renewal: 0, length_ms };
-    write(state, now, over, row, cause, out);
+    let row = Row { holder, fence: Fence(known_row.fence.0 + 1), renewal: 0, length_ms };
+    write(state, now, expected, row, cause, out);
 }
 
 /// Decides by the row that was read whether a write whose answer was lost took effect.
-fn settle(
+fn resolve_lost_write(
     state: &mut State,
     now: Time,
     pending: &Pending,
@@ -305,11 +321,11 @@
     row: Option<&Row>,
     out: &mut Vec<Effect>,
 ) {
-    if row == Some(&pending.row) && version.0 == pending.over.0 + 1 {
+    if row == Some(&pending.row) && version.0 == pending.expected.0 + 1 {
         committed(state, now, out);
         return;
     }
-    if version != pending.over {
+    if version != pending.expected {
         state.lease.pending = None;
         return;
     }
@@ -317,12 +333,12 @@
     // whichever of the two comes first takes effect, and the other one fails.
     let write = table::Write {
         key: key(state),
-        expect: pending.over,
+        expect: pending.expected,
         value: Some(table::Value::Lease(pending.row.clone())),
     };
     if let Some(pending) = &mut state.lease.pending {
         pending.lost = false;
-        pending.again = true;
+        pending.resent = true;
     }
     state.call(table::Call::Commit(vec![write]), Purpose::Lease(Step::Write), out);
 }
--- a/core/src/ledger.rs
+++ b/core/src/ledger.rs
@@ -43,8 +43,8 @@
     pub fence: Fence,
     /// The incarnation of the engine that was reported last. New orders are meant for it.
     pub incarnation: id::Incarnation,
-    /// Orders that may still take effect, oldest first. Those for another incarnation than the one reported last
-    /// are kept too, since that report may be older than they are.
+    /// Orders that may still take effect, oldest first. Those for another incarnation than the one reported
+    /// last are kept too, since that report may be older than they are.
     pub intents: Vec<Intent>,
 }
 
@@ -124,7 +124,7 @@
 #[derive(Clone, Debug)]
 struct Pending {
     row: Row,
-    over: table::Version,
+    expected: table::Version,
     orders: Vec<(Order, Cause)>,
     lost: bool,
 }
@@ -143,13 +143,16 @@
 impl Part {
     /// Returns the orders that may still take effect at an engine, including those being recorded.
     pub(crate) fn open_intents<'a>(&'a self, engine: &str) -> impl Iterator<Item = &'a Intent> {
-        let written = self.rows.get(engine).map(|(_, row)| row);
-        let writing = self.trackers.get(engine).and_then(|desk| desk.pending.as_ref());
-        let fresh = writing.into_iter().flat_map(|writing| writing.row.open_intents());
+        let recorded = self.rows.get(engine).map(|(_, row)| row);
+        let pending = self.trackers.get(engine).and_then(|tracker| tracker.pending.as_ref());
+        let unrecorded = pending.into_iter().flat_map(|pending| pending.row.open_intents());
         let known = move |intent: &&Intent| {
-            written.is_some_and(|row| row.intents.iter().any(|known| known.order == intent.order))
+            recorded.is_some_and(|row| row.intents.iter().any(|known| known.order == intent.order))
         };
-        written.into_iter().flat_map(Row::open_intents).chain(fresh.filter(move |intent| !known(intent)))
+        recorded
+            .into_iter()
+            .flat_map(Row::open_intents)
+            .chain(unrecorded.filter(move |intent| !known(intent)))
     }
 
     /// Returns whether an order to unload the artifact may still take effect at the engine.
@@ -158,26 +161,26 @@
             .any(|intent| matches!(&intent.action, Action::Unload { artifact: other } if other == artifact))
     }
 
-    /// Returns whether a report of this incarnation has passed the barrier of this holder, so that orders may be
-    /// sent to the engine.
+    /// Returns whether a report of this incarnation has passed the barrier of this holder, so that orders may
+    /// be sent to the engine.
     pub(crate) fn is_synced(&self, report: &Report, fence: Fence) -> bool {
-        let Some(desk) = self.trackers.get(&report.engine) else {
+        let Some(tracker) = self.trackers.get(&report.engine) else {
             return false;
         };
-        let synced = desk
+        let synced = tracker
             .sync
             .as_ref()
             .is_some_and(|sync| sync.done && sync.fence == fence && sync.incarnation == report.incarnation);
-        synced && desk.claimed && self.read_under == Some(fence)
+        synced && tracker.claimed && self.read_under == Some(fence)
     }
 
     /// Returns how many orders may be added at the engine now.
     pub(crate) fn order_capacity(&self, engine: &str) -> usize {
-        let Some(desk) = self.trackers.get(engine) else {
+        let Some(tracker) = self.trackers.get(engine) else {
             return 0;
         };
-        let unreported = UNREPORTED_MAX.saturating_sub(desk.sent_since_report) as usize;
-        if desk.pending.is_some() {
+        let unreported = UNREPORTED_MAX.saturating_sub(tracker.sent_since_report) as usize;
+        if tracker.pending.is_some() {
             return 0;
         }
         OPEN_MAX.saturating_sub(self.open_intents(engine).count()).min(unreported)
@@ -186,10 +189,10 @@
     /// Returns the memory of an engine that is free for an artifact, in MB: neither held by other artifacts nor
     /// to be taken by open orders for them. Memory that the artifact itself already takes counts as free.
     pub(crate) fn free_mb_for(&self, report: &Report, artifact: &Artifact) -> u64 {
-        let mut taken = coming(self.open_intents(&report.engine));
+        let mut taken = loadable(self.open_intents(&report.engine));
         for copy in &report.copies {
-            let most = taken.entry(&copy.artifact).or_default();
-            *most = (*most).max(copy.memory_mb);
+            let size = taken.entry(&copy.artifact).or_default();
+            *size = (*size).max(copy.memory_mb);
         }
         let others = taken.into_iter().filter(|(other, _)| *other != artifact);
         report.memory_mb.saturating_sub(others.map(|(_, memory_mb)| memory_mb).sum())
@@ -203,36 +206,36 @@
 
 fn reserved_by<'a>(report: &Report, open: impl Iterator<Item = &'a Intent>) -> u64 {
     let held: u64 = report.copies.iter().map(|copy| copy.memory_mb).sum();
-    let beyond = |(artifact, memory_mb): (&Artifact, u64)| {
-        let there = report.copies.iter().find(|copy| copy.artifact == *artifact);
-        memory_mb.saturating_sub(there.map_or(0, |copy| copy.memory_mb))
+    let additional = |(artifact, memory_mb): (&Artifact, u64)| {
+        let held = report.copies.iter().find(|copy| copy.artifact == *artifact);
+        memory_mb.saturating_sub(held.map_or(0, |copy| copy.memory_mb))
     };
-    held + coming(open).into_iter().map(beyond).sum::<u64>()
+    held + loadable(open).into_iter().map(additional).sum::<u64>()
 }
 
 /// Returns the artifacts that open orders may load, with the memory of each in MB.
-fn coming<'a>(open: impl Iterator<Item = &'a Intent>) -> BTreeMap<&'a Artifact, u64> {
-    let mut coming: BTreeMap<&Artifact, u64> = BTreeMap::new();
+fn loadable<'a>(open: impl Iterator<Item = &'a Intent>) -> BTreeMap<&'a Artifact, u64> {
+    let mut loadable: BTreeMap<&Artifact, u64> = BTreeMap::new();
     for intent in open {
         if let Action::Load { artifact, memory_mb } = &intent.action {
-            let most = coming.entry(artifact).or_default();
-            *most = (*most).max(*memory_mb);
+            let size = loadable.entry(artifact).or_default();
+            *size = (*size).max(*memory_mb);
         }
     }
-    coming
+    loadable
 }
 
 /// Handles an engine's answer to an order; `None` if the answer was lost.
 pub(crate) fn order_answered(state: &mut State, order: id::Order, engine: &Name, receipt: Option<&Receipt>) {
-    let Some(desk) = state.ledger.trackers.get_mut(engine) else {
+    let Some(tracker) = state.ledger.trackers.get_mut(engine) else {
         return;
     };
-    let cancelled = desk.to_cancel.get(&order).copied();
+    let cancelled = tracker.to_cancel.get(&order).copied();
     match receipt {
         None => {
             let known = |(_, row): &(table::Version, Row)| row.intents.iter().any(|open| open.order == order);
             if state.ledger.rows.get(engine).is_some_and(known) {
-                desk.to_cancel.entry(order).or_insert(false);
+                tracker.to_cancel.entry(order).or_insert(false);
             }
         }
         // An engine that refuses the fence, or has restarted, refuses the order also if it arrives again.
@@ -256,18 +259,18 @@
 }
 
 fn remove_orders(state: &mut State, engine: &Name, orders: &[id::Order]) {
-    let (Some(desk), Some((_, row))) =
+    let (Some(tracker), Some((_, row))) =
         (state.ledger.trackers.get_mut(engine), state.ledger.rows.get_mut(engine))
     else {
         return;
     };
-    let being_written = desk.pending.as_ref().map(|writing| &writing.row);
+    let pending_row = tracker.pending.as_ref().map(|pending| &pending.row);
     for order in orders {
-        desk.to_cancel.remove(order);
-        desk.dirty |= row.remove(*order);
-        let written = being_written.is_some_and(|row| row.intents.iter().any(|open| open.order == *order));
-        if written {
-            desk.ended_meanwhile.insert(*order);
+        tracker.to_cancel.remove(order);
+        tracker.dirty |= row.remove(*order);
+        let recorded = pending_row.is_some_and(|row| row.intents.iter().any(|open| open.order == *order));
+        if recorded {
+            tracker.ended_meanwhile.insert(*order);
         }
     }
 }
--- a/core/src/ledger/sync.rs
+++ b/core/src/ledger/sync.rs
@@ -28,8 +28,8 @@
     for engine in engines(state) {
         let report = state.fleet.backends.get(&engine).and_then(|backend| backend.report.clone());
         if let Some(report) = report {
-            follow(state, &report, fence);
-            nudge(state, now, &engine, fence, out);
+            update_barrier(state, &report, fence);
+            send_due(state, now, &engine, fence, out);
         }
     }
 }
@@ -50,55 +50,57 @@
 fn claim(state: &mut State, fence: Fence, out: &mut Vec<Effect>) {
     let mut due = Vec::new();
     for engine in engines(state) {
-        let desk = state.ledger.trackers.entry(engine.clone()).or_default();
+        let tracker = state.ledger.trackers.entry(engine.clone()).or_default();
         let known = state.ledger.rows.get(&engine).cloned();
         let superseded = known.as_ref().is_some_and(|(_, row)| row.fence > fence);
-        if desk.claimed || desk.pending.is_some() || superseded {
+        if tracker.claimed || tracker.pending.is_some() || superseded {
             continue;
         }
-        let (over, row) = known.unwrap_or((table::Version(0), Row::default()));
+        let (expected, row) = known.unwrap_or((table::Version(0), Row::default()));
         let row = Row { fence, ..row };
-        desk.pending = Some(Pending { row, over, orders: Vec::new(), lost: false });
+        tracker.pending = Some(Pending { row, expected, orders: Vec::new(), lost: false });
         due.push(engine);
     }
     writer::write(state, due, out);
 }
 
-/// Starts a new barrier if a report shows another incarnation of the engine, or if the fence is new. For another
-/// incarnation the row is switched to it and the orders meant for it are to be cancelled.
-fn follow(state: &mut State, report: &Report, fence: Fence) {
-    let claimed = state.ledger.trackers.get(&report.engine).is_some_and(|desk| desk.claimed);
+/// Starts a new barrier if a report shows another incarnation of the engine, or if the fence is new. For
+/// another incarnation the row is switched to it and the orders meant for it are to be cancelled.
+fn update_barrier(state: &mut State, report: &Report, fence: Fence) {
+    let claimed = state.ledger.trackers.get(&report.engine).is_some_and(|tracker| tracker.claimed);
     if !claimed || state.ledger.read_under != Some(fence) {
         return;
     }
     let barrier = state.next_order();
-    let Some(desk) = state.ledger.trackers.get_mut(&report.engine) else {
+    let Some(tracker) = state.ledger.trackers.get_mut(&report.engine) else {
         return;
     };
     let Some((_, row)) = state.ledger.rows.get_mut(&report.engine) else {
         return;
     };
-    let same_life = row.incarnation == report.incarnation;
-    let known =
-        desk.sync.as_ref().is_some_and(|sync| sync.incarnation == report.incarnation && sync.fence == fence);
-    if known && same_life {
+    let same_incarnation = row.incarnation == report.incarnation;
+    let known = tracker
+        .sync
+        .as_ref()
+        .is_some_and(|sync| sync.incarnation == report.incarnation && sync.fence == fence);
+    if known && same_incarnation {
         return;
     }
-    desk.sync = Some(Sync { incarnation: report.incarnation, fence, barrier, done: false });
-    if !same_life {
+    tracker.sync = Some(Sync { incarnation: report.incarnation, fence, barrier, done: false });
+    if !same_incarnation {
         row.restart(report.incarnation);
-        desk.dirty = true;
-        desk.to_cancel = row.open_intents().map(|intent| (intent.order, false)).collect();
+        tracker.dirty = true;
+        tracker.to_cancel = row.open_intents().map(|intent| (intent.order, false)).collect();
     }
 }
 
 /// Sends the barrier and the cancelling orders that an engine has not yet reported as ended.
-fn nudge(state: &mut State, now: Time, engine: &Name, fence: Fence, out: &mut Vec<Effect>) {
-    let checks = checks(state, engine);
-    let Some(desk) = state.ledger.trackers.get_mut(engine).filter(|desk| desk.claimed) else {
+fn send_due(state: &mut State, now: Time, engine: &Name, fence: Fence, out: &mut Vec<Effect>) {
+    let checks_fences = checks_fences(state, engine);
+    let Some(tracker) = state.ledger.trackers.get_mut(engine).filter(|tracker| tracker.claimed) else {
         return;
     };
-    let Some(sync) = desk.sync.clone() else {
+    let Some(sync) = tracker.sync.clone() else {
         return;
     };
     let Some((_, row)) = state.ledger.rows.get(engine) else {
@@ -109,22 +111,22 @@
     if !sync.done {
         due.push(sync.barrier);
     }
-    let mut fresh = Vec::new();
+    let mut newly_cancelled = Vec::new();
     for intent in row.open_intents() {
-        let Some(sent) = desk.to_cancel.get_mut(&intent.order) else {
+        let Some(cancelled) = tracker.to_cancel.get_mut(&intent.order) else {
             continue;
         };
         // Where fences are checked, the barrier alone makes the engine refuse an earlier holder's orders.
-        if checks && intent.fence < fence {
+        if checks_fences && intent.fence < fence {
             continue;
         }
-        if !*sent {
-            fresh.push(intent.order);
+        if !*cancelled {
+            newly_cancelled.push(intent.order);
         }
-        *sent = true;
+        *cancelled = true;
         due.push(intent.order);
     }
-    for order in fresh {
+    for order in newly_cancelled {
         let act = Decision::Cancel { order, engine: engine.clone() };
         audit::record(state, now, act, Cause::Lost, out);
     }
@@ -133,7 +135,7 @@
     }
 }
 
-fn checks(state: &State, engine: &Name) -> bool {
+fn checks_fences(state: &State, engine: &Name) -> bool {
     let group = state.fleet.backends.get(engine).map(|backend| &backend.group);
     group.and_then(|group| state.config.catalog.groups.get(group)).is_some_and(|group| group.checks_fences)
 }
@@ -143,39 +145,40 @@
     let Some(fence) = state.lease.fence(now) else {
         return;
     };
-    let checks = checks(state, &report.engine);
-    if let Some(desk) = state.ledger.trackers.get_mut(&report.engine) {
-        desk.sent_since_report = 0;
+    let checks_fences = checks_fences(state, &report.engine);
+    if let Some(tracker) = state.ledger.trackers.get_mut(&report.engine) {
+        tracker.sent_since_report = 0;
     }
-    let before = sync_of(state, &report.engine);
-    follow(state, report, fence);
-    if before != sync_of(state, &report.engine) {
-        nudge(state, now, &report.engine, fence, out);
+    let before = barrier_of(state, &report.engine);
+    update_barrier(state, report, fence);
+    if before != barrier_of(state, &report.engine) {
+        send_due(state, now, &report.engine, fence, out);
     }
-    let Some(desk) = state.ledger.trackers.get_mut(&report.engine) else {
+    let Some(tracker) = state.ledger.trackers.get_mut(&report.engine) else {
         return;
     };
-    let Some(sync) = desk.sync.as_mut().filter(|sync| !sync.done && sync.incarnation == report.incarnation)
+    let Some(sync) =
+        tracker.sync.as_mut().filter(|sync| !sync.done && sync.incarnation == report.incarnation)
     else {
         return;
     };
     let ended = report.ended.iter().any(|ended| ended.order == sync.barrier);
-    let raised = checks && report.fence >= sync.fence;
-    if !ended && !raised {
+    let fence_raised = checks_fences && report.fence >= sync.fence;
+    if !ended && !fence_raised {
         return;
     }
     sync.done = true;
-    if checks {
-        strike_older(state, &report.engine, fence);
+    if checks_fences {
+        remove_older_orders(state, &report.engine, fence);
     }
 }
 
-fn sync_of(state: &State, engine: &str) -> Option<id::Order> {
-    state.ledger.trackers.get(engine).and_then(|desk| desk.sync.as_ref()).map(|sync| sync.barrier)
+fn barrier_of(state: &State, engine: &str) -> Option<id::Order> {
+    state.ledger.trackers.get(engine).and_then(|tracker| tracker.sync.as_ref()).map(|sync| sync.barrier)
 }
 
 /// Removes the orders of earlier holders at an engine that refuses them from now on.
-fn strike_older(state: &mut State, engine: &Name, fence: Fence) {
+fn remove_older_orders(state: &mut State, engine: &Name, fence: Fence) {
     let Some((_, row)) = state.ledger.rows.get(engine) else {
         return;
     };
--- a/core/src/ledger/writer.rs
+++ b/core/src/ledger/writer.rs
@@ -45,28 +45,30 @@
     mut orders: BTreeMap<Name, Vec<(Action, Cause)>>,
     out: &mut Vec<Effect>,
 ) {
-    for (engine, desk) in &state.ledger.trackers {
-        if desk.dirty && desk.claimed {
+    for (engine, tracker) in &state.ledger.trackers {
+        if tracker.dirty && tracker.claimed {
             orders.entry(engine.clone()).or_default();
         }
     }
     let mut due = Vec::new();
-    for (engine, wanted) in orders {
-        let Some((over, mut row)) = state.ledger.rows.get(&engine).cloned() else {
+    for (engine, actions) in orders {
+        let Some((expected, mut row)) = state.ledger.rows.get(&engine).cloned() else {
             continue;
         };
         let meant_for = row.incarnation;
-        let made: Vec<(Order, Cause)> = wanted
+        let made: Vec<(Order, Cause)> = actions
             .into_iter()
             .map(|(action, cause)| (Order { id: state.next_order(), fence, meant_for, action }, cause))
             .collect();
-        let Some(desk) = state.ledger.trackers.get_mut(&engine).filter(|desk| desk.pending.is_none()) else {
+        let Some(tracker) =
+            state.ledger.trackers.get_mut(&engine).filter(|tracker| tracker.pending.is_none())
+        else {
             continue;
         };
         row.fence = fence;
         row.intents.extend(made.iter().map(|(order, _)| intent(order)));
-        desk.dirty = false;
-        desk.pending = Some(Pending { row, over, orders: made, lost: false });
+        tracker.dirty = false;
+        tracker.pending = Some(Pending { row, expected, orders: made, lost: false });
         due.push(engine);
     }
     write(state, due, out);
@@ -93,8 +95,8 @@
     };
     let order = Order { id, fence, meant_for: row.incarnation, action };
     row.intents.push(intent(&order));
-    if let Some(desk) = state.ledger.trackers.get_mut(engine) {
-        desk.dirty = true;
+    if let Some(tracker) = state.ledger.trackers.get_mut(engine) {
+        tracker.dirty = true;
     }
     send(state, now, engine, order, cause, out);
 }
@@ -106,13 +108,14 @@
     }
     let mut writes = Vec::new();
     for engine in &engines {
-        let Some(writing) = state.ledger.trackers.get(engine).and_then(|desk| desk.pending.as_ref()) else {
+        let Some(pending) = state.ledger.trackers.get(engine).and_then(|tracker| tracker.pending.as_ref())
+        else {
             continue;
         };
         writes.push(table::Write {
             key: key(state, engine),
-            expect: writing.over,
-            value: Some(table::Value::Ledger(writing.row.clone())),
+            expect: pending.expected,
+            value: Some(table::Value::Ledger(pending.row.clone())),
         });
     }
     state.call(table::Call::Each(writes), Purpose::Ledger(Step::Write(engines)), out);
@@ -120,12 +123,12 @@
 
 /// Reads the rows whose writes were not answered.
 pub(super) fn read_back(state: &mut State, out: &mut Vec<Effect>) {
-    let lost = |desk: &Tracker| desk.pending.as_ref().is_some_and(|writing| writing.lost);
+    let lost = |tracker: &Tracker| tracker.pending.as_ref().is_some_and(|pending| pending.lost);
     let engines: Vec<Name> = state
         .ledger
         .trackers
         .iter()
-        .filter(|(_, desk)| lost(desk))
+        .filter(|(_, tracker)| lost(tracker))
         .map(|(engine, _)| engine.clone())
         .collect();
     if engines.is_empty() {
@@ -154,21 +157,21 @@
             for (engine, done) in engines.iter().zip(done) {
                 match done {
                     Done::Written => committed(state, now, engine, out),
-                    Done::Kept(row) => settle(state, now, engine, row, out),
+                    Done::Kept(row) => resolve(state, now, engine, row, out),
                 }
             }
-            doubt(state, &engines);
+            mark_lost(state, &engines);
         }
         (Step::Write(engines), Err(table::Failure::Unavailable)) => {
             for engine in &engines {
-                drop_write(state, engine);
+                drop_pending(state, engine);
             }
         }
-        (Step::Write(engines), _) => doubt(state, &engines),
+        (Step::Write(engines), _) => mark_lost(state, &engines),
         (Step::Check(engines), Ok(table::Reply::Rows(rows))) => {
             for engine in &engines {
                 let row = rows.iter().find(|row| row.key == key(state, engine)).cloned();
-                settle(state, now, engine, row, out);
+                resolve(state, now, engine, row, out);
             }
             rewrite(state, &engines, out);
         }
@@ -177,29 +180,29 @@
 }
 
 /// Marks the writes that are still pending as lost, so that the next tick reads their rows.
-fn doubt(state: &mut State, engines: &[Name]) {
+fn mark_lost(state: &mut State, engines: &[Name]) {
     for engine in engines {
-        let desk = state.ledger.trackers.get_mut(engine);
-        if let Some(writing) = desk.and_then(|desk| desk.pending.as_mut()) {
-            writing.lost = true;
+        let tracker = state.ledger.trackers.get_mut(engine);
+        if let Some(pending) = tracker.and_then(|tracker| tracker.pending.as_mut()) {
+            pending.lost = true;
         }
     }
 }
 
 /// Drops a write that certainly had no effect. Its orders were not recorded, so they are not sent.
-fn drop_write(state: &mut State, engine: &Name) {
-    if let Some(desk) = state.ledger.trackers.get_mut(engine) {
-        desk.pending = None;
-        desk.dirty = desk.claimed;
-        desk.ended_meanwhile.clear();
+fn drop_pending(state: &mut State, engine: &Name) {
+    if let Some(tracker) = state.ledger.trackers.get_mut(engine) {
+        tracker.pending = None;
+        tracker.dirty = tracker.claimed;
+        tracker.ended_meanwhile.clear();
     }
 }
 
 /// Replaces all ledgers by the rows that this process read as the new lease holder.
 fn adopt_all(state: &mut State, fence: Fence, rows: Vec<table::Row>) {
     state.ledger.rows.clear();
-    for desk in state.ledger.trackers.values_mut() {
-        *desk = Tracker::default();
+    for tracker in state.ledger.trackers.values_mut() {
+        *tracker = Tracker::default();
     }
     state.ledger.read_under = Some(fence);
     for row in rows {
@@ -209,60 +212,62 @@
     }
 }
 
-/// Adopts a row that another holder wrote. None of its orders is known to have ended, so all are to be cancelled.
+/// Adopts a row that another holder wrote. None of its orders is known to have ended, so all are to be
+/// cancelled.
 fn adopt(state: &mut State, engine: &Name, version: table::Version, row: Row) {
-    let doubtful = row.intents.iter().map(|intent| (intent.order, false)).collect();
-    let sync = state.ledger.trackers.remove(engine).and_then(|desk| desk.sync);
-    let desk = Tracker { sync, to_cancel: doubtful, ..Tracker::default() };
-    state.ledger.trackers.insert(engine.clone(), desk);
+    let unresolved = row.intents.iter().map(|intent| (intent.order, false)).collect();
+    let sync = state.ledger.trackers.remove(engine).and_then(|tracker| tracker.sync);
+    let tracker = Tracker { sync, to_cancel: unresolved, ..Tracker::default() };
+    state.ledger.trackers.insert(engine.clone(), tracker);
     state.ledger.rows.insert(engine.clone(), (version, row));
 }
 
-/// Applies a write that took effect, and sends the orders that it recorded if this process still holds the lease.
+/// Applies a write that took effect, and sends the orders that it recorded if this process still holds the
+/// lease.
 fn committed(state: &mut State, now: Time, engine: &Name, out: &mut Vec<Effect>) {
-    let Some(desk) = state.ledger.trackers.get_mut(engine) else {
+    let Some(tracker) = state.ledger.trackers.get_mut(engine) else {
         return;
     };
-    let Some(Pending { mut row, over, orders, .. }) = desk.pending.take() else {
+    let Some(Pending { mut row, expected, orders, .. }) = tracker.pending.take() else {
         return;
     };
     let planned_for = row.incarnation;
-    let present = state.ledger.rows.get(engine).map_or(planned_for, |(_, known)| known.incarnation);
-    if present != planned_for {
-        row.restart(present);
-        desk.dirty = true;
+    let current = state.ledger.rows.get(engine).map_or(planned_for, |(_, known)| known.incarnation);
+    if current != planned_for {
+        row.restart(current);
+        tracker.dirty = true;
     }
-    for order in std::mem::take(&mut desk.ended_meanwhile) {
-        desk.dirty |= row.remove(order);
+    for order in std::mem::take(&mut tracker.ended_meanwhile) {
+        tracker.dirty |= row.remove(order);
     }
-    desk.claimed = state.ledger.read_under == Some(row.fence);
-    let same_life = planned_for == row.incarnation;
-    state.ledger.rows.insert(engine.clone(), (table::Version(over.0 + 1), row));
+    tracker.claimed = state.ledger.read_under == Some(row.fence);
+    let same_incarnation = planned_for == row.incarnation;
+    state.ledger.rows.insert(engine.clone(), (table::Version(expected.0 + 1), row));
     for (order, cause) in orders {
-        let fresh = state.lease.fence(now) == Some(order.fence);
-        if fresh && same_life {
+        let lease_held = state.lease.fence(now) == Some(order.fence);
+        if lease_held && same_incarnation {
             send(state, now, engine, order, cause, out);
-        } else if let Some(desk) = state.ledger.trackers.get_mut(engine) {
-            desk.to_cancel.insert(order.id, false);
+        } else if let Some(tracker) = state.ledger.trackers.get_mut(engine) {
+            tracker.to_cancel.insert(order.id, false);
         }
     }
 }
 
 /// Decides by the row in the table whether a pending write took effect.
-fn settle(state: &mut State, now: Time, engine: &Name, found: Option<table::Row>, out: &mut Vec<Effect>) {
-    let Some(writing) = state.ledger.trackers.get(engine).and_then(|desk| desk.pending.clone()) else {
+fn resolve(state: &mut State, now: Time, engine: &Name, found: Option<table::Row>, out: &mut Vec<Effect>) {
+    let Some(pending) = state.ledger.trackers.get(engine).and_then(|tracker| tracker.pending.clone()) else {
         return;
     };
     let (version, row) = match found {
         Some(table::Row { version, value: table::Value::Ledger(row), .. }) => (version, Some(row)),
         _ => (table::Version(0), None),
     };
-    if version == writing.over {
+    if version == pending.expected {
         // The lost write may still reach the table. `rewrite` writes the same row over the same version again,
         // and whichever of the two comes first takes effect.
         return;
     }
-    if version.0 == writing.over.0 + 1 && row.as_ref() == Some(&writing.row) {
+    if version.0 == pending.expected.0 + 1 && row.as_ref() == Some(&pending.row) {
         committed(state, now, engine, out);
         return;
     }
@@ -279,9 +284,9 @@
 fn rewrite(state: &mut State, engines: &[Name], out: &mut Vec<Effect>) {
     let mut due = Vec::new();
     for engine in engines {
-        let desk = state.ledger.trackers.get_mut(engine);
-        if let Some(writing) = desk.and_then(|desk| desk.pending.as_mut()) {
-            writing.lost = false;
+        let tracker = state.ledger.trackers.get_mut(engine);
+        if let Some(pending) = tracker.and_then(|tracker| tracker.pending.as_mut()) {
+            pending.lost = false;
             due.push(engine.clone());
         }
     }
@@ -308,14 +313,14 @@
 
 /// Sends an order to its engine. If the engine is not known, the order is to be cancelled later.
 pub(super) fn dispatch(state: &mut State, engine: &Name, order: Order, out: &mut Vec<Effect>) {
-    let Some(desk) = state.ledger.trackers.get_mut(engine) else {
+    let Some(tracker) = state.ledger.trackers.get_mut(engine) else {
         return;
     };
     let Some(backend) = state.fleet.backends.get(engine) else {
-        desk.to_cancel.insert(order.id, false);
+        tracker.to_cancel.insert(order.id, false);
         return;
     };
-    desk.sent_since_report += 1;
+    tracker.sent_since_report += 1;
     state.counters.orders += 1;
     out.push(Effect::Order { engine: engine.clone(), address: backend.address, order: Box::new(order) });
 }
--- a/core/src/place/input.rs
+++ b/core/src/place/input.rs
@@ -1,4 +1,4 @@
-//! What a plan starts from: the zone's engines and the declared artifacts, with numbers in place of names.
+//! Input of a plan: the engines of the zone and the declared artifacts, referred to by index.
 
 use rustc_hash::FxHashMap;
 
@@ -12,44 +12,44 @@
 use crate::summary;
 use crate::time::Time;
 
-/// How many times as long as an entry VM an engine may be silent before placement does without it. What it
-/// holds counts for no reachability then; its memory stays taken.
-const SILENCES: u32 = 2;
+/// Multiple of `suspect_after` for which an engine may be silent before placement stops using it. The copies
+/// on a silent engine do not count as available, but its memory still counts as taken.
+const SILENCE_FACTOR: u32 = 2;
 
-/// A model engine of the zone.
+/// A model engine of the zone, on which copies may be placed.
 #[derive(Debug)]
 pub(super) struct Candidate {
     pub name: Name,
     pub group: Name,
     pub slots: f64,
-    /// Memory that no copy and no order takes.
+    /// Memory that no copy takes and no open order will take, in MB.
     pub free_mb: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests and has been heard from recently.
     pub usable: bool,
     /// Orders that may be added now.
     pub order_capacity: usize,
     pub copies: Vec<CopyState>,
-    /// Slots taken by the forecast demand that falls to it.
+    /// Slots that its part of the forecast demand takes.
     pub load: f64,
 }
 
-/// An artifact at an engine.
+/// A copy of an artifact at an engine, or an open order to load one.
 #[derive(Debug)]
-#[expect(clippy::struct_excessive_bools, reason = "each is a belief of its own, not a state of one machine")]
+#[expect(clippy::struct_excessive_bools, reason = "the flags are independent of each other")]
 pub(super) struct CopyState {
-    /// Its place among the declared; none if it is not declared.
+    /// Index among the declared artifacts; none if it is not declared.
     pub item: Option<usize>,
     pub artifact: Artifact,
     pub memory_mb: u64,
-    /// Whether it is being loaded, or an order to load it is open.
+    /// Whether it is being loaded or an order to load it is open.
     pub loading: bool,
-    /// Whether it is being dropped, closed or may be dropped by an open order.
+    /// Whether it is being dropped, is being closed, or may be unloaded by an open order.
     pub dropping: bool,
-    /// Whether it is sure to be there and to stay.
+    /// Whether it is certain that the copy is ready and that no order will drop it.
     pub certain: bool,
-    /// The part of its artifact's demand that falls to it.
+    /// Slots that its part of the artifact's demand takes.
     pub share: f64,
-    /// Whether it is a version that is not declared any more, and other zones have held it for some time too.
+    /// Whether it is a version that is no longer declared and that other zones have held for some time too.
     pub old_version_elsewhere: bool,
 }
 
@@ -59,44 +59,44 @@
     pub artifact: Artifact,
     pub group: Name,
     pub memory_mb: u64,
-    /// Whether this zone may hold it.
+    /// Whether the rules allow it in this zone.
     pub allowed: bool,
     /// Slots that its forecast demand takes.
     pub load: f64,
-    /// Time that a request takes of a slot, in seconds.
+    /// Time that a request occupies a slot, in seconds.
     pub service_time: f64,
     pub waiting: u32,
     pub priority: Priority,
-    /// Copies to keep over all zones.
+    /// Least number of copies over all zones.
     pub copies_min: u32,
-    /// Hosts of copies that answer or will.
+    /// Indices of the usable engines that hold or load a copy which is not being dropped.
     pub holders: Vec<usize>,
-    /// Copies that are sure to be there and to stay.
+    /// Number of copies in this zone that are certain to be ready and to stay.
     pub certain_copies: usize,
-    /// Copies in other zones.
+    /// Number of copies in other zones.
     pub copies_elsewhere: u32,
     /// Whether other zones have had copies for some time.
     pub stable_elsewhere: bool,
-    /// Whether another zone is sure to keep one, whatever this zone does.
+    /// Whether another zone is certain to keep a copy, whatever this zone does.
     pub assured_elsewhere: bool,
-    /// The place of this zone among the live zones that may hold it; zero is its home.
+    /// Rank of this zone among the live zones that may hold the artifact; the zone with rank 0 loads it first.
     pub zone_rank: usize,
-    /// For an adapter, the declared versions of its model.
+    /// For an adapter, indices of the declared versions of its model.
     pub bases: Vec<usize>,
 }
 
-/// A zone as a plan sees it.
+/// The state of a zone from which a plan is computed.
 #[derive(Debug)]
 pub(super) struct Input {
     pub engines: Vec<Candidate>,
     pub items: Vec<Item>,
-    /// Declared versions by model and adapter.
+    /// Indices of the declared versions by model and adapter.
     pub versions: FxHashMap<(Name, Option<Name>), Vec<usize>>,
     /// Loads under way.
     pub loads_running: usize,
-    /// Zones with entry VMs, heard of or not.
+    /// Number of zones with entry VMs, whether they can be reached or not.
     pub known_zones: u32,
-    /// Zones that share the weight store.
+    /// Number of reachable zones, this one included, which share the weight store.
     pub live_zones: usize,
 }
 
@@ -104,7 +104,7 @@
     pub(super) fn new(state: &State, now: Time, fence: Fence) -> Self {
         let others: Vec<(&Name, u64)> =
             summary::recent_zones(state, now).map(|(name, zone)| (name, zone.config)).collect();
-        let mut view = Self {
+        let mut input = Self {
             engines: Vec::new(),
             items: items(state, now, &others),
             versions: FxHashMap::default(),
@@ -112,9 +112,9 @@
             known_zones: known_zones(state),
             live_zones: others.len() + 1,
         };
-        for (at, item) in view.items.iter().enumerate() {
+        for (at, item) in input.items.iter().enumerate() {
             let name = (item.artifact.model.clone(), item.artifact.adapter.clone());
-            view.versions.entry(name).or_default().push(at);
+            input.versions.entry(name).or_default().push(at);
         }
         for backend in state.fleet.backends.values().filter(|backend| backend.zone == state.me.zone) {
             let group = state.config.catalog.groups.get(&backend.group);
@@ -124,42 +124,42 @@
             let Some(report) = &backend.report else {
                 continue;
             };
-            let ready = state.ledger.is_synced(report, fence);
-            let mut host = Candidate {
+            let synced = state.ledger.is_synced(report, fence);
+            let mut candidate = Candidate {
                 name: backend.name.clone(),
                 group: backend.group.clone(),
                 slots: f64::from(group.slots.max(1)),
                 free_mb: 0,
                 usable: backend.accepts_work()
-                    && backend.reported_within(now, state.settings.suspect_after * SILENCES),
-                order_capacity: if ready { state.ledger.order_capacity(&backend.name) } else { 0 },
+                    && backend.reported_within(now, state.settings.suspect_after * SILENCE_FACTOR),
+                order_capacity: if synced { state.ledger.order_capacity(&backend.name) } else { 0 },
                 copies: Vec::new(),
                 load: 0.0,
             };
             for copy in &report.copies {
-                let doubtful = state.ledger.has_open_unload(&backend.name, &copy.artifact);
+                let unloading = state.ledger.has_open_unload(&backend.name, &copy.artifact);
                 let closing = state.close.is_closing(&backend.name, &copy.artifact);
-                let going = copy.stage == Stage::Dropping || doubtful || closing;
+                let is_dropping = copy.stage == Stage::Dropping || unloading || closing;
                 let item = state.config.catalog.position(&copy.artifact);
-                host.copies.push(CopyState {
+                candidate.copies.push(CopyState {
                     item,
                     artifact: copy.artifact.clone(),
                     memory_mb: copy.memory_mb,
                     loading: copy.stage == Stage::Loading,
-                    dropping: going,
-                    certain: ready && host.usable && !going && copy.stage == Stage::Ready,
+                    dropping: is_dropping,
+                    certain: synced && candidate.usable && !is_dropping && copy.stage == Stage::Ready,
                     share: 0.0,
-                    old_version_elsewhere: item.is_none() && is_steady_elsewhere(state, now, &copy.artifact),
+                    old_version_elsewhere: item.is_none() && is_stable_elsewhere(state, now, &copy.artifact),
                 });
             }
             for intent in state.ledger.open_intents(&backend.name) {
                 let Action::Load { artifact, memory_mb } = &intent.action else {
                     continue;
                 };
-                if host.copies.iter().any(|held| held.artifact == *artifact) {
+                if candidate.copies.iter().any(|copy| copy.artifact == *artifact) {
                     continue;
                 }
-                host.copies.push(CopyState {
+                candidate.copies.push(CopyState {
                     item: state.config.catalog.position(artifact),
                     artifact: artifact.clone(),
                     memory_mb: *memory_mb,
@@ -170,64 +170,67 @@
                     old_version_elsewhere: false,
                 });
             }
-            let taken: u64 = host.copies.iter().map(|held| held.memory_mb).sum();
-            host.free_mb = report.memory_mb.saturating_sub(taken);
-            view.add(host);
+            let taken_mb: u64 = candidate.copies.iter().map(|copy| copy.memory_mb).sum();
+            candidate.free_mb = report.memory_mb.saturating_sub(taken_mb);
+            input.add(candidate);
         }
-        view
+        input
     }
 
-    /// Whether a closed copy may be dropped: another is certain, and the engine can take an order.
+    /// Returns whether a closed copy may be unloaded: another copy is certain, and the engine can be given an
+    /// order.
     pub(super) fn may_unload(&self, state: &State, now: Time, engine: &Name, artifact: &Artifact) -> bool {
-        if !self.engines.iter().any(|host| host.name == *engine && host.order_capacity > 0) {
+        if !self.engines.iter().any(|candidate| candidate.name == *engine && candidate.order_capacity > 0) {
             return false;
         }
         let item = state.config.catalog.position(artifact).and_then(|at| self.items.get(at));
         match item {
             Some(item) => item.certain_copies > 0 || item.assured_elsewhere,
-            // What closed it may have changed meanwhile: another zone's copy that was relied on may be gone.
+            // The reason for closing the copy may be void by now: the copy of another zone may be gone.
             None => {
                 self.is_replaced(artifact)
-                    || is_steady_elsewhere(state, now, artifact)
-                    || self.is_needed(state, now, artifact)
+                    || is_stable_elsewhere(state, now, artifact)
+                    || self.blocks_successor(state, now, artifact)
             }
         }
     }
 
-    /// Whether a version that takes an undeclared one's place has been nowhere for so long that no zone seems to
-    /// have memory for it beside the undeclared one.
-    fn is_needed(&self, state: &State, now: Time, artifact: &Artifact) -> bool {
-        let kin =
+    /// Returns whether a version that replaces an undeclared one has had too few copies for so long that no
+    /// zone seems to have memory for it besides the undeclared one.
+    fn blocks_successor(&self, state: &State, now: Time, artifact: &Artifact) -> bool {
+        let versions =
             self.versions.get(&(artifact.model.clone(), artifact.adapter.clone())).into_iter().flatten();
-        kin.into_iter()
+        versions
+            .into_iter()
             .any(|item| super::no_zone_has_room(state, now, self.known_zones, &self.items[*item].artifact))
     }
 
-    /// Whether all versions that take an undeclared one's place are there.
+    /// Returns whether all declared versions that replace an undeclared one have a copy.
     pub(super) fn is_replaced(&self, artifact: &Artifact) -> bool {
-        let kin = self.versions.get(&(artifact.model.clone(), artifact.adapter.clone()));
-        let there = |item: &usize| self.items[*item].certain_copies > 0 || self.items[*item].stable_elsewhere;
-        kin.is_none_or(|kin| kin.iter().all(there))
+        let versions = self.versions.get(&(artifact.model.clone(), artifact.adapter.clone()));
+        let available =
+            |item: &usize| self.items[*item].certain_copies > 0 || self.items[*item].stable_elsewhere;
+        versions.is_none_or(|versions| versions.iter().all(available))
     }
 
-    fn add(&mut self, host: Candidate) {
+    fn add(&mut self, candidate: Candidate) {
         let at = self.engines.len();
-        for held in &host.copies {
-            self.loads_running += usize::from(held.loading);
-            let Some(item) = held.item.and_then(|item| self.items.get_mut(item)) else {
+        for copy in &candidate.copies {
+            self.loads_running += usize::from(copy.loading);
+            let Some(item) = copy.item.and_then(|item| self.items.get_mut(item)) else {
                 continue;
             };
-            if host.usable && !held.dropping {
+            if candidate.usable && !copy.dropping {
                 item.holders.push(at);
             }
-            item.certain_copies += usize::from(held.certain);
+            item.certain_copies += usize::from(copy.certain);
         }
-        self.engines.push(host);
+        self.engines.push(candidate);
     }
 }
 
-/// Whether other zones hold an artifact, and have done so for some time.
-fn is_steady_elsewhere(state: &State, now: Time, artifact: &Artifact) -> bool {
+/// Returns whether other zones hold an artifact and have done so for at least [`super::STABLE_AFTER`].
+fn is_stable_elsewhere(state: &State, now: Time, artifact: &Artifact) -> bool {
     let since = state.place.elsewhere_since.get(artifact);
     since.is_some_and(|since| now.since(*since) >= super::STABLE_AFTER)
         && !summary::zones_holding(state, now, artifact).is_empty()
@@ -252,35 +255,38 @@
     }
     let mut items = Vec::with_capacity(catalog.entries.len());
     for entry in &catalog.entries {
-        let track = state.demand.estimate(&entry.artifact);
+        let estimate = state.demand.estimate(&entry.artifact);
         let key = entry.artifact.to_string();
-        let mine = rendezvous::score(me, &key);
-        let before = |zone: &Name| (rendezvous::score(zone, &key), zone) > (mine, me);
-        let there = summary::zones_holding(state, now, &entry.artifact);
+        let own_score = rendezvous::score(me, &key);
+        let ranks_before = |zone: &Name| (rendezvous::score(zone, &key), zone) > (own_score, me);
+        let offers = summary::zones_holding(state, now, &entry.artifact);
         let allowed = entry.allows_zone(me);
-        let steady = is_steady_elsewhere(state, now, &entry.artifact);
-        // Zones give way to each other in one order that no change of configuration turns round, so that
-        // no two of them drop their copies for each other's sake.
-        let kept = |zone: &Name| {
+        let stable = is_stable_elsewhere(state, now, &entry.artifact);
+        // Zones rely on each other's copies only in the order of their ranks, which no configuration change
+        // reverses. Otherwise two zones could each drop their copy because the other one has one.
+        let assured = |zone: &Name| {
             let config = others.iter().find(|(name, _)| *name == zone).map_or(0, |(_, config)| *config);
-            config >= state.config.version && entry.allows_zone(zone) && (before(zone) || !allowed)
+            config >= state.config.version && entry.allows_zone(zone) && (ranks_before(zone) || !allowed)
         };
         items.push(Item {
             artifact: entry.artifact.clone(),
             group: entry.group.clone(),
             memory_mb: entry.memory_mb,
             allowed,
-            load: track.load(),
-            service_time: track.service_time(),
-            waiting: track.waiting,
+            load: estimate.load(),
+            service_time: estimate.service_time(),
+            waiting: estimate.waiting,
             priority: entry.priority,
             copies_min: entry.copies.max(1),
             holders: Vec::new(),
             certain_copies: 0,
-            copies_elsewhere: there.iter().map(|elsewhere| elsewhere.copies).sum(),
-            assured_elsewhere: steady && there.iter().any(|elsewhere| kept(elsewhere.zone)),
-            stable_elsewhere: steady,
-            zone_rank: others.iter().filter(|(zone, _)| entry.allows_zone(zone) && before(zone)).count(),
+            copies_elsewhere: offers.iter().map(|offer| offer.copies).sum(),
+            assured_elsewhere: stable && offers.iter().any(|offer| assured(offer.zone)),
+            stable_elsewhere: stable,
+            zone_rank: others
+                .iter()
+                .filter(|(zone, _)| entry.allows_zone(zone) && ranks_before(zone))
+                .count(),
             bases: match &entry.artifact.adapter {
                 Some(_) => bases.get(&entry.artifact.model).cloned().unwrap_or_default(),
                 None => Vec::new(),
--- a/core/src/place/load.rs
+++ b/core/src/place/load.rs
@@ -1,24 +1,24 @@
-//! What a placement is worth: how demand falls to engines, and what a copy more or less changes.
+//! Distribution of demand over the copies of artifacts, and the effect of adding or dropping a copy.
 
 use super::input::Input;
 
-/// Share of an engine's slots that demand may take before requests begin to miss their targets.
+/// Fraction of an engine's slots that demand may take before requests begin to miss their targets.
 pub(super) const UTILIZATION_MAX: f64 = 0.8;
-/// Rounds in which demand is shared out between an artifact's copies.
+/// Rounds in which demand is redistributed between the copies of each artifact.
 const ROUNDS: usize = 3;
-/// Room counted for an engine that is full, in slots, so that it keeps a small share.
-const ROOM_LEAST: f64 = 0.05;
+/// Free slots counted for a fully loaded engine, so that it keeps a small share of the demand.
+const ROOM_MIN: f64 = 0.05;
 
 impl Input {
-    /// Shares each artifact's demand out between its copies by the room their engines have.
+    /// Distributes the demand of each artifact over its copies by the free slots of their engines.
     pub(super) fn distribute_load(&mut self) {
-        for host in &mut self.engines {
-            host.load = 0.0;
+        for engine in &mut self.engines {
+            engine.load = 0.0;
         }
         for item in 0..self.items.len() {
             let copies = self.items[item].holders.len().max(1) as f64;
             let even = self.items[item].load / copies;
-            self.each_copy(item, |_, _| even);
+            self.set_shares(item, |_, _| even);
         }
         for _ in 0..ROUNDS {
             for item in 0..self.items.len() {
@@ -27,62 +27,62 @@
         }
     }
 
-    /// Shares one artifact's demand out anew.
+    /// Distributes the demand of one artifact again.
     pub(super) fn rebalance(&mut self, item: usize) {
         if self.items[item].holders.len() < 2 || self.items[item].load <= 0.0 {
             return;
         }
         let load = self.items[item].load;
-        let room = |slots: f64, others: f64| (slots * UTILIZATION_MAX - others).max(ROOM_LEAST);
+        let room = |slots: f64, others: f64| (slots * UTILIZATION_MAX - others).max(ROOM_MIN);
         let mut total = 0.0;
         for at in &self.items[item].holders {
-            let host = &self.engines[*at];
-            total += room(host.slots, host.load - host.share_of(item));
+            let engine = &self.engines[*at];
+            total += room(engine.slots, engine.load - engine.share_of(item));
         }
-        self.each_copy(item, |slots, others| load * room(slots, others) / total);
+        self.set_shares(item, |slots, others| load * room(slots, others) / total);
     }
 
-    /// Sets the share of each copy by its engine's slots and the load of others there.
-    fn each_copy(&mut self, item: usize, share: impl Fn(f64, f64) -> f64) {
+    /// Sets the share of each copy from its engine's slots and the load of the other artifacts there.
+    fn set_shares(&mut self, item: usize, share: impl Fn(f64, f64) -> f64) {
         let holders = std::mem::take(&mut self.items[item].holders);
         for at in &holders {
-            let host = &mut self.engines[*at];
-            let others = host.load - host.share_of(item);
-            let fresh = share(host.slots, others);
-            host.load = others + fresh;
-            if let Some(held) = host.copies.iter_mut().find(|held| held.item == Some(item)) {
-                held.share = fresh;
+            let engine = &mut self.engines[*at];
+            let others = engine.load - engine.share_of(item);
+            let updated = share(engine.slots, others);
+            engine.load = others + updated;
+            if let Some(copy) = engine.copies.iter_mut().find(|copy| copy.item == Some(item)) {
+                copy.share = updated;
             }
         }
         self.items[item].holders = holders;
     }
 
-    /// Slots by which an engine is asked for too much.
-    pub(super) fn overload(&self, host: usize) -> f64 {
-        let host = &self.engines[host];
-        (host.load - host.slots * UTILIZATION_MAX).max(0.0)
+    /// Returns the number of slots by which the load of an engine exceeds its usable slots.
+    pub(super) fn overload(&self, engine: usize) -> f64 {
+        let engine = &self.engines[engine];
+        (engine.load - engine.slots * UTILIZATION_MAX).max(0.0)
     }
 
-    /// Slots that an engine has left.
-    pub(super) fn spare_slots(&self, host: usize) -> f64 {
-        let host = &self.engines[host];
-        (host.slots * UTILIZATION_MAX - host.load).max(0.0)
+    /// Returns the number of usable slots that an engine has left.
+    pub(super) fn spare_slots(&self, engine: usize) -> f64 {
+        let engine = &self.engines[engine];
+        (engine.slots * UTILIZATION_MAX - engine.load).max(0.0)
     }
 
-    /// Slots of excess that a copy of `item` at `host` would take away.
-    pub(super) fn gain(&self, item: usize, host: usize) -> f64 {
+    /// Returns the overload, in slots, that a copy of `item` at `engine` would remove.
+    pub(super) fn gain(&self, item: usize, engine: usize) -> f64 {
         let relief: f64 = self.items[item]
             .holders
             .iter()
             .map(|at| self.overload(*at).min(self.engines[*at].share_of(item)))
             .sum();
-        relief.min(self.spare_slots(host))
+        relief.min(self.spare_slots(engine))
     }
 
-    /// Slots of excess that the loss of the copy of `item` at `host` would bring.
-    pub(super) fn loss(&self, item: usize, host: usize) -> f64 {
-        let share = self.engines[host].share_of(item);
-        let others = self.items[item].holders.iter().filter(|at| **at != host);
+    /// Returns the overload, in slots, that dropping the copy of `item` at `engine` would cause.
+    pub(super) fn loss(&self, item: usize, engine: usize) -> f64 {
+        let share = self.engines[engine].share_of(item);
+        let others = self.items[item].holders.iter().filter(|at| **at != engine);
         let room: f64 = others.map(|at| self.spare_slots(*at)).sum();
         (share - room).max(0.0)
     }
@@ -90,6 +90,6 @@
 
 impl super::input::Candidate {
     fn share_of(&self, item: usize) -> f64 {
-        self.copies.iter().find(|held| held.item == Some(item)).map_or(0.0, |held| held.share)
+        self.copies.iter().find(|copy| copy.item == Some(item)).map_or(0.0, |copy| copy.share)
     }
 }
