--- a/core/benches/demand.rs
+++ b/core/benches/demand.rs
@@ -1,14 +1,16 @@
-//! Attainment per accelerator and moves of four placement policies, on demand that moves tenfold within an hour.
+//! Target attainment per accelerator, and moves, of four placement policies while demand for models grows or
+//! falls tenfold within an hour.
 //!
-//! Engines are slots, loads take the weight store's time, and there is no network. The system's own
-//! policy runs through the reducer; the other three are small programs over the same engines.
+//! An engine is modelled by its slots and memory, a load by its time at the weight store, and there is no
+//! network. The policy of this system runs through the reducer. The other three are simple simulations of the
+//! same engines.
 
 #![expect(clippy::print_stdout, reason = "a benchmark prints its figures")]
 
 #[path = "../tests/table/mod.rs"]
 mod table;
 #[path = "../tests/control/world.rs"]
-#[expect(dead_code, reason = "the tests need more of it")]
+#[expect(dead_code, reason = "some helpers are used by the tests only")]
 mod world;
 
 use std::collections::{BTreeMap, VecDeque};
@@ -24,31 +26,31 @@
 const STEPS_A_SECOND: u64 = 4;
 const SLOTS: usize = 8;
 const MEMORY_MB: u64 = 24_000;
-/// Mean time that a request takes of a slot, in seconds.
-const HOLD: f64 = 2.0;
+/// Mean time that a request occupies a slot, in seconds.
+const SERVICE_TIME: f64 = 2.0;
 /// A request meets its target if it starts within this time, in seconds.
 const TARGET: f64 = 1.7;
-/// Time after which a request is given up, in seconds.
-const PATIENCE: f64 = 10.0;
-/// Share of all slots that the demand takes on average.
-const LOAD: f64 = 0.6;
+/// Time after which a waiting request is given up, in seconds.
+const GIVE_UP_AFTER: f64 = 10.0;
+/// Fraction of all slots that demand takes on average.
+const UTILIZATION: f64 = 0.6;
 /// Time of one load at full speed, in seconds.
 const LOAD_TIME: f64 = 3.0;
 const ADAPTER_MB: u64 = 300;
 
-/// A deployment.
+/// Size of a deployment.
 struct Size {
     engines: usize,
     models: usize,
     adapters: usize,
     model_mb: u64,
-    /// The weight store's loads a second, and at once.
+    /// Loads per second and concurrent loads that the weight store allows.
     store: (f64, usize),
-    /// Cost of a move in missed targets.
+    /// Cost of a move, in missed targets.
     weight: f64,
 }
 
-/// One thing to hold.
+/// A model or adapter that engines may hold.
 #[derive(Clone)]
 struct Item {
     artifact: Artifact,
@@ -57,13 +59,13 @@
     weight: f64,
 }
 
-/// An item, when it is ready, and when it was last used.
-type Held = (usize, f64, f64);
+/// A copy: its item, the time at which it is ready, and the time of its last use.
+type CopyState = (usize, f64, f64);
 
 #[derive(Clone, Default)]
 struct Engine {
-    copies: Vec<Held>,
-    /// When each request ends, and on which item it runs.
+    copies: Vec<CopyState>,
+    /// End time and item of each running request.
     running: Vec<(f64, usize)>,
 }
 
@@ -98,9 +100,9 @@
     items
 }
 
-/// How much more than at the start a model is asked for: a third grows tenfold within an hour, a third
-/// goes down to a tenth, a third stays.
-fn swing(size: &Size, base: usize, items: &[Item], t: f64) -> f64 {
+/// Factor of the demand for a model at time `t`. For a third of the models demand grows tenfold within an
+/// hour, for a third it falls to a tenth, and for a third it stays.
+fn demand_factor(size: &Size, base: usize, items: &[Item], t: f64) -> f64 {
     let model = items[..=base].iter().enumerate().filter(|(at, item)| item.base == *at).count() - 1;
     let progress = ((t - 1_200.0) / 3_600.0).clamp(0.0, 1.0);
     match model / (size.models / 3) {
@@ -110,11 +112,12 @@
     }
 }
 
-/// Requests a second for each item at a time.
+/// Requests per second for each item at time `t`.
 fn rates(size: &Size, items: &[Item], t: f64) -> Vec<f64> {
-    let raw: Vec<f64> = items.iter().map(|item| item.weight * swing(size, item.base, items, t)).collect();
+    let raw: Vec<f64> =
+        items.iter().map(|item| item.weight * demand_factor(size, item.base, items, t)).collect();
     let total: f64 = raw.iter().sum();
-    let scale = LOAD * (size.engines * SLOTS) as f64 / HOLD / total;
+    let scale = UTILIZATION * (size.engines * SLOTS) as f64 / SERVICE_TIME / total;
     raw.into_iter().map(|rate| rate * scale).collect()
 }
 
@@ -134,7 +137,7 @@
         self.engines[engine].copies.iter().any(|copy| copy.0 == item)
     }
 
-    /// Loads take the store's slots one after the other.
+    /// Loads an item on an engine once the weight store has a free slot.
     fn load(&mut self, engine: usize, item: usize) {
         self.loads.retain(|end| *end > self.now);
         self.loads.sort_by(f64::total_cmp);
@@ -151,7 +154,7 @@
         self.engines[engine].copies.retain(|copy| copy.0 != item);
     }
 
-    /// Starts what can be started.
+    /// Starts waiting requests for which a slot is free, and gives up those that have waited too long.
     fn serve(&mut self, rng: &mut fastrand::Rng) {
         let now = self.now;
         for engine in &mut self.engines {
@@ -165,10 +168,10 @@
                 };
                 let best = self.engines.iter_mut().filter(fits).min_by_key(|engine| engine.running.len());
                 if let Some(engine) = best {
-                    engine.running.push((now - HOLD * (1.0 - rng.f64()).ln(), item));
+                    engine.running.push((now - SERVICE_TIME * (1.0 - rng.f64()).ln(), item));
                     engine.copies.iter_mut().filter(|copy| copy.0 == item).for_each(|copy| copy.2 = now);
                     self.met += u64::from(now - since <= TARGET);
-                } else if now - since <= PATIENCE {
+                } else if now - since <= GIVE_UP_AFTER {
                     break;
                 }
                 self.queues[item].pop_front();
@@ -176,7 +179,7 @@
         }
     }
 
-    /// Slots asked for at each engine beyond what it has, each item's load being shared evenly.
+    /// Slots that demand takes at each engine, if the load of an item is spread evenly over its copies.
     fn pressure(&self, load: &[f64]) -> Vec<f64> {
         let copies: Vec<f64> = (0..self.items.len())
             .map(|item| {
@@ -186,12 +189,13 @@
         self.engines.iter().map(|e| e.copies.iter().map(|copy| load[copy.0] / copies[copy.0]).sum()).collect()
     }
 
-    /// Puts an item (and its base) on an engine, dropping the copies that `spare` names first. Returns success.
-    fn put(
+    /// Loads an item and its base on an engine, after dropping the copies that `evict` names. Returns whether
+    /// it fits.
+    fn place(
         &mut self,
         engine: usize,
         item: usize,
-        spare: &mut dyn FnMut(&Self, usize) -> Option<usize>,
+        evict: &mut dyn FnMut(&Self, usize) -> Option<usize>,
     ) -> bool {
         let base = self.items[item].base;
         let mut needed = if self.holds(engine, item) { 0 } else { self.items[item].mb };
@@ -199,38 +203,38 @@
             needed += self.items[base].mb;
         }
         while self.free_mb(engine) < needed {
-            let Some(victim) = spare(self, engine).filter(|victim| *victim != base) else {
+            let Some(victim) = evict(self, engine).filter(|victim| *victim != base) else {
                 return false;
             };
             self.unload(engine, victim);
         }
-        for each in [base, item] {
-            if !self.holds(engine, each) {
-                self.load(engine, each);
+        for per_engine in [base, item] {
+            if !self.holds(engine, per_engine) {
+                self.load(engine, per_engine);
             }
         }
         true
     }
 }
 
-/// Fills the engines once, by the demand given: everything once, then copies where pressure is highest.
-fn fill(sim: &mut Sim<'_>, load: &[f64]) {
+/// Places each item once, and then adds copies of the items on the engines with the highest load.
+fn place_initially(sim: &mut Sim<'_>, load: &[f64]) {
     for item in 0..sim.items.len() {
         let pressure = sim.pressure(load);
         let base = sim.items[item].base;
-        let mut hosts: Vec<usize> =
+        let mut candidates: Vec<usize> =
             (0..sim.engines.len()).filter(|e| base == item || sim.holds(*e, base)).collect();
-        hosts.sort_by(|a, b| {
+        candidates.sort_by(|a, b| {
             pressure[*a].total_cmp(&pressure[*b]).then(sim.free_mb(*b).cmp(&sim.free_mb(*a)))
         });
-        let placed = hosts.into_iter().any(|engine| sim.put(engine, item, &mut |_, _| None));
-        assert!(placed, "all fits once");
+        let placed = candidates.into_iter().any(|engine| sim.place(engine, item, &mut |_, _| None));
+        assert!(placed, "each item fits once");
     }
-    improve(sim, load);
+    add_copies(sim, load);
 }
 
-/// Adds copies into free memory while that takes pressure away.
-fn improve(sim: &mut Sim<'_>, load: &[f64]) {
+/// Adds copies into free memory until no item of the most loaded engine fits on another one.
+fn add_copies(sim: &mut Sim<'_>, load: &[f64]) {
     loop {
         let pressure = sim.pressure(load);
         let mut by_pressure: Vec<usize> = (0..sim.engines.len()).collect();
@@ -238,15 +242,17 @@
         let hottest = by_pressure[0];
         let mut held: Vec<usize> = sim.engines[hottest].copies.iter().map(|copy| copy.0).collect();
         held.sort_by(|a, b| load[*b].total_cmp(&load[*a]));
-        let tries = held.iter().flat_map(|item| by_pressure.iter().rev().map(move |engine| (*engine, *item)));
-        let tries: Vec<(usize, usize)> = tries.filter(|(engine, item)| !sim.holds(*engine, *item)).collect();
-        if !tries.into_iter().any(|(engine, item)| sim.put(engine, item, &mut |_, _| None)) {
+        let options =
+            held.iter().flat_map(|item| by_pressure.iter().rev().map(move |engine| (*engine, *item)));
+        let options: Vec<(usize, usize)> =
+            options.filter(|(engine, item)| !sim.holds(*engine, *item)).collect();
+        if !options.into_iter().any(|(engine, item)| sim.place(engine, item, &mut |_, _| None)) {
             return;
         }
     }
 }
 
-/// Load on demand with least-recently-used eviction.
+/// Loads an item when it is requested, and evicts the least recently used copies.
 fn on_demand(sim: &mut Sim<'_>, item: usize) {
     let now = sim.now;
     let copies = sim.engines.iter().flat_map(|engine| &engine.copies).filter(|copy| copy.0 == item);
@@ -259,8 +265,8 @@
         return;
     };
     let base = sim.items[item].base;
-    sim.put(engine, item, &mut |sim, engine| {
-        let idle = |copy: &&Held| {
+    sim.place(engine, item, &mut |sim, engine| {
+        let idle = |copy: &&CopyState| {
             let needed =
                 sim.engines[engine].copies.iter().any(|o| o.0 != copy.0 && sim.items[o.0].base == copy.0);
             !needed
@@ -273,7 +279,7 @@
     });
 }
 
-/// The system's own policy: one entry VM that holds the lease of the only zone.
+/// The policy of this system: one entry VM that holds the lease of the only zone.
 fn control(sim: &Sim<'_>) -> World {
     let mut models: Vec<Model> = Vec::new();
     for item in &sim.items {
@@ -295,13 +301,14 @@
         store_slots: sim.size.store.1 as u32,
         ..Settings::default()
     };
-    let mut world = World::tuned(1, sim.engines.len(), document, &settings);
+    let mut world = World::with_settings(1, sim.engines.len(), document, &settings);
     world.engines.values_mut().for_each(|engine| engine.load_time = Duration::from_secs_f64(LOAD_TIME));
     world
 }
 
-/// Tells the reducer's engines what runs, lets time pass, and takes over what they hold then.
-fn follow(sim: &mut Sim<'_>, world: &mut World) {
+/// Sets the running requests of the reducer's engines, advances time, and copies the engines' state to the
+/// simulation.
+fn advance_control(sim: &mut Sim<'_>, world: &mut World) {
     let index: BTreeMap<&Artifact, usize> =
         sim.items.iter().enumerate().map(|(at, item)| (&item.artifact, at)).collect();
     for (engine, held) in sim.engines.iter_mut().zip(world.engines.values_mut()) {
@@ -321,13 +328,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Policy {
-    /// Placed once, by the mean of the whole time.
+    /// Placed once, for the mean demand of the whole run.
     Static,
-    /// Loaded when there is none with room, in place of what was used longest ago.
+    /// Loaded when no copy can take a request, in place of the least recently used copies.
     OnDemand,
-    /// The system's own.
+    /// The policy of this system.
     Reducer,
-    /// Everything on every engine: no planner does better, whatever it knows of the future.
+    /// Upper bound: every item is on every engine, so no planner can do better.
     Bound,
 }
 
@@ -337,29 +344,31 @@
     let mean = |from: f64, to: f64| -> Vec<f64> {
         let times: Vec<f64> = (0..8).map(|n| from + (to - from) * f64::from(n) / 7.0).collect();
         let all: Vec<Vec<f64>> = times.iter().map(|t| rates(size, &items(size), *t)).collect();
-        (0..all[0].len()).map(|i| all.iter().map(|each| each[i]).sum::<f64>() / 8.0 * HOLD).collect()
+        (0..all[0].len())
+            .map(|i| all.iter().map(|per_engine| per_engine[i]).sum::<f64>() / 8.0 * SERVICE_TIME)
+            .collect()
     };
     let first = if policy == Policy::Static { mean(0.0, SECONDS as f64) } else { mean(0.0, 60.0) };
     let mut control = (policy == Policy::Reducer).then(|| control(&sim));
     match policy {
         Policy::Reducer => {}
-        Policy::Static | Policy::OnDemand => fill(&mut sim, &first),
+        Policy::Static | Policy::OnDemand => place_initially(&mut sim, &first),
         Policy::Bound => {
-            let all: Vec<Held> = (0..sim.items.len()).map(|item| (item, f64::MIN, 0.0)).collect();
+            let all: Vec<CopyState> = (0..sim.items.len()).map(|item| (item, f64::MIN, 0.0)).collect();
             sim.engines.iter_mut().for_each(|engine| engine.copies.clone_from(&all));
         }
     }
-    // The others begin loaded; the reducer has this time to load what is declared.
+    // The other policies start with loaded engines. The reducer gets this time to load the declared items.
     sim.now = if control.is_some() { -300.0 } else { -10.0 };
     let mut before = None;
-    let mut spent = Duration::ZERO;
+    let mut control_time = Duration::ZERO;
     while sim.now < SECONDS as f64 {
         if sim.now >= 0.0 && before.is_none() {
             before = Some(control.as_ref().map_or(sim.moves, World::moves));
             (sim.met, sim.total) = (0, 0);
         }
         for (item, rate) in rates(size, &sim.items, sim.now).iter().enumerate() {
-            // A Poisson draw by waiting times.
+            // Draws a Poisson-distributed number of arrivals by adding up exponential waiting times.
             let mut due = rate / STEPS_A_SECOND as f64 + (1.0 - rng.f64()).ln();
             while due > 0.0 {
                 due += (1.0 - rng.f64()).ln();
@@ -367,7 +376,7 @@
                 let now = sim.now;
                 sim.queues[item].push_back(now);
                 match &mut control {
-                    Some(world) => world.request(0, sim.items[item].artifact.to_string().as_str()),
+                    Some(world) => world.send_request(0, sim.items[item].artifact.to_string().as_str()),
                     None if policy == Policy::OnDemand => on_demand(&mut sim, item),
                     None => {}
                 }
@@ -376,13 +385,13 @@
         sim.serve(&mut rng);
         if let Some(world) = &mut control {
             let begin = Instant::now();
-            follow(&mut sim, world);
-            spent += begin.elapsed();
+            advance_control(&mut sim, world);
+            control_time += begin.elapsed();
         }
         sim.now += 1.0 / STEPS_A_SECOND as f64;
     }
     let moves = control.as_ref().map_or(sim.moves, World::moves) - before.unwrap_or_default();
-    (sim.met as f64 / sim.total as f64, moves, spent.as_secs_f64() * 1e3 / SECONDS as f64)
+    (sim.met as f64 / sim.total as f64, moves, control_time.as_secs_f64() * 1e3 / SECONDS as f64)
 }
 
 fn main() {
@@ -394,9 +403,9 @@
         println!("{} engines, {} models, {} adapters", size.engines, size.models, size.adapters);
         println!("policy      attainment  per accelerator     moves  control ms/s");
         for policy in [Policy::Static, Policy::OnDemand, Policy::Reducer, Policy::Bound] {
-            let (attained, moves, spent) = run(size, policy);
-            let (each, name) = (attained / size.engines as f64, format!("{policy:?}"));
-            println!("{name:<10}{attained:>12.4}{each:>17.5}{moves:>10}{spent:>14.3}");
+            let (attained, moves, control_time) = run(size, policy);
+            let (per_engine, name) = (attained / size.engines as f64, format!("{policy:?}"));
+            println!("{name:<10}{attained:>12.4}{per_engine:>17.5}{moves:>10}{control_time:>14.3}");
         }
     }
 }
--- a/core/benches/place.rs
+++ b/core/benches/place.rs
@@ -1,9 +1,9 @@
-//! Time of one placement plan, at the sizes of today and at the two-year size of a zone.
+//! Time of one placement plan, for zones of the current sizes and of the size expected in two years.
 
 #[path = "../tests/table/mod.rs"]
 mod table;
 #[path = "../tests/control/world.rs"]
-#[expect(dead_code, reason = "the tests need more of it")]
+#[expect(dead_code, reason = "some helpers are used by the tests only")]
 mod world;
 
 use std::cell::RefCell;
@@ -29,10 +29,10 @@
     divan::main();
 }
 
-/// A zone whose engines are three quarters full, each model on several of them.
+/// A zone whose engines are three quarters full, with each model on several of them.
 fn zone((engines, models, memory_mb): (usize, usize, u64)) -> World {
     let declared = (0..models).map(|n| world::model(&format!("m{n}"), memory_mb)).collect();
-    // Nothing but plans is due; the weight store bounds none of them.
+    // Only plans are due during the measurement, and the weight store does not limit their loads.
     let settings = Settings {
         poll_every: HOUR,
         list_every: HOUR,
@@ -42,11 +42,11 @@
         store_slots: 1_000,
         ..Settings::default()
     };
-    let mut world = World::tuned(1, engines, world::document(true, MEMORY_MB, declared), &settings);
-    let each = (MEMORY_MB * 3 / 4 / memory_mb) as usize;
+    let mut world = World::with_settings(1, engines, world::document(true, MEMORY_MB, declared), &settings);
+    let copies_each = (MEMORY_MB * 3 / 4 / memory_mb) as usize;
     let mut next = 0;
     for engine in world.engines.values_mut() {
-        for _ in 0..each.max(models.div_ceil(engines)).min((MEMORY_MB / memory_mb) as usize) {
+        for _ in 0..copies_each.max(models.div_ceil(engines)).min((MEMORY_MB / memory_mb) as usize) {
             let artifact =
                 Artifact { model: format!("m{}", next % models).into(), adapter: None, version: "1".into() };
             engine.copies.push(Copy { artifact, memory_mb, stage: Stage::Ready, requests: 2 });
@@ -64,14 +64,14 @@
     world
 }
 
-/// Times the plans alone: what they ask for is carried out between two of them.
+/// Measures only the plans. Their effects are carried out between two measurements.
 fn plans(bencher: Bencher<'_, '_>, world: World) {
     let (world, effects) = (RefCell::new(world), RefCell::new(Vec::new()));
     bencher
         .with_inputs(|| {
             let mut world = world.borrow_mut();
             for effect in effects.take() {
-                world.carry_out(0, effect);
+                world.apply_effect(0, effect);
             }
             world.now = world.now + SECOND;
         })
@@ -87,14 +87,14 @@
     plans(bencher, zone(size));
 }
 
-/// With requests for every model, a third of them far beyond what its engines can do.
+/// Requests for every model; for a third of the models, far more than their engines can handle.
 #[divan::bench(args = SIZES, sample_count = 20, sample_size = 1)]
-fn pressed(bencher: Bencher<'_, '_>, size: (usize, usize, u64)) {
+fn overloaded(bencher: Bencher<'_, '_>, size: (usize, usize, u64)) {
     let mut world = zone(size);
     for _ in 0..4 {
         for n in 0..size.1 {
             for _ in 0..if n % 3 == 0 { 60 } else { 3 } {
-                world.request(0, &format!("m{n}"));
+                world.send_request(0, &format!("m{n}"));
             }
         }
         world.run(SECOND * 11);
--- a/core/tests/audit_order.rs
+++ b/core/tests/audit_order.rs
@@ -1,7 +1,7 @@
-//! How well records of control can be put in order across entry VMs whose clocks disagree: by the wall
-//! clock, by what the table's versions say, and by hybrid logical clocks.
+//! Compares three ways to order audit records of entry VMs whose clocks disagree: by wall clock, by the
+//! versions in the records (configuration, fence, row), and by hybrid logical clocks.
 //!
-//! The figures are printed: `cargo test --test audit_order -- --nocapture`.
+//! To see the figures, run `cargo test --test audit_order -- --nocapture`.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -9,14 +9,14 @@
 const NODES: usize = 9;
 const ZONES: usize = 3;
 const MS: u64 = 1_000;
-const LENGTH: u64 = 60_000 * MS;
+const RUN_TIME: u64 = 60_000 * MS;
 const CHANGE_EVERY: u64 = 500 * MS;
 const LEASE_EVERY: u64 = 3_000 * MS;
-/// Pairs further apart than this are of no interest: any clock has them right.
-const NEAR: u64 = 100 * MS;
+/// Longest time between the two records of a pair. Pairs further apart are left out.
+const PAIR_DISTANCE_MAX: u64 = 100 * MS;
 const EPOCH: u64 = 10_000_000 * MS;
 
-/// A hybrid logical clock: the highest wall clock known of, and a count within it.
+/// A hybrid logical clock: the highest wall clock value seen, and a counter within it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Hybrid {
     wall: u64,
@@ -31,11 +31,11 @@
     }
 }
 
-/// What travels with a frame or a row: what was known when it was written.
+/// Clocks carried by a frame or a row, as known to the writer.
 #[derive(Clone, Debug, Default)]
 struct Tag {
     vector: [u32; NODES],
-    /// Carried by frames only, and by frames and rows.
+    /// Two hybrid clocks: one is carried by frames only, the other one by frames and rows.
     hybrids: [Hybrid; 2],
 }
 
@@ -47,11 +47,11 @@
     vector: [u32; NODES],
     hybrids: [Hybrid; 2],
     config: u64,
-    act: Act,
+    act: Decision,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Act {
+enum Decision {
     Accepted,
     Configured,
     Lease { zone: usize, fence: u64 },
@@ -66,7 +66,7 @@
     Lease { zone: usize },
 }
 
-/// The parts that the orders compare: entry VMs with their clocks, and the table's rows.
+/// A simulation of entry VMs with their clocks, and of the table's rows.
 struct World {
     offsets: [i64; NODES],
     tags: [Tag; NODES],
@@ -98,12 +98,12 @@
             events: 0,
             rng,
         };
-        world.later(0, Event::Change);
+        world.schedule(0, Event::Change);
         for zone in 0..ZONES {
-            world.later(zone as u64 * 700 * MS, Event::Lease { zone });
+            world.schedule(zone as u64 * 700 * MS, Event::Lease { zone });
         }
         while let Some(Reverse((at, _, event))) = world.queue.pop() {
-            if at > LENGTH {
+            if at > RUN_TIME {
                 break;
             }
             world.step(at, &event);
@@ -111,7 +111,7 @@
         world.records
     }
 
-    fn later(&mut self, at: u64, event: Event) {
+    fn schedule(&mut self, at: u64, event: Event) {
         self.events += 1;
         self.queue.push(Reverse((at, self.events, event)));
     }
@@ -120,8 +120,8 @@
         (EPOCH + at).saturating_add_signed(self.offsets[node])
     }
 
-    /// A node does something after it saw a frame, or a row of the table.
-    fn touch(&mut self, node: usize, at: u64, seen: &Tag, by_row: bool) {
+    /// Advances the clocks of a node that has read a frame, or a row of the table.
+    fn observe(&mut self, node: usize, at: u64, seen: &Tag, by_row: bool) {
         let wall = self.wall(node, at);
         let tag = &mut self.tags[node];
         for (own, other) in tag.vector.iter_mut().zip(seen.vector) {
@@ -133,8 +133,8 @@
         tag.hybrids[1].tick(wall, seen.hybrids[1]);
     }
 
-    fn record(&mut self, node: usize, at: u64, act: Act) {
-        self.touch(node, at, &Tag::default(), true);
+    fn record(&mut self, node: usize, at: u64, act: Decision) {
+        self.observe(node, at, &Tag::default(), true);
         let Tag { vector, hybrids } = self.tags[node].clone();
         let (wall, config) = (self.wall(node, at), self.configs[node]);
         self.records.push(Record { node, at, wall, vector, hybrids, config, act });
@@ -145,9 +145,9 @@
             Event::Change => self.change(at),
             Event::Frame { to, config, tag } => {
                 let tag = self.frames[tag].clone();
-                self.touch(to, at, &tag, false);
+                self.observe(to, at, &tag, false);
                 if config > self.configs[to] {
-                    self.enforce(to, at, config, Act::Configured);
+                    self.apply_config(to, at, config, Decision::Configured);
                 }
             }
             Event::Plan { node } => self.plan(at, node),
@@ -158,24 +158,24 @@
     fn change(&mut self, at: u64) {
         let node = self.rng.usize(..NODES);
         let (version, seen) = self.head.clone();
-        self.touch(node, at, &seen, true);
+        self.observe(node, at, &seen, true);
         self.head = (version + 1, self.tags[node].clone());
-        self.enforce(node, at, version + 1, Act::Accepted);
+        self.apply_config(node, at, version + 1, Decision::Accepted);
         for to in (0..NODES).filter(|to| *to != node) {
             self.frames.push(self.tags[node].clone());
             let frame = Event::Frame { to, config: version + 1, tag: self.frames.len() - 1 };
             let delay = self.rng.u64(500..3_000);
-            self.later(at + delay, frame);
+            self.schedule(at + delay, frame);
         }
         let wait = self.rng.u64(CHANGE_EVERY / 2..CHANGE_EVERY * 2);
-        self.later(at + wait, Event::Change);
+        self.schedule(at + wait, Event::Change);
     }
 
-    fn enforce(&mut self, node: usize, at: u64, config: u64, act: Act) {
+    fn apply_config(&mut self, node: usize, at: u64, config: u64, act: Decision) {
         self.configs[node] = config;
         self.record(node, at, act);
         if self.leases.iter().any(|(_, holder, _)| *holder == node) {
-            self.later(at + 5 * MS, Event::Plan { node });
+            self.schedule(at + 5 * MS, Event::Plan { node });
         }
     }
 
@@ -184,34 +184,34 @@
             return;
         };
         let (row, seen) = self.ledgers[zone].clone();
-        self.touch(node, at, &seen, true);
+        self.observe(node, at, &seen, true);
         self.ledgers[zone] = (row + 1, self.tags[node].clone());
         let fence = self.leases[zone].0;
-        self.record(node, at, Act::Order { zone, fence, row: row + 1 });
+        self.record(node, at, Decision::Order { zone, fence, row: row + 1 });
     }
 
     fn lease(&mut self, at: u64, zone: usize) {
         let (fence, holder, seen) = self.leases[zone].clone();
         let next = (holder + ZONES) % NODES;
-        self.touch(next, at, &seen, true);
+        self.observe(next, at, &seen, true);
         let ledger = self.ledgers[zone].1.clone();
-        self.touch(next, at, &ledger, true);
+        self.observe(next, at, &ledger, true);
         self.leases[zone] = (fence + 1, next, self.tags[next].clone());
-        self.record(next, at, Act::Lease { zone, fence: fence + 1 });
-        self.later(at + LEASE_EVERY, Event::Lease { zone });
+        self.record(next, at, Decision::Lease { zone, fence: fence + 1 });
+        self.schedule(at + LEASE_EVERY, Event::Lease { zone });
     }
 }
 
-/// What the versions in two records say of their order; nothing where they say nothing.
+/// Orders two records by their versions; `None` where these don't decide.
 fn by_versions(a: &Record, b: &Record) -> Option<Ordering> {
     let key = |record: &Record| match record.act {
-        Act::Lease { zone, fence } => Some((zone, fence, 0)),
-        Act::Order { zone, fence, row } => Some((zone, fence, row)),
-        Act::Accepted | Act::Configured => None,
+        Decision::Lease { zone, fence } => Some((zone, fence, 0)),
+        Decision::Order { zone, fence, row } => Some((zone, fence, row)),
+        Decision::Accepted | Decision::Configured => None,
     };
     let rank = |record: &Record| match record.act {
-        Act::Accepted => 0,
-        Act::Configured | Act::Lease { .. } | Act::Order { .. } => 1,
+        Decision::Accepted => 0,
+        Decision::Configured | Decision::Lease { .. } | Decision::Order { .. } => 1,
     };
     match (key(a), key(b)) {
         (Some(a), Some(b)) if a.0 == b.0 => Some(a.cmp(&b)),
@@ -219,14 +219,14 @@
     }
 }
 
-/// Pairs of records of two entry VMs, one of which led to the other, and how each order has them.
+/// Counts of causally related pairs of records from two entry VMs, and of those that each way orders wrongly.
 #[derive(Debug, Default)]
 struct Score {
     pairs: u64,
     wall_wrong: u64,
     versions_wrong: u64,
-    versions_silent: u64,
-    silent_and_wall_wrong: u64,
+    versions_undecided: u64,
+    undecided_and_wall_wrong: u64,
     frames_wrong: u64,
     rows_wrong: u64,
 }
@@ -234,10 +234,11 @@
 fn score(records: &[Record]) -> Score {
     let mut score = Score::default();
     for (at, later) in records.iter().enumerate() {
-        let others = records[..at].iter().rev().take_while(|earlier| later.at - earlier.at <= NEAR);
+        let others =
+            records[..at].iter().rev().take_while(|earlier| later.at - earlier.at <= PAIR_DISTANCE_MAX);
         for earlier in others.filter(|earlier| earlier.node != later.node) {
-            let led = later.vector[earlier.node] >= earlier.vector[earlier.node];
-            if !led {
+            let caused = later.vector[earlier.node] >= earlier.vector[earlier.node];
+            if !caused {
                 continue;
             }
             let wall_wrong = earlier.wall >= later.wall;
@@ -247,8 +248,8 @@
                 Some(Ordering::Less) => {}
                 Some(_) => score.versions_wrong += 1,
                 None => {
-                    score.versions_silent += 1;
-                    score.silent_and_wall_wrong += u64::from(wall_wrong);
+                    score.versions_undecided += 1;
+                    score.undecided_and_wall_wrong += u64::from(wall_wrong);
                 }
             }
             score.frames_wrong += u64::from(earlier.hybrids[0] >= later.hybrids[0]);
@@ -259,13 +260,13 @@
 }
 
 #[test]
-fn compared() {
+fn wrong_pairs_by_ordering() {
     println!(
-        "share of pairs within {} ms, one of which led to the other, that are put the wrong way round:",
-        NEAR / MS
+        "share of causally related pairs within {} ms that are ordered wrongly:",
+        PAIR_DISTANCE_MAX / MS
     );
     println!(
-        "skew ms |   pairs | wall clock | versions (say nothing) | then wall clock | hybrid, frames | hybrid, rows too"
+        "skew ms |   pairs | wall clock | versions (undecided)   | then wall clock | hybrid, frames | hybrid, rows too"
     );
     for skew in [0, 1, 10, 100, 1_000, 10_000] {
         let records = World::run(skew * MS, 7);
@@ -277,12 +278,12 @@
             score.pairs,
             share(score.wall_wrong),
             share(score.versions_wrong),
-            share(score.versions_silent),
-            share(score.versions_wrong + score.silent_and_wall_wrong),
+            share(score.versions_undecided),
+            share(score.versions_wrong + score.undecided_and_wall_wrong),
             share(score.frames_wrong),
             share(score.rows_wrong),
         );
-        assert_eq!(score.rows_wrong, 0, "a clock that travels with everything never errs");
+        assert_eq!(score.rows_wrong, 0, "a clock carried by frames and rows never orders a pair wrongly");
         assert!(score.pairs > 1_000);
     }
 }
--- a/core/tests/control/demand_forecast.rs
+++ b/core/tests/control/demand_forecast.rs
@@ -1,4 +1,4 @@
-//! Demand: copies follow growth ahead of it, and noise moves nothing.
+//! Demand forecast: copies are added before growing demand needs them, and noise causes no moves.
 
 use std::time::Duration;
 
@@ -6,51 +6,53 @@
 
 use super::world::{World, document, model};
 
-/// Slots of an engine, and the time a request takes of one in this test, in seconds.
+/// Slots of an engine.
 const SLOTS: f64 = 8.0;
-const HOLD: f64 = 2.0;
+/// Time that a request occupies a slot, in seconds.
+const SERVICE_TIME: f64 = 2.0;
 
 fn declared() -> Document {
     document(true, 40_000, ["a", "b", "c", "d"].map(|name| model(name, 9_000)).to_vec())
 }
 
-/// Runs with a rate of requests a second for `a`, shared between nodes, and the load it makes.
-fn drive(world: &mut World, seconds: u64, rate: impl Fn(u64) -> f64) {
+/// Runs with the given rate of requests per second for `a`, spread over the nodes, and sets the load that this
+/// rate causes at the engines.
+fn run_with_rate(world: &mut World, seconds: u64, rate: impl Fn(u64) -> f64) {
     let mut due = 0.0;
     let mut n = 0;
     for second in 0..seconds {
         due += rate(second);
         while due >= 1.0 {
-            world.request(n % world.nodes.len(), "a");
+            world.send_request(n % world.nodes.len(), "a");
             n += 1;
             due -= 1.0;
         }
         let copies = world.copies("a").max(1) as f64;
-        let each = (rate(second) * HOLD / copies).min(SLOTS * 2.0) as u32;
-        world.engines.values_mut().for_each(|engine| engine.run("a", each));
+        let each = (rate(second) * SERVICE_TIME / copies).min(SLOTS * 2.0) as u32;
+        world.engines.values_mut().for_each(|engine| engine.set_requests("a", each));
         world.run(Duration::from_secs(1));
     }
 }
 
 fn world() -> World {
     let mut world = World::new(2, 4, declared());
-    world.until("all loaded", |world| ["a", "b", "c", "d"].iter().all(|name| world.copies(name) >= 1));
+    world.run_until("all loaded", |world| ["a", "b", "c", "d"].iter().all(|name| world.copies(name) >= 1));
     world
 }
 
 #[test]
 fn tenfold_growth() {
     let mut world = world();
-    drive(&mut world, 300, |_| 1.0);
+    run_with_rate(&mut world, 300, |_| 1.0);
     assert_eq!(world.copies("a"), 1);
-    drive(&mut world, 900, |second| 1.0 + 9.0 * second as f64 / 900.0);
-    assert!(world.copies("a") >= 3, "20 slots are asked for, and {} copies are there", world.copies("a"));
+    run_with_rate(&mut world, 900, |second| 1.0 + 9.0 * second as f64 / 900.0);
+    assert!(world.copies("a") >= 3, "demand takes 20 slots, but there are {} copies", world.copies("a"));
 }
 
 #[test]
-fn noise_moves_nothing() {
+fn noise_causes_no_moves() {
     let mut world = world();
     let before = world.moves();
-    drive(&mut world, 900, |second| if second % 7 < 3 { 3.5 } else { 1.5 });
+    run_with_rate(&mut world, 900, |second| if second % 7 < 3 { 3.5 } else { 1.5 });
     assert_eq!(world.moves(), before);
 }
--- a/core/tests/control/lease_takeover.rs
+++ b/core/tests/control/lease_takeover.rs
@@ -1,4 +1,5 @@
-//! The lease of a zone: one holder, renewed, handed back, and taken over when its holder is gone.
+//! The lease of a zone: it has one holder, which renews it and releases it on a stop, and it is taken over
+//! after it has expired.
 
 use std::time::Duration;
 
@@ -15,7 +16,7 @@
 
 fn world(nodes: usize) -> World {
     let mut world = World::new(nodes, 1, document(true, 24_000, Vec::new()));
-    world.until("a first holder", |world| world.holder().is_some());
+    world.run_until("a first holder", |world| world.lease_holder().is_some());
     world
 }
 
@@ -30,11 +31,11 @@
 }
 
 #[test]
-fn renewed_by_one() {
+fn renewed_by_one_holder() {
     let mut world = world(3);
-    let first = world.holder();
+    let first = world.lease_holder();
     world.run(LENGTH * 20);
-    assert_eq!(world.holder(), first, "nobody else takes a lease that is renewed");
+    assert_eq!(world.lease_holder(), first, "nobody else takes a lease that is renewed");
     let all: usize = (0..3).map(|at| taken(&world, at).len()).sum();
     assert_eq!(all, 1);
 }
@@ -42,56 +43,58 @@
 #[test]
 fn taken_after_expiry() {
     let mut world = world(2);
-    let (first, fence) = world.holder().expect("a holder");
-    let at = world.holding().expect("a holder");
+    let (first, fence) = world.lease_holder().expect("a holder");
+    let at = world.holder_node().expect("a holder");
     world.nodes[at].paused = true;
     let since = world.now;
-    world.until("another holder", |world| world.holder().is_some_and(|(holder, _)| holder != first));
+    world
+        .run_until("another holder", |world| world.lease_holder().is_some_and(|(holder, _)| holder != first));
     assert!(world.now.since(since) + Settings::default().lease_renew >= LENGTH, "not before it lapsed");
-    assert_eq!(world.holder().map(|(_, fence)| fence), Some(Fence(fence.0 + 1)));
+    assert_eq!(world.lease_holder().map(|(_, fence)| fence), Some(Fence(fence.0 + 1)));
     assert_eq!(taken(&world, 1 - at), [(Fence(fence.0 + 1), Cause::Expired)]);
 
-    let second = world.holder();
+    let second = world.lease_holder();
     world.resume(at);
     world.run(LENGTH * 5);
-    assert_eq!(world.holder(), second, "the paused holder wakes to a lease that is not its own");
+    assert_eq!(world.lease_holder(), second, "the paused holder wakes to a lease that is not its own");
     let left = |act: &Decision| matches!(act, Decision::LeaseLeft(_));
     assert!(world.nodes[at].records.iter().any(|record| left(&record.act)));
 }
 
 #[test]
-fn handed_back() {
+fn released_on_stop() {
     let mut world = world(2);
-    let at = world.holding().expect("a holder");
+    let at = world.holder_node().expect("a holder");
     let first: Name = world.nodes[at].state.identity().vm.clone();
-    let asked = world.now;
+    let stopped_at = world.now;
     world.step(at, Event::Stop);
     let grace = Settings::default().balancer_grace;
-    world.until("another holder", |world| world.holder().is_some_and(|(holder, _)| holder != first));
-    assert!(world.now.since(asked) < grace + LENGTH, "a lease handed back is not waited for");
+    world
+        .run_until("another holder", |world| world.lease_holder().is_some_and(|(holder, _)| holder != first));
+    assert!(world.now.since(stopped_at) < grace + LENGTH, "a lease handed back is not waited for");
     assert_eq!(taken(&world, 1 - at).last().map(|(_, cause)| *cause), Some(Cause::Vacant));
 }
 
 #[test]
 fn lost_answers() {
     let mut world = world(1);
-    world.nodes[0].table = Mode::Mute;
+    world.nodes[0].table = Mode::AnswersLost;
     world.run(Duration::from_secs(4));
     world.nodes[0].table = Mode::Up;
     world.run(LENGTH * 3);
-    assert_eq!(world.holder().map(|(_, fence)| fence), Some(Fence(1)), "the same holder goes on");
+    assert_eq!(world.lease_holder().map(|(_, fence)| fence), Some(Fence(1)), "the same holder goes on");
     assert_eq!(taken(&world, 0).len(), 1, "a lost answer is settled by the row within the lease");
 }
 
 #[test]
 fn table_down() {
     let mut world = world(2);
-    let first = world.holder();
+    let first = world.lease_holder();
     for node in &mut world.nodes {
         node.table = Mode::Down;
     }
     world.run(LENGTH * 10);
-    assert_eq!(world.holder(), first, "nobody takes over what cannot be read");
+    assert_eq!(world.lease_holder(), first, "nobody takes over what cannot be read");
     let left: usize = world
         .nodes
         .iter()
@@ -103,26 +106,29 @@
         node.table = Mode::Up;
     }
     world.run(LENGTH * 3);
-    assert!(world.holder().is_some());
+    assert!(world.lease_holder().is_some());
 }
 
-/// Orders that a restarted engine will refuse are kept, but they are no moves under way.
+/// Orders for an earlier incarnation of an engine stay in its ledger, but they must not be counted as moves
+/// under way, since the engine refuses them.
 #[test]
-fn dead_orders_are_no_moves() {
+fn old_orders_not_counted_as_moves() {
     let mut world = World::new(1, 1, document(true, 24_000, vec![model("a", 6_000)]));
-    world.holds = Some(0);
-    world.until("a load on its way", |world| !world.held.is_empty());
+    world.held_back_node = Some(0);
+    world.run_until("a load on its way", |world| !world.held_back.is_empty());
     assert_eq!(moves_under_way(&mut world), 1);
     for engine in world.engines.values_mut() {
         engine.restart();
     }
     let sent = world.sent.len();
-    world.until("a load for the restarted engine", |world| world.sent.len() > sent && world.held.len() > 1);
+    world.run_until("a load for the restarted engine", |world| {
+        world.sent.len() > sent && world.held_back.len() > 1
+    });
     assert_eq!(moves_under_way(&mut world), 1, "the load for the engine that is gone counts no more");
 }
 
 fn moves_under_way(world: &mut World) -> u32 {
-    match world.ask(0, Query::Status) {
+    match world.query(0, Query::Status) {
         Some(Answer::Status(status)) => status.moves_under_way,
         other => panic!("no status: {other:?}"),
     }
--- a/core/tests/control/main.rs
+++ b/core/tests/control/main.rs
@@ -1,4 +1,4 @@
-//! Control under faults: leases, ledgers, the closing of copies and placement, with a few reducers at once.
+//! Leases, ledgers, closing of copies and placement under faults, with several reducers at once.
 
 mod closing_copy;
 mod demand_forecast;
--- a/core/tests/control/placement_plan.rs
+++ b/core/tests/control/placement_plan.rs
@@ -1,4 +1,5 @@
-//! Placement: all that is declared is loaded and stays, within memory, through changes of every kind.
+//! Placement: every declared model is loaded and stays loaded within the engines' memory, through changes of
+//! the configuration, the engines and the table.
 
 use std::time::Duration;
 
@@ -17,16 +18,16 @@
 fn loaded(document: Document, engines: usize) -> World {
     let names: Vec<_> = document.inventory.models.iter().map(|model| model.name.clone()).collect();
     let mut world = World::new(2, engines, document);
-    world.until("all loaded", |world| names.iter().all(|name| world.copies(name) >= 1));
+    world.run_until("all loaded", |world| names.iter().all(|name| world.copies(name) >= 1));
     world
 }
 
-fn six() -> Document {
+fn six_models() -> Document {
     document(true, MEMORY_MB, ["a", "b", "c", "d", "e", "f"].map(|name| model(name, 6_000)).to_vec())
 }
 
 fn two_versions(first: &str, second: Option<&str>) -> Document {
-    let mut declared = six();
+    let mut declared = six_models();
     declared.inventory.models[0].versions = [Some(first), second]
         .into_iter()
         .flatten()
@@ -36,32 +37,32 @@
 }
 
 #[test]
-fn everything_once() {
-    let mut world = loaded(six(), 2);
+fn each_model_loaded_once() {
+    let mut world = loaded(six_models(), 2);
     let moves = world.moves();
-    assert_eq!(moves, 6, "each is loaded once");
+    assert_eq!(moves, 6, "each model is loaded once");
     world.run(Duration::from_mins(10));
     assert_eq!(world.moves(), moves, "nothing moves while nothing changes");
 }
 
 #[test]
 fn copies_by_rule() {
-    let mut declared = six();
+    let mut declared = six_models();
     declared.rules.places = vec![Place { model: "a".into(), zones: Vec::new(), copies: 3 }];
     let mut world = loaded(declared, 3);
-    world.until("three copies", |world| world.copies("a") == 3);
+    world.run_until("three copies", |world| world.copies("a") == 3);
 }
 
 #[test]
 fn version_changes() {
-    let mut world = loaded(six(), 3);
+    let mut world = loaded(six_models(), 3);
     world.declare(two_versions("2", None));
     let any = |world: &World, version: &str| {
         world.engines.values().any(|engine| engine.holds_version("a", version))
     };
     while any(&world, "1") {
         let ready = world.engines.values().any(|engine| engine.holds("a"));
-        assert!(ready, "one version or the other answers");
+        assert!(ready, "one of the two versions is ready");
         assert!(world.engines.values().all(|engine| engine.taken_mb() <= MEMORY_MB));
         world.tick();
     }
@@ -75,21 +76,21 @@
     let mut changed = models;
     changed[0].versions[0].name = "2".into();
     world.declare(document(true, MEMORY_MB, changed));
-    world.until("the new version", |world| world.engines["engine-1"].holds_version("a", "2"));
+    world.run_until("the new version", |world| world.engines["engine-1"].holds_version("a", "2"));
     assert!(world.engines["engine-1"].taken_mb() <= MEMORY_MB);
-    assert!(!world.engines["engine-1"].holds_version("a", "1"), "both do not fit: the old one went first");
+    assert!(!world.engines["engine-1"].holds_version("a", "1"), "the two versions don't fit together");
 }
 
 #[test]
 fn adapter_with_its_model() {
-    let mut declared = six();
+    let mut declared = six_models();
     let adapter = |n: u32| Adapter {
         name: format!("t{n}").into(),
         versions: vec![Version { name: "1".into(), memory_mb: 300 }],
     };
     declared.inventory.models[2].adapters = (0..4).map(adapter).collect();
     let mut world = loaded(declared, 3);
-    world.until("all adapters", |world| {
+    world.run_until("all adapters", |world| {
         let held: usize = world
             .engines
             .values()
@@ -99,15 +100,15 @@
     });
     for engine in world.engines.values() {
         let adapters = engine.copies.iter().any(|copy| copy.artifact.adapter.is_some());
-        assert!(!adapters || engine.holds("c"), "an adapter needs its model beside it");
+        assert!(!adapters || engine.holds("c"), "an adapter needs its model on the same engine");
     }
 }
 
 #[test]
 fn engine_restarts() {
-    let mut world = loaded(six(), 3);
+    let mut world = loaded(six_models(), 3);
     world.engines.values_mut().next().expect("an engine").restart();
-    world.until("all loaded again", |world| {
+    world.run_until("all loaded again", |world| {
         ["a", "b", "c", "d", "e", "f"].iter().all(|name| world.copies(name) >= 1)
     });
     assert!(world.engines.values().all(|engine| engine.taken_mb() <= MEMORY_MB));
@@ -115,68 +116,69 @@
 
 #[test]
 fn engine_leaves() {
-    let mut world = loaded(six(), 3);
+    let mut world = loaded(six_models(), 3);
     let leaving = world.vms.iter_mut().find(|vm| vm.name == "engine-1").expect("an engine");
     leaving.phase = Phase::Leaving;
-    let elsewhere = |world: &World, name: &str| {
+    let on_other_engine = |world: &World, name: &str| {
         world.engines.iter().any(|(engine, held)| *engine != "engine-1" && held.holds(name))
     };
-    world.until("all loaded elsewhere", |world| {
-        ["a", "b", "c", "d", "e", "f"].iter().all(|name| elsewhere(world, name))
+    world.run_until("all loaded elsewhere", |world| {
+        ["a", "b", "c", "d", "e", "f"].iter().all(|name| on_other_engine(world, name))
     });
 }
 
 #[test]
 fn engine_silent() {
-    let mut world = loaded(six(), 3);
+    let mut world = loaded(six_models(), 3);
     let dead = world.engines.get_mut("engine-1").expect("an engine");
     dead.silent = true;
-    let elsewhere = |world: &World, name: &str| {
+    let on_other_engine = |world: &World, name: &str| {
         world.engines.iter().any(|(engine, held)| *engine != "engine-1" && held.holds(name))
     };
-    world.until("all loaded elsewhere, though it is still listed", |world| {
-        ["a", "b", "c", "d", "e", "f"].iter().all(|name| elsewhere(world, name))
+    world.run_until("all loaded elsewhere, though it is still listed", |world| {
+        ["a", "b", "c", "d", "e", "f"].iter().all(|name| on_other_engine(world, name))
     });
 }
 
 #[test]
-fn shifted_for_room() {
+fn copy_relocated_for_large_model() {
     let models = ["a", "b", "c", "d"].map(|name| model(name, 6_000)).to_vec();
     let mut world = loaded(document(true, MEMORY_MB, models.clone()), 2);
     let large = [models, vec![model("large", 13_000)]].concat();
     world.declare(document(true, MEMORY_MB, large));
-    world.until("the large one", |world| world.copies("large") == 1);
+    world.run_until("the large one", |world| world.copies("large") == 1);
     for name in ["a", "b", "c", "d"] {
         assert!(world.copies(name) >= 1, "{name} was dropped");
     }
 }
 
 #[test]
-fn cut_off() {
-    let mut world = loaded(six(), 3);
+fn table_down() {
+    let mut world = loaded(six_models(), 3);
     world.nodes.iter_mut().for_each(|node| node.table = Mode::Down);
     world.run(Duration::from_secs(30));
     let first = world.engines.keys().next().expect("an engine").clone();
     let models = ["a", "b", "c", "d", "e", "f"].map(|name| model(name, 6_000)).to_vec();
     world.declare(document(true, MEMORY_MB, [models, vec![model("new", 3_000)]].concat()));
-    world.until("an additive load", |world| world.copies("new") == 1);
+    world.run_until("an additive load", |world| world.copies("new") == 1);
     world.engines.get_mut(&first).expect("an engine").restart();
     world.run(Duration::from_mins(1));
-    assert!(world.engines[&first].copies.is_empty(), "an engine that forgot the fence is left alone");
-    let unloads = world.sent.iter().filter(|flight| matches!(flight.order.action, Action::Unload { .. }));
+    assert!(world.engines[&first].copies.is_empty(), "an engine that lost the fence gets no load");
+    let unloads =
+        world.sent.iter().filter(|sent_order| matches!(sent_order.order.action, Action::Unload { .. }));
     assert_eq!(unloads.count(), 0, "nothing is dropped");
     world.nodes.iter_mut().for_each(|node| node.table = Mode::Up);
-    world.until("all loaded again", |world| {
+    world.run_until("all loaded again", |world| {
         ["a", "b", "c", "d", "e", "f", "new"].iter().all(|name| world.copies(name) >= 1)
     });
     assert!(world.engines.values().all(|engine| engine.taken_mb() <= MEMORY_MB));
 }
 
 #[test]
-fn explained() {
-    let mut world = loaded(six(), 2);
-    let holder = world.holding().expect("a holder");
-    let Some(Answer::Explanation(lines)) = world.ask(holder, Query::Explain("a".into())) else {
+fn explanation() {
+    let mut world = loaded(six_models(), 2);
+    let holder = world.holder_node().expect("a holder");
+    let Some(Answer::Explanation(lines)) = world.query(holder, Query::Explain("a".into())) else {
         panic!("no explanation");
     };
     let text: Vec<&str> = lines.iter().map(Name::as_str).collect();
--- a/core/tests/control/world.rs
+++ b/core/tests/control/world.rs
@@ -1,4 +1,4 @@
-//! A few reducers over fakes of the table and of engines, with knobs for what gets lost, late or held.
+//! Several reducers over fakes of the table and of engines. Tests can lose, delay or hold back messages.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,15 +31,16 @@
     #[default]
     Up,
     Down,
-    /// Calls take effect, their answers are lost.
-    Mute,
+    /// Calls take effect, but their answers are lost.
+    AnswersLost,
 }
 
-/// A model engine that never refuses a load for want of memory: only the sender guards that.
+/// A model engine that never refuses a load for lack of memory, so that only the sender prevents
+/// overcommitment.
 #[derive(Debug)]
 pub struct Engine {
     pub vm: Vm,
-    /// Whether it is dead, so that nobody gets a report.
+    /// Whether it has failed, so that it sends no reports.
     pub silent: bool,
     pub incarnation: Incarnation,
     pub checks: bool,
@@ -54,16 +55,16 @@
 }
 
 impl Engine {
-    pub fn order(&mut self, now: Time, order: &Order) -> Receipt {
+    pub fn receive_order(&mut self, now: Time, order: &Order) -> Receipt {
         if let Some(receipt) = self.receipts.get(&order.id) {
             return receipt.clone();
         }
-        let receipt = self.take(now, order);
+        let receipt = self.execute(now, order);
         self.receipts.insert(order.id, receipt.clone());
         receipt
     }
 
-    fn take(&mut self, now: Time, order: &Order) -> Receipt {
+    fn execute(&mut self, now: Time, order: &Order) -> Receipt {
         if order.meant_for != self.incarnation {
             return Receipt::Restarted;
         }
@@ -149,7 +150,7 @@
     }
 
     /// Sets how many requests run on a model.
-    pub fn run(&mut self, model: &str, requests: u32) {
+    pub fn set_requests(&mut self, model: &str, requests: u32) {
         for copy in self.copies.iter_mut().filter(|copy| copy.artifact.model == model) {
             copy.requests = requests;
         }
@@ -161,15 +162,15 @@
     pub state: State,
     pub paused: bool,
     pub table: Mode,
-    /// What waits while the node is paused, and what it held back itself.
+    /// Events that arrived while the node was paused.
     inbox: Vec<Event>,
     pub records: Vec<boragecove_core::audit::Record>,
     pub answers: Vec<Answer>,
 }
 
-/// An order on its way.
+/// An order that a node has sent.
 #[derive(Clone, Debug)]
-pub struct Flight {
+pub struct SentOrder {
     pub node: usize,
     pub engine: Name,
     pub order: Order,
@@ -181,14 +182,14 @@
     pub table: Table,
     pub nodes: Vec<Node>,
     pub engines: BTreeMap<Name, Engine>,
-    /// The node whose orders, but for those that ask for nothing, wait in `held` in place of arriving.
-    pub holds: Option<usize>,
-    /// Whether all nodes' orders do.
-    pub holds_all: bool,
-    pub held: Vec<Flight>,
-    pub sent: Vec<Flight>,
+    /// The node whose orders are held back in `held_back`, except those that ask for nothing.
+    pub held_back_node: Option<usize>,
+    /// Whether the orders of all nodes are held back.
+    pub hold_back_all: bool,
+    pub held_back: Vec<SentOrder>,
+    pub sent: Vec<SentOrder>,
     pub vms: Vec<Vm>,
-    asked: u64,
+    last_id: u64,
 }
 
 pub fn vm(name: &str, port: usize, role: Role) -> Vm {
@@ -212,10 +213,10 @@
 
 impl World {
     pub fn new(nodes: usize, engines: usize, document: Document) -> Self {
-        Self::tuned(nodes, engines, document, &Settings::default())
+        Self::with_settings(nodes, engines, document, &Settings::default())
     }
 
-    pub fn tuned(nodes: usize, engines: usize, document: Document, settings: &Settings) -> Self {
+    pub fn with_settings(nodes: usize, engines: usize, document: Document, settings: &Settings) -> Self {
         let now = Time::from_millis(1_000);
         let group = document.inventory.groups[0].clone();
         let mut vms = Vec::new();
@@ -224,12 +225,12 @@
             table: Table::default(),
             nodes: Vec::new(),
             engines: BTreeMap::new(),
-            holds: None,
-            holds_all: false,
-            held: Vec::new(),
+            held_back_node: None,
+            hold_back_all: false,
+            held_back: Vec::new(),
             sent: Vec::new(),
             vms: Vec::new(),
-            asked: 0,
+            last_id: 0,
         };
         world.declare(document);
         for n in 1..=nodes {
@@ -259,7 +260,7 @@
         world
     }
 
-    /// Puts a configuration into the table, as the next version.
+    /// Writes a configuration to the table as the next version and sends it to all nodes.
     pub fn declare(&mut self, document: Document) {
         let version = self.table.rows.get(&Key::Config).map_or(0, |row| row.version.0) + 1;
         let head =
@@ -282,24 +283,24 @@
         }
     }
 
-    /// Brings an event to a node, and carries out what it asks for.
+    /// Applies an event at a node and carries out the resulting effects. A paused node gets it when it resumes.
     pub fn step(&mut self, at: usize, event: Event) {
         if self.nodes[at].paused {
             self.nodes[at].inbox.push(event);
             return;
         }
         for effect in apply(&mut self.nodes[at].state, self.now, event) {
-            self.carry_out(at, effect);
+            self.apply_effect(at, effect);
         }
     }
 
-    /// Carries out what a node asks for.
-    pub fn carry_out(&mut self, at: usize, effect: Effect) {
+    /// Carries out an effect of a node.
+    pub fn apply_effect(&mut self, at: usize, effect: Effect) {
         match effect {
             Effect::Table { op, call } => {
                 let reply = match self.nodes[at].table {
                     Mode::Down => Err(Failure::Unavailable),
-                    Mode::Mute => {
+                    Mode::AnswersLost => {
                         let _lost = self.table.call(&call);
                         Err(Failure::Unknown)
                     }
@@ -322,13 +323,13 @@
                 }
             }
             Effect::Order { engine, order, .. } => {
-                let flight = Flight { node: at, engine, order: *order };
-                self.sent.push(flight.clone());
-                let counts = flight.order.action != Action::Raise;
-                if self.holds_all || (self.holds == Some(at) && counts) {
-                    self.held.push(flight);
+                let sent_order = SentOrder { node: at, engine, order: *order };
+                self.sent.push(sent_order.clone());
+                let counts = sent_order.order.action != Action::Raise;
+                if self.hold_back_all || (self.held_back_node == Some(at) && counts) {
+                    self.held_back.push(sent_order);
                 } else {
-                    self.arrive(&flight);
+                    self.deliver(&sent_order);
                 }
             }
             Effect::SendFrame { peer, frame, .. } => {
@@ -342,22 +343,23 @@
         }
     }
 
-    /// An order arrives at its engine, and its answer at the node.
-    pub fn arrive(&mut self, flight: &Flight) {
+    /// Delivers an order to its engine, and the answer to the node.
+    pub fn deliver(&mut self, sent_order: &SentOrder) {
         let now = self.now;
-        let Some(engine) = self.engines.get_mut(&flight.engine) else { return };
-        let receipt = Some(engine.order(now, &flight.order));
-        let answer = Event::OrderAnswered { order: flight.order.id, engine: flight.engine.clone(), receipt };
-        self.step(flight.node, answer);
+        let Some(engine) = self.engines.get_mut(&sent_order.engine) else { return };
+        let receipt = Some(engine.receive_order(now, &sent_order.order));
+        let answer =
+            Event::OrderAnswered { order: sent_order.order.id, engine: sent_order.engine.clone(), receipt };
+        self.step(sent_order.node, answer);
     }
 
-    /// The sender of an order is told that its answer is lost.
-    pub fn lose(&mut self, flight: &Flight) {
-        let (order, engine) = (flight.order.id, flight.engine.clone());
-        self.step(flight.node, Event::OrderAnswered { order, engine, receipt: None });
+    /// Reports to the sender of an order that the answer was lost.
+    pub fn lose_answer(&mut self, sent_order: &SentOrder) {
+        let (order, engine) = (sent_order.order.id, sent_order.engine.clone());
+        self.step(sent_order.node, Event::OrderAnswered { order, engine, receipt: None });
     }
 
-    /// Lets a node go on, with all that came while it was paused.
+    /// Resumes a node and applies the events that arrived while it was paused.
     pub fn resume(&mut self, at: usize) {
         self.nodes[at].paused = false;
         for event in std::mem::take(&mut self.nodes[at].inbox) {
@@ -381,8 +383,8 @@
         }
     }
 
-    /// Runs until a condition holds, at the most for ten minutes of the reducers' time.
-    pub fn until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
+    /// Runs until a condition holds, for at most ten minutes of simulated time.
+    pub fn run_until(&mut self, what: &str, condition: impl Fn(&Self) -> bool) {
         let limit = self.now + Duration::from_mins(10);
         while !condition(self) {
             assert!(self.now < limit, "never happened: {what}");
@@ -390,29 +392,29 @@
         }
     }
 
-    /// Engines that hold a model ready.
+    /// Number of engines that hold a ready copy of a model.
     pub fn copies(&self, model: &str) -> usize {
         self.engines.values().filter(|engine| engine.holds(model)).count()
     }
 
-    /// Loads and unloads that were decided so far.
+    /// Number of loads and unloads decided so far.
     pub fn moves(&self) -> usize {
         let is_move = |act: &Decision| matches!(act, Decision::Load { .. } | Decision::Unload { .. });
         self.nodes.iter().flat_map(|node| &node.records).filter(|record| is_move(&record.act)).count()
     }
 
-    /// Asks a node something.
-    pub fn ask(&mut self, at: usize, query: Query) -> Option<&Answer> {
-        self.asked += 1;
-        let ask = id::Ask { by: Incarnation(0), seq: self.asked };
+    /// Sends an operator's query to a node and returns the node's latest answer.
+    pub fn query(&mut self, at: usize, query: Query) -> Option<&Answer> {
+        self.last_id += 1;
+        let ask = id::Ask { by: Incarnation(0), seq: self.last_id };
         self.step(at, Event::QueryReceived { ask, query: Box::new(query) });
         self.nodes[at].answers.last()
     }
 
-    /// A request for a model comes to a node and waits or is sent; its caller leaves at once.
-    pub fn request(&mut self, at: usize, model: &str) {
-        self.asked += 1;
-        let id = id::Request { by: Incarnation(1_000 + at as u64), seq: self.asked };
+    /// Sends a request for a model to a node. Its caller disconnects at once.
+    pub fn send_request(&mut self, at: usize, model: &str) {
+        self.last_id += 1;
+        let id = id::Request { by: Incarnation(1_000 + at as u64), seq: self.last_id };
         let arrival = Arrival {
             id,
             token_sha256: None,
@@ -432,17 +434,17 @@
         self.step(at, Event::CallerGone(id));
     }
 
-    /// Who holds the lease by the table's row.
-    pub fn holder(&self) -> Option<(Name, Fence)> {
+    /// The holder and fence of the lease according to the table.
+    pub fn lease_holder(&self) -> Option<(Name, Fence)> {
         match self.table.rows.get(&Key::Lease(ZONE.into())).map(|row| &row.value) {
             Some(Value::Lease(row)) => row.holder.as_ref().map(|holder| (holder.vm.clone(), row.fence)),
             _ => None,
         }
     }
 
-    /// The node that holds the lease by the table's row.
-    pub fn holding(&self) -> Option<usize> {
-        let (holder, _) = self.holder()?;
+    /// Index of the node that holds the lease according to the table.
+    pub fn holder_node(&self) -> Option<usize> {
+        let (holder, _) = self.lease_holder()?;
         self.nodes.iter().position(|node| node.state.identity().vm == holder)
     }
 }
