--- a/core/tests/control/lease_takeover.rs
+++ b/core/tests/control/lease_takeover.rs
@@ -35,7 +35,7 @@
     let mut world = world(3);
     let first = world.lease_holder();
     world.run(LENGTH * 20);
-    assert_eq!(world.lease_holder(), first, "nobody else takes a lease that is renewed");
+    assert_eq!(world.lease_holder(), first, "nobody else takes a renewed lease");
     let all: usize = (0..3).map(|at| taken(&world, at).len()).sum();
     assert_eq!(all, 1);
 }
@@ -49,14 +49,17 @@
     let since = world.now;
     world
         .run_until("another holder", |world| world.lease_holder().is_some_and(|(holder, _)| holder != first));
-    assert!(world.now.since(since) + Settings::default().lease_renew >= LENGTH, "not before it lapsed");
+    assert!(
+        world.now.since(since) + Settings::default().lease_renew >= LENGTH,
+        "taken over before it expired"
+    );
     assert_eq!(world.lease_holder().map(|(_, fence)| fence), Some(Fence(fence.0 + 1)));
     assert_eq!(taken(&world, 1 - at), [(Fence(fence.0 + 1), Cause::Expired)]);
 
     let second = world.lease_holder();
     world.resume(at);
     world.run(LENGTH * 5);
-    assert_eq!(world.lease_holder(), second, "the paused holder wakes to a lease that is not its own");
+    assert_eq!(world.lease_holder(), second, "the paused holder took the lease back when it resumed");
     let left = |act: &Decision| matches!(act, Decision::LeaseLeft(_));
     assert!(world.nodes[at].records.iter().any(|record| left(&record.act)));
 }
@@ -71,7 +74,10 @@
     let grace = Settings::default().balancer_grace;
     world
         .run_until("another holder", |world| world.lease_holder().is_some_and(|(holder, _)| holder != first));
-    assert!(world.now.since(stopped_at) < grace + LENGTH, "a lease handed back is not waited for");
+    assert!(
+        world.now.since(stopped_at) < grace + LENGTH,
+        "a released lease is taken without waiting for its expiry"
+    );
     assert_eq!(taken(&world, 1 - at).last().map(|(_, cause)| *cause), Some(Cause::Vacant));
 }
 
@@ -82,8 +88,16 @@
     world.run(Duration::from_secs(4));
     world.nodes[0].table = Mode::Up;
     world.run(LENGTH * 3);
-    assert_eq!(world.lease_holder().map(|(_, fence)| fence), Some(Fence(1)), "the same holder goes on");
-    assert_eq!(taken(&world, 0).len(), 1, "a lost answer is settled by the row within the lease");
+    assert_eq!(
+        world.lease_holder().map(|(_, fence)| fence),
+        Some(Fence(1)),
+        "the same holder keeps the lease"
+    );
+    assert_eq!(
+        taken(&world, 0).len(),
+        1,
+        "a lost answer is resolved by reading the row before the lease expires"
+    );
 }
 
 #[test]
@@ -94,14 +108,14 @@
         node.table = Mode::Down;
     }
     world.run(LENGTH * 10);
-    assert_eq!(world.lease_holder(), first, "nobody takes over what cannot be read");
+    assert_eq!(world.lease_holder(), first, "nobody takes over a lease that cannot be read");
     let left: usize = world
         .nodes
         .iter()
         .flat_map(|node| &node.records)
         .filter(|r| matches!(r.act, Decision::LeaseLeft(_)))
         .count();
-    assert_eq!(left, 1, "its holder knows that it lapsed");
+    assert_eq!(left, 1, "its holder records that it expired");
     for node in &mut world.nodes {
         node.table = Mode::Up;
     }
@@ -115,7 +129,7 @@
 fn old_orders_not_counted_as_moves() {
     let mut world = World::new(1, 1, document(true, 24_000, vec![model("a", 6_000)]));
     world.held_back_node = Some(0);
-    world.run_until("a load on its way", |world| !world.held_back.is_empty());
+    world.run_until("a load order that is sent", |world| !world.held_back.is_empty());
     assert_eq!(moves_under_way(&mut world), 1);
     for engine in world.engines.values_mut() {
         engine.restart();
@@ -124,7 +138,7 @@
     world.run_until("a load for the restarted engine", |world| {
         world.sent.len() > sent && world.held_back.len() > 1
     });
-    assert_eq!(moves_under_way(&mut world), 1, "the load for the engine that is gone counts no more");
+    assert_eq!(moves_under_way(&mut world), 1, "the load for the earlier incarnation is not counted");
 }
 
 fn moves_under_way(world: &mut World) -> u32 {
--- a/core/tests/control/placement_plan.rs
+++ b/core/tests/control/placement_plan.rs
@@ -146,7 +146,7 @@
     let mut world = loaded(document(true, MEMORY_MB, models.clone()), 2);
     let large = [models, vec![model("large", 13_000)]].concat();
     world.declare(document(true, MEMORY_MB, large));
-    world.run_until("the large one", |world| world.copies("large") == 1);
+    world.run_until("a copy of the large model", |world| world.copies("large") == 1);
     for name in ["a", "b", "c", "d"] {
         assert!(world.copies(name) >= 1, "{name} was dropped");
     }
@@ -160,7 +160,7 @@
     let first = world.engines.keys().next().expect("an engine").clone();
     let models = ["a", "b", "c", "d", "e", "f"].map(|name| model(name, 6_000)).to_vec();
     world.declare(document(true, MEMORY_MB, [models, vec![model("new", 3_000)]].concat()));
-    world.run_until("an additive load", |world| world.copies("new") == 1);
+    world.run_until("a load into free memory", |world| world.copies("new") == 1);
     world.engines.get_mut(&first).expect("an engine").restart();
     world.run(Duration::from_mins(1));
     assert!(world.engines[&first].copies.is_empty(), "an engine that lost the fence gets no load");
--- a/core/tests/control/two_holders.rs
+++ b/core/tests/control/two_holders.rs
@@ -35,7 +35,7 @@
     world.run_until("a first holder", |world| world.lease_holder().is_some());
     let first = world.holder_node().expect("a holder");
     world.held_back_node = Some(first);
-    world.run_until("orders on their way", |world| !world.held_back.is_empty());
+    world.run_until("orders held back", |world| !world.held_back.is_empty());
     world.nodes[first].paused = true;
     world.declare(declared(checks, true));
     world.run_until("a second holder", |world| world.holder_node().is_some_and(|at| at != first));
@@ -56,7 +56,7 @@
     world.run(Duration::from_secs(30));
     assert_eq!(overcommitted(&world), None);
     for (name, _) in MODELS {
-        assert!(world.engines.values().any(|engine| engine.holds(name)), "{name} is nowhere");
+        assert!(world.engines.values().any(|engine| engine.holds(name)), "{name} has no copy");
     }
     None
 }
@@ -158,7 +158,7 @@
     world.declare(document(false, MEMORY_MB, large));
     for _ in 0..1_800 {
         world.tick();
-        assert!(world.copies("a") >= 1, "a has lost its last copy");
+        assert!(world.copies("a") >= 1, "a lost its last copy");
     }
     assert_eq!(world.copies("c") + world.copies("d"), 1);
 }
